--- a/poplarpitch/consensus/consensus_error.cpp
+++ b/poplarpitch/consensus/consensus_error.cpp
@@ -19,7 +19,7 @@
             return "leadership is being transferred";
         case consensus_errc::change_in_progress:
             return "a membership change is in progress";
-        case consensus_errc::no_own_commit:
+        case consensus_errc::no_commit_in_term:
             return "the leader has not committed in its own term yet";
         case consensus_errc::unknown_node:
             return "the node is not a member";
--- a/poplarpitch/consensus/consensus_error.h
+++ b/poplarpitch/consensus/consensus_error.h
@@ -10,7 +10,7 @@
     overloaded,           ///< too many uncommitted bytes; try again later
     transfer_in_progress, ///< leadership is being handed over
     change_in_progress,   ///< the last membership change is not committed yet
-    no_own_commit,        ///< the leader has not committed an entry of its own term yet
+    no_commit_in_term,    ///< the leader has not committed an entry of its own term yet
     unknown_node,         ///< the node is not in the membership
     not_caught_up,        ///< the learner lacks too much of the log
     last_voter,           ///< the only voter cannot be removed
--- a/poplarpitch/consensus/raft_membership.cpp
+++ b/poplarpitch/consensus/raft_membership.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 void insert_sorted(std::vector<node_id>& ids, node_id id) {
-    const auto place = std::lower_bound(ids.begin(), ids.end(), id);
-    if (place == ids.end() || *place != id) {
-        ids.insert(place, id);
+    const auto position = std::lower_bound(ids.begin(), ids.end(), id);
+    if (position == ids.end() || *position != id) {
+        ids.insert(position, id);
     }
 }
 
@@ -23,7 +23,7 @@
     std::erase(ids, id);
 }
 
-std::vector<node_id> read_ids(std::string_view text) {
+std::vector<node_id> parse_ids(std::string_view text) {
     std::vector<node_id> ids;
     for (const auto part : absl::StrSplit(to_absl(text), ',', absl::SkipEmpty())) {
         node_id id = 0;
@@ -73,7 +73,7 @@
     if (split == std::string_view::npos) {
         return {};
     }
-    return {read_ids(bytes.substr(0, split)), read_ids(bytes.substr(split + 1))};
+    return {parse_ids(bytes.substr(0, split)), parse_ids(bytes.substr(split + 1))};
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/consensus/raft_message.h
+++ b/poplarpitch/consensus/raft_message.h
@@ -11,13 +11,13 @@
 /// Kinds of messages between nodes of the replicated log.
 enum class raft_message_type : std::uint8_t {
     pre_vote_request = 1,
-    pre_vote_answer,
+    pre_vote_response,
     vote_request,
-    vote_answer,
+    vote_response,
     append_request, ///< also the heartbeat, when it has no entries
-    append_answer,
+    append_response,
     snapshot_request, ///< one chunk of a snapshot
-    snapshot_answer,
+    snapshot_response,
     timeout_now, ///< asks the receiver to stand for election at once (leadership transfer)
 };
 
--- a/poplarpitch/consensus/raft_node.cpp
+++ b/poplarpitch/consensus/raft_node.cpp
@@ -40,7 +40,7 @@
             return;
         }
         if (now >= m_next_heartbeat) {
-            resend_lost();
+            rewind_stalled_followers();
             start_round(now);
         }
         return;
@@ -77,12 +77,12 @@
     case raft_message_type::vote_request:
         on_vote_request(message, now);
         return;
-    case raft_message_type::pre_vote_answer:
+    case raft_message_type::pre_vote_response:
         if (message.reject && message.term > m_state.term) {
             become_follower(message.term, 0, now);
             return;
         }
-        on_vote_answer(message, now);
+        on_vote_response(message, now);
         return;
     default:
         break;
@@ -91,20 +91,20 @@
         become_follower(message.term, 0, now);
     }
     switch (message.type) {
-    case raft_message_type::vote_answer:
-        on_vote_answer(message, now);
+    case raft_message_type::vote_response:
+        on_vote_response(message, now);
         break;
     case raft_message_type::append_request:
         on_append_request(message, now);
         break;
-    case raft_message_type::append_answer:
-        on_append_answer(message, now);
+    case raft_message_type::append_response:
+        on_append_response(message, now);
         break;
     case raft_message_type::snapshot_request:
         on_snapshot_request(message, now);
         break;
-    case raft_message_type::snapshot_answer:
-        on_snapshot_answer(message, now);
+    case raft_message_type::snapshot_response:
+        on_snapshot_response(message, now);
         break;
     case raft_message_type::timeout_now:
         if (message.term == m_state.term && m_members.is_voter(m_id) && m_role != raft_role::leader) {
@@ -136,7 +136,7 @@
 }
 
 bool raft_node::has_own_commit() const {
-    return m_role == raft_role::leader && m_commit >= m_own_first;
+    return m_role == raft_role::leader && m_commit >= m_term_first_index;
 }
 
 bool raft_node::has_lease(time_point now) const {
@@ -168,11 +168,11 @@
     }
     m_transfer_target = id;
     m_transfer_deadline = now + m_settings.transfer_timeout;
-    check_transfer(id, found->second);
+    continue_transfer(id, found->second);
     return boost::outcome_v2::success();
 }
 
-void raft_node::check_transfer(node_id from, const raft_progress& progress) {
+void raft_node::continue_transfer(node_id from, const raft_progress& progress) {
     if (m_transfer_target == from && progress.match == m_log.get_last_index()) {
         m_output.messages.push_back(make_message(raft_message_type::timeout_now, from));
     }
--- a/poplarpitch/consensus/raft_node.h
+++ b/poplarpitch/consensus/raft_node.h
@@ -96,7 +96,7 @@
     void become_leader(time_point now);
     void send_vote_requests(raft_message_type type, log_term term, bool is_forced);
     void on_vote_request(const raft_message& message, time_point now);
-    void on_vote_answer(const raft_message& message, time_point now);
+    void on_vote_response(const raft_message& message, time_point now);
     void set_term(log_term term, node_id vote);
     [[nodiscard]] bool is_log_complete(const raft_message& message) const;
     [[nodiscard]] bool has_recent_leader(time_point now) const;
@@ -105,29 +105,29 @@
     /// Takes the sender as the leader of this term and starts the election timer anew.
     void follow_leader(const raft_message& message, time_point now);
     /// Notes that a follower answered; returns its progress, or null when the answer does not count.
-    raft_progress* take_answer(const raft_message& message, time_point now);
+    raft_progress* record_response(const raft_message& message, time_point now);
     void on_append_request(const raft_message& message, time_point now);
-    void on_append_answer(const raft_message& message, time_point now);
+    void on_append_response(const raft_message& message, time_point now);
     void on_snapshot_request(const raft_message& message, time_point now);
-    void on_snapshot_answer(const raft_message& message, time_point now);
+    void on_snapshot_response(const raft_message& message, time_point now);
     void store_entries(const std::vector<log_entry>& entries);
     void truncate(log_index index);
-    void append_own(entry_kind kind, std::string payload);
+    void append_entry(entry_kind kind, std::string payload);
     void start_round(time_point now);
     void send_append(node_id to, raft_progress& progress);
     /// Goes back to what is known to match where nothing was confirmed since the last heartbeat.
-    void resend_lost();
+    void rewind_stalled_followers();
     void send_snapshot_chunk(node_id to, raft_progress& progress);
     void send_pending(node_id to, raft_progress& progress);
     void advance_commit();
     void set_commit(log_index index);
     void confirm_rounds();
-    void check_transfer(node_id from, const raft_progress& progress);
+    void continue_transfer(node_id from, const raft_progress& progress);
 
     // membership
     result<log_index> change_membership(const raft_membership& next, time_point now);
     void refresh_membership();
-    void sync_progress();
+    void reconcile_progress();
 
     [[nodiscard]] std::size_t get_quorum() const;
     [[nodiscard]] raft_message make_message(raft_message_type type, node_id to) const;
@@ -165,7 +165,7 @@
     std::size_t m_uncommitted_bytes = 0;
     node_id m_transfer_target = 0;
     time_point m_transfer_deadline{};
-    log_index m_own_first = 0; ///< index of the entry that opened this leader's term
+    log_index m_term_first_index = 0; ///< index of the entry that opened this leader's term
 
     std::string m_incoming; ///< snapshot being received
     log_index m_incoming_index = 0;
--- a/poplarpitch/consensus/raft_node_election.cpp
+++ b/poplarpitch/consensus/raft_node_election.cpp
@@ -60,37 +60,37 @@
 }
 
 void raft_node::on_vote_request(const raft_message& message, time_point now) {
-    const bool is_pre = message.type == raft_message_type::pre_vote_request;
-    const auto type = is_pre ? raft_message_type::pre_vote_answer : raft_message_type::vote_answer;
-    auto answer = make_message(type, message.from);
-    answer.reject = true;
+    const bool is_pre_vote = message.type == raft_message_type::pre_vote_request;
+    const auto type = is_pre_vote ? raft_message_type::pre_vote_response : raft_message_type::vote_response;
+    auto response = make_message(type, message.from);
+    response.reject = true;
     const bool is_blocked = !message.forced && has_recent_leader(now);
     if (is_blocked || message.term < m_state.term) {
-        m_output.messages.push_back(std::move(answer));
+        m_output.messages.push_back(std::move(response));
         return;
     }
-    if (is_pre) {
-        answer.reject = message.term <= m_state.term || !is_log_complete(message);
-        answer.term = answer.reject ? m_state.term : message.term;
-        m_output.messages.push_back(std::move(answer));
+    if (is_pre_vote) {
+        response.reject = message.term <= m_state.term || !is_log_complete(message);
+        response.term = response.reject ? m_state.term : message.term;
+        m_output.messages.push_back(std::move(response));
         return;
     }
     if (message.term > m_state.term) {
         become_follower(message.term, 0, now);
     }
-    const bool is_free = m_state.vote == 0 || m_state.vote == message.from || !m_rules.one_vote_per_term;
-    if (is_free && m_role == raft_role::follower && is_log_complete(message)) {
+    const bool can_vote = m_state.vote == 0 || m_state.vote == message.from || !m_rules.one_vote_per_term;
+    if (can_vote && m_role == raft_role::follower && is_log_complete(message)) {
         set_term(m_state.term, message.from);
         reset_election_timer(now);
-        answer.reject = false;
+        response.reject = false;
     }
-    answer.term = m_state.term;
-    m_output.messages.push_back(std::move(answer));
+    response.term = m_state.term;
+    m_output.messages.push_back(std::move(response));
 }
 
-void raft_node::on_vote_answer(const raft_message& message, time_point now) {
-    const bool is_pre = message.type == raft_message_type::pre_vote_answer;
-    if (is_pre) {
+void raft_node::on_vote_response(const raft_message& message, time_point now) {
+    const bool is_pre_vote = message.type == raft_message_type::pre_vote_response;
+    if (is_pre_vote) {
         if (m_role != raft_role::pre_candidate || message.reject || message.term != m_state.term + 1) {
             return;
         }
@@ -104,7 +104,7 @@
     if (m_votes.size() < get_quorum()) {
         return;
     }
-    if (is_pre) {
+    if (is_pre_vote) {
         start_election(now, false);
     } else {
         become_leader(now);
@@ -137,19 +137,19 @@
     m_uncommitted_bytes = 0;
     m_reads.clear();
     m_progress.clear();
-    sync_progress();
+    reconcile_progress();
     // The round counter goes on over terms, so that an answer to an older term's round never counts.
     m_confirmed_round = m_round;
     m_round_times.clear();
     m_quorum_contact = now;
-    m_own_first = m_log.get_last_index() + 1;
+    m_term_first_index = m_log.get_last_index() + 1;
     if (m_log.get_last_index() == 0) {
         // The first entry of a new cluster names its members, so that every later node learns them from the
         // log.
         m_members_index = 1;
-        append_own(entry_kind::membership, m_members.encode());
+        append_entry(entry_kind::membership, m_members.encode());
     } else {
-        append_own(entry_kind::none, {});
+        append_entry(entry_kind::none, {});
     }
     start_round(now);
 }
--- a/poplarpitch/consensus/raft_node_follower.cpp
+++ b/poplarpitch/consensus/raft_node_follower.cpp
@@ -17,19 +17,19 @@
 }
 
 void raft_node::on_append_request(const raft_message& message, time_point now) {
-    auto answer = make_message(raft_message_type::append_answer, message.from);
-    answer.round = message.round;
+    auto response = make_message(raft_message_type::append_response, message.from);
+    response.round = message.round;
     if (message.term < m_state.term) {
-        answer.reject = true;
-        m_output.messages.push_back(std::move(answer));
+        response.reject = true;
+        m_output.messages.push_back(std::move(response));
         return;
     }
     follow_leader(message, now);
 
     // 1. What the snapshot or the commit index already covers matches by definition.
     if (message.index < m_log.get_base_index()) {
-        answer.index = m_commit;
-        m_output.messages.push_back(std::move(answer));
+        response.index = m_commit;
+        m_output.messages.push_back(std::move(response));
         return;
     }
     // 2. The entry before the new ones must be the leader's.
@@ -37,22 +37,22 @@
     const bool is_match =
         previous.has_value() && (*previous == message.index_term || !m_rules.append_checks_previous);
     if (!is_match) {
-        answer.reject = true;
+        response.reject = true;
         // Skip the whole conflicting term at once, but never below what is committed.
         auto hint = std::min(message.index == 0 ? 0 : message.index - 1, m_log.get_last_index());
         while (hint > m_commit && previous.has_value() && m_log.find_term(hint) == previous) {
             --hint;
         }
-        answer.index = hint;
-        m_output.messages.push_back(std::move(answer));
+        response.index = hint;
+        m_output.messages.push_back(std::move(response));
         return;
     }
     // 3. Store what is new, and follow the leader's commit index as far as this message vouches for.
     store_entries(message.entries);
-    const auto vouched = message.index + message.entries.size();
-    answer.index = vouched;
-    set_commit(std::min<log_index>(message.commit, vouched));
-    m_output.messages.push_back(std::move(answer));
+    const auto last_verified = message.index + message.entries.size();
+    response.index = last_verified;
+    set_commit(std::min<log_index>(message.commit, last_verified));
+    m_output.messages.push_back(std::move(response));
 }
 
 void raft_node::store_entries(const std::vector<log_entry>& entries) {
@@ -90,18 +90,18 @@
 
 void raft_node::on_snapshot_request(const raft_message& message, time_point now) {
     if (message.term < m_state.term) {
-        auto answer = make_message(raft_message_type::snapshot_answer, message.from);
-        answer.reject = true;
-        m_output.messages.push_back(std::move(answer));
+        auto response = make_message(raft_message_type::snapshot_response, message.from);
+        response.reject = true;
+        m_output.messages.push_back(std::move(response));
         return;
     }
     follow_leader(message, now);
-    auto answer = make_message(raft_message_type::snapshot_answer, message.from);
-    answer.index = message.index;
-    answer.round = message.round;
+    auto response = make_message(raft_message_type::snapshot_response, message.from);
+    response.index = message.index;
+    response.round = message.round;
     if (message.index <= m_commit) {
-        answer.last = true;
-        m_output.messages.push_back(std::move(answer));
+        response.last = true;
+        m_output.messages.push_back(std::move(response));
         return;
     }
     if (m_incoming_index != message.index || m_incoming_term != message.index_term || message.offset == 0) {
@@ -126,13 +126,13 @@
             m_output.committed.clear();
             m_output.truncate_from = 0;
             m_output.install = std::move(snapshot);
-            answer.last = true;
-            m_output.messages.push_back(std::move(answer));
+            response.last = true;
+            m_output.messages.push_back(std::move(response));
             return;
         }
     }
-    answer.offset = m_incoming.size();
-    m_output.messages.push_back(std::move(answer));
+    response.offset = m_incoming.size();
+    m_output.messages.push_back(std::move(response));
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/consensus/raft_node_leader.cpp
+++ b/poplarpitch/consensus/raft_node_leader.cpp
@@ -22,11 +22,11 @@
     }
     static_cast<void>(now);
     m_uncommitted_bytes += payload.size();
-    append_own(entry_kind::command, std::move(payload));
+    append_entry(entry_kind::command, std::move(payload));
     return m_log.get_last_index();
 }
 
-void raft_node::append_own(entry_kind kind, std::string payload) {
+void raft_node::append_entry(entry_kind kind, std::string payload) {
     log_entry entry{m_log.get_last_index() + 1, m_state.term, kind, std::move(payload)};
     m_output.entries.push_back(entry);
     m_log.append(std::move(entry));
@@ -43,7 +43,7 @@
     confirm_rounds();
 }
 
-void raft_node::resend_lost() {
+void raft_node::rewind_stalled_followers() {
     for (auto& [id, progress] : m_progress) {
         if (progress.match == progress.last_round_match && progress.next > progress.match + 1) {
             progress.inflight = 0;
@@ -97,7 +97,7 @@
     m_output.messages.push_back(std::move(request));
 }
 
-raft_progress* raft_node::take_answer(const raft_message& message, time_point now) {
+raft_progress* raft_node::record_response(const raft_message& message, time_point now) {
     const auto found = m_progress.find(message.from);
     if (m_role != raft_role::leader || message.term != m_state.term || found == m_progress.end()) {
         return nullptr;
@@ -108,12 +108,12 @@
     return &found->second;
 }
 
-void raft_node::on_append_answer(const raft_message& message, time_point now) {
-    auto* answered = take_answer(message, now);
-    if (answered == nullptr) {
+void raft_node::on_append_response(const raft_message& message, time_point now) {
+    auto* follower = record_response(message, now);
+    if (follower == nullptr) {
         return;
     }
-    auto& progress = *answered;
+    auto& progress = *follower;
     progress.inflight = progress.inflight > 0 ? progress.inflight - 1 : 0;
     if (message.reject) {
         if (message.index < progress.match) {
@@ -133,16 +133,16 @@
         advance_commit();
     }
     progress.next = std::max(progress.next, progress.match + 1);
-    check_transfer(message.from, progress);
+    continue_transfer(message.from, progress);
     send_pending(message.from, progress);
 }
 
-void raft_node::on_snapshot_answer(const raft_message& message, time_point now) {
-    auto* answered = take_answer(message, now);
-    if (answered == nullptr) {
+void raft_node::on_snapshot_response(const raft_message& message, time_point now) {
+    auto* follower = record_response(message, now);
+    if (follower == nullptr) {
         return;
     }
-    auto& progress = *answered;
+    auto& progress = *follower;
     if (message.reject || !progress.is_sending_snapshot || message.index != progress.snapshot_index) {
         return;
     }
@@ -180,8 +180,8 @@
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const auto candidate = matches[get_quorum() - 1];
-    const bool is_own = m_log.find_term(candidate) == m_state.term || !m_rules.commit_needs_own_term;
-    if (candidate > m_commit && is_own) {
+    const bool is_current_term = m_log.find_term(candidate) == m_state.term || !m_rules.commit_needs_own_term;
+    if (candidate > m_commit && is_current_term) {
         set_commit(candidate);
     }
 }
--- a/poplarpitch/consensus/raft_node_membership.cpp
+++ b/poplarpitch/consensus/raft_node_membership.cpp
@@ -48,7 +48,7 @@
         return make_error_code(consensus_errc::transfer_in_progress);
     }
     if (m_rules.membership_needs_own_term && !has_own_commit()) {
-        return make_error_code(consensus_errc::no_own_commit);
+        return make_error_code(consensus_errc::no_commit_in_term);
     }
     if (m_rules.one_membership_change && m_members_index > m_commit) {
         return make_error_code(consensus_errc::change_in_progress);
@@ -58,7 +58,7 @@
     m_members_index = entry.index;
     m_output.entries.push_back(entry);
     m_log.append(std::move(entry));
-    sync_progress();
+    reconcile_progress();
     advance_commit();
     if (m_role == raft_role::leader) {
         start_round(now);
@@ -79,7 +79,7 @@
     }
 }
 
-void raft_node::sync_progress() {
+void raft_node::reconcile_progress() {
     std::erase_if(m_progress, [&](const auto& item) { return !m_members.has(item.first); });
     const auto add = [&](node_id id) {
         if (id != m_id && !m_progress.contains(id)) {
--- a/unit_tests/consensus/early_messages_test.cpp
+++ b/unit_tests/consensus/early_messages_test.cpp
@@ -25,9 +25,9 @@
 }
 
 TEST(early_messages, keeps_answers_and_votes_until_what_they_promise_is_on_disk) {
-    for (const auto type : {raft_message_type::append_answer, raft_message_type::vote_answer,
-                            raft_message_type::vote_request, raft_message_type::pre_vote_answer,
-                            raft_message_type::snapshot_answer, raft_message_type::timeout_now}) {
+    for (const auto type : {raft_message_type::append_response, raft_message_type::vote_response,
+                            raft_message_type::vote_request, raft_message_type::pre_vote_response,
+                            raft_message_type::snapshot_response, raft_message_type::timeout_now}) {
         EXPECT_FALSE(may_send_before_sync(make_output(), make_message(type)));
     }
 }
--- a/unit_tests/consensus/raft_node_test.cpp
+++ b/unit_tests/consensus/raft_node_test.cpp
@@ -101,17 +101,17 @@
     run(seconds{2});
     const auto leader = find_leader();
     const auto term = m_nodes[leader]->get_term();
-    const node_id away = leader == 1 ? 2 : 1;
+    const node_id isolated = leader == 1 ? 2 : 1;
     // It hears nobody for long and asks for votes all the while; nothing of that reaches the others.
     for (int index = 0; index < 1000; ++index) {
         m_now += milliseconds{10};
         for (auto& [id, node] : m_nodes) {
             node->tick(m_now);
         }
-        m_down = away;
+        m_down = isolated;
         exchange();
     }
-    EXPECT_EQ(m_nodes[away]->get_term(), term); // pre-vote: no term was burned
+    EXPECT_EQ(m_nodes[isolated]->get_term(), term); // pre-vote: no term was burned
     m_down = 0;
     run(seconds{1});
     EXPECT_EQ(find_leader(), leader);
@@ -168,8 +168,8 @@
 TEST_F(raft_trio, sends_a_snapshot_in_chunks_to_a_follower_far_behind) {
     run(seconds{2});
     const auto leader = find_leader();
-    const node_id away = leader == 1 ? 2 : 1;
-    m_down = away;
+    const node_id isolated = leader == 1 ? 2 : 1;
+    m_down = isolated;
     for (int index = 0; index < 50; ++index) {
         ASSERT_TRUE(m_nodes[leader]->propose("entry", m_now));
         run(milliseconds{20});
@@ -179,9 +179,9 @@
     node.compact({node.get_commit(), node.get_term(), node.get_membership(), data}, 0);
     m_down = 0;
     run(seconds{1});
-    EXPECT_EQ(m_nodes[away]->get_commit(), node.get_commit());
-    ASSERT_NE(m_nodes[away]->get_snapshot().data, nullptr);
-    EXPECT_EQ(*m_nodes[away]->get_snapshot().data, *data);
+    EXPECT_EQ(m_nodes[isolated]->get_commit(), node.get_commit());
+    ASSERT_NE(m_nodes[isolated]->get_snapshot().data, nullptr);
+    EXPECT_EQ(*m_nodes[isolated]->get_snapshot().data, *data);
 }
 
 } // namespace
--- a/unit_tests/consensus/raft_scenarios_test.cpp
+++ b/unit_tests/consensus/raft_scenarios_test.cpp
@@ -7,18 +7,18 @@
 
 using side = split_cluster::side;
 
-side without(side those, node_id id) {
-    those.erase(id);
-    return those;
+side without(side nodes, node_id id) {
+    nodes.erase(id);
+    return nodes;
 }
 
 /// Runs until somebody leads, and returns it before it could send anything.
-raft_node& elect(split_cluster& cluster, const side& those, log_term above) {
-    EXPECT_TRUE(cluster.run_until(those, [&] {
-        const auto* leader = cluster.find_leader(those);
+raft_node& elect(split_cluster& cluster, const side& nodes, log_term above) {
+    EXPECT_TRUE(cluster.run_until(nodes, [&] {
+        const auto* leader = cluster.find_leader(nodes);
         return leader != nullptr && leader->get_term() > above;
     }));
-    return *cluster.find_leader(those);
+    return *cluster.find_leader(nodes);
 }
 
 /// A cut-off leader adds two nodes of its side while the other founders elect a leader of theirs.
@@ -53,17 +53,17 @@
     cluster.run(all, seconds{2});
     // 1. The first leader brings its entry to one follower only.
     auto& first = *cluster.find_leader(all);
-    const auto helper = first.get_id() == 1 ? node_id{2} : node_id{1};
+    const auto follower = first.get_id() == 1 ? node_id{2} : node_id{1};
     const auto index = first.propose("contested", cluster.get_now()).value();
-    cluster.run_until({first.get_id(), helper},
-                      [&] { return cluster.get(helper).get_log().get_last_index() == index; });
+    cluster.run_until({first.get_id(), follower},
+                      [&] { return cluster.get(follower).get_log().get_last_index() == index; });
     // 2. The others elect a leader, which writes an entry of its own at that index and is cut off.
-    const auto others = without(without(all, first.get_id()), helper);
+    const auto others = without(without(all, first.get_id()), follower);
     auto& second = elect(cluster, others, first.get_term());
     cluster.cut_off(second.get_id());
     const auto rest = without(others, second.get_id());
     // 3. The entry of the first term reaches a third node, but nothing of the newest term does.
-    const side majority = {first.get_id(), helper, *rest.begin()};
+    const side majority = {first.get_id(), follower, *rest.begin()};
     auto& third = cluster.get(*rest.begin());
     EXPECT_TRUE(cluster.run_until(majority, [&] { return third.get_log().get_last_index() == index; }));
     cluster.run(majority, milliseconds{10}); // its answer
@@ -119,15 +119,15 @@
     const side all = {1, 2, 3};
     cluster.run(all, seconds{2});
     auto& leader = *cluster.find_leader(all);
-    const auto gone = leader.get_id() == 3 ? node_id{2} : node_id{3};
-    const auto rest = without(all, gone);
-    EXPECT_TRUE(leader.remove(gone, cluster.get_now()));
-    cluster.run_apart({rest, {gone}}, seconds{30}); // it waits behind the partition, and raises no term
+    const auto removed = leader.get_id() == 3 ? node_id{2} : node_id{3};
+    const auto rest = without(all, removed);
+    EXPECT_TRUE(leader.remove(removed, cluster.get_now()));
+    cluster.run_apart({rest, {removed}}, seconds{30}); // it waits behind the partition, and raises no term
     const auto term = leader.get_term();
     cluster.run(all, seconds{5});
     EXPECT_EQ(leader.get_role(), raft_role::leader);
     EXPECT_EQ(leader.get_term(), term);
-    EXPECT_FALSE(leader.get_membership().is_voter(gone));
+    EXPECT_FALSE(leader.get_membership().is_voter(removed));
     EXPECT_FALSE(cluster.is_split());
 }
 
@@ -156,7 +156,7 @@
     auto& leader = *cluster.find_leader(founders);
     const auto lost = leader.get_id() == 3 ? node_id{2} : node_id{3};
     const auto rest = without(founders, lost);
-    const auto kept = *without(rest, leader.get_id()).begin();
+    const auto survivor = *without(rest, leader.get_id()).begin();
     // The repair: the lost one goes, a spare learns the log and votes in its place.
     EXPECT_TRUE(leader.remove(lost, cluster.get_now()));
     cluster.run(rest, milliseconds{200});
@@ -170,11 +170,11 @@
     cluster.run(repaired, milliseconds{200});
     EXPECT_TRUE(cluster.has_committed(index));
     // At once the leader is lost too, and the spare and the other founder go on with everything.
-    const side left = {kept, 4};
-    auto& next = elect(cluster, left, leader.get_term());
-    cluster.run(left, milliseconds{500});
+    const side survivors = {survivor, 4};
+    auto& next = elect(cluster, survivors, leader.get_term());
+    cluster.run(survivors, milliseconds{500});
     EXPECT_TRUE(next.propose("after", cluster.get_now()));
-    cluster.run(left, milliseconds{500});
+    cluster.run(survivors, milliseconds{500});
     EXPECT_TRUE(cluster.has_committed(next.get_log().get_last_index()));
     EXPECT_FALSE(cluster.is_split());
 }
