--- a/poplarpitch/storage/frame_codec.cpp
+++ b/poplarpitch/storage/frame_codec.cpp
@@ -49,14 +49,14 @@
     return {payload, offset + header_size + length, true};
 }
 
-bool has_frame_behind(std::string_view file, std::uint64_t offset) {
+bool has_frame_after(std::string_view file, std::uint64_t offset) {
     const std::string_view pattern(reinterpret_cast<const char*>(&magic), sizeof(magic));
-    auto place = file.find(pattern, offset + 1);
-    while (place != std::string_view::npos) {
-        if (decode_frame(file, place).is_valid) {
+    auto position = file.find(pattern, offset + 1);
+    while (position != std::string_view::npos) {
+        if (decode_frame(file, position).is_valid) {
             return true;
         }
-        place = file.find(pattern, place + 1);
+        position = file.find(pattern, position + 1);
     }
     return false;
 }
--- a/poplarpitch/storage/frame_codec.h
+++ b/poplarpitch/storage/frame_codec.h
@@ -24,6 +24,6 @@
 /// Returns true when a valid frame starts anywhere behind `offset`. It tells corruption in the middle of a
 /// file from a torn end: only the last frame can be torn, because each is synced before the next is written.
 /// Thread safety: any thread.
-[[nodiscard]] bool has_frame_behind(std::string_view file, std::uint64_t offset);
+[[nodiscard]] bool has_frame_after(std::string_view file, std::uint64_t offset);
 
 } // namespace poplarpitch
--- a/poplarpitch/storage/posix_file_system.cpp
+++ b/poplarpitch/storage/posix_file_system.cpp
@@ -18,7 +18,7 @@
 constexpr int file_mode = 0640;
 constexpr std::size_t read_size = 1 << 20;
 
-std::error_code make_last_error() {
+std::error_code make_errno_error() {
     if (errno == ENOSPC || errno == EDQUOT) {
         return make_error_code(storage_errc::no_space);
     }
@@ -65,7 +65,7 @@
 result<std::vector<std::string>> posix_file_system::list() {
     DIR* folder = ::opendir(m_folder.c_str());
     if (folder == nullptr) {
-        return make_last_error();
+        return make_errno_error();
     }
     std::vector<std::string> names;
     while (const dirent* item = ::readdir(folder)) { // NOLINT(concurrency-mt-unsafe): own stream
@@ -82,7 +82,7 @@
 result<std::string> posix_file_system::read(const std::string& name) {
     const int descriptor = ::open(get_path(name).c_str(), O_RDONLY | O_CLOEXEC);
     if (descriptor < 0) {
-        return make_last_error();
+        return make_errno_error();
     }
     std::string bytes;
     while (true) {
@@ -91,7 +91,7 @@
         const auto count = ::read(descriptor, bytes.data() + old_size, read_size);
         bytes.resize(old_size + static_cast<std::size_t>(std::max<ssize_t>(count, 0)));
         if (count < 0 && errno != EINTR) {
-            const auto error = make_last_error();
+            const auto error = make_errno_error();
             ::close(descriptor);
             return error;
         }
@@ -111,7 +111,7 @@
     const int descriptor =
         ::open(get_path(name).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, file_mode);
     if (descriptor < 0) {
-        return make_last_error();
+        return make_errno_error();
     }
     m_open.emplace(name, descriptor);
     return descriptor;
@@ -129,7 +129,7 @@
     BOOST_OUTCOME_TRY(descriptor, open_for_append(name));
     struct stat before {};
     if (::fstat(descriptor, &before) != 0) {
-        return make_last_error();
+        return make_errno_error();
     }
     std::size_t written = 0;
     while (written < bytes.size()) {
@@ -138,7 +138,7 @@
             continue;
         }
         if (count <= 0) {
-            const auto error = make_last_error();
+            const auto error = make_errno_error();
             // Half a record must not stand in front of the next one.
             if (::ftruncate(descriptor, before.st_size) != 0) {
                 return make_error_code(storage_errc::sync_failed);
@@ -153,7 +153,7 @@
 result<void> posix_file_system::truncate(const std::string& name, std::uint64_t size) {
     BOOST_OUTCOME_TRY(descriptor, open_for_append(name));
     if (::ftruncate(descriptor, static_cast<off_t>(size)) != 0) {
-        return make_last_error();
+        return make_errno_error();
     }
     return boost::outcome_v2::success();
 }
@@ -169,7 +169,7 @@
 result<void> posix_file_system::sync_folder() {
     const int descriptor = ::open(m_folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (descriptor < 0) {
-        return make_last_error();
+        return make_errno_error();
     }
     const int status = ::fsync(descriptor);
     ::close(descriptor);
@@ -183,7 +183,7 @@
     close_file(from);
     close_file(to);
     if (::rename(get_path(from).c_str(), get_path(to).c_str()) != 0) {
-        return make_last_error();
+        return make_errno_error();
     }
     return boost::outcome_v2::success();
 }
@@ -191,7 +191,7 @@
 result<void> posix_file_system::remove(const std::string& name) {
     close_file(name);
     if (::unlink(get_path(name).c_str()) != 0 && errno != ENOENT) {
-        return make_last_error();
+        return make_errno_error();
     }
     return boost::outcome_v2::success();
 }
--- a/poplarpitch/storage/raft_storage.h
+++ b/poplarpitch/storage/raft_storage.h
@@ -34,7 +34,7 @@
     result<void> save(const raft_output& output);
     /// Stores a snapshot and starts a new segment with `rest`, the entries behind it.
     result<void> save_snapshot(const raft_snapshot& snapshot, const hard_state& state,
-                               const std::vector<log_entry>& rest);
+                               const std::vector<log_entry>& tail);
 
     /// Returns where the last error was found: file and offset, for logs.
     [[nodiscard]] const std::string& get_error_place() const { return m_error_place; }
@@ -46,12 +46,12 @@
 private:
     result<void> read_snapshot(stored_state& state);
     /// Cuts the log to what follows the snapshot. Returns true when a new segment must say so on disk.
-    bool join_snapshot(stored_state& state);
+    bool trim_log_to_snapshot(stored_state& state);
     result<void> read_segment(const std::string& name, bool is_last, stored_state& state);
     result<void> apply_frame(const std::string& name, std::uint64_t offset, std::string_view payload,
                              stored_state& state);
     result<void> start_segment(const raft_snapshot& snapshot, const hard_state& state,
-                               const std::vector<log_entry>& rest);
+                               const std::vector<log_entry>& tail);
     result<void> write_frame(const std::string& name, std::string_view payload);
     result<void> write_snapshot_file(const raft_snapshot& snapshot);
     result<void> remove_old_segments();
--- a/poplarpitch/storage/raft_storage_impl.h
+++ b/poplarpitch/storage/raft_storage_impl.h
@@ -73,7 +73,7 @@
         static_cast<void>(
             absl::SimpleAtoi(name.substr(std::string_view(segment_prefix).size()), &m_segment_number));
     }
-    if (join_snapshot(state) || m_segment.empty()) {
+    if (trim_log_to_snapshot(state) || m_segment.empty()) {
         BOOST_OUTCOME_TRY(start_segment(state.snapshot, state.state, state.entries));
         BOOST_OUTCOME_TRY(remove_old_segments());
     }
@@ -81,7 +81,7 @@
 }
 
 template <file_system FileSystem>
-bool raft_storage<FileSystem>::join_snapshot(stored_state& state) {
+bool raft_storage<FileSystem>::trim_log_to_snapshot(stored_state& state) {
     const auto& snapshot = state.snapshot;
     if (snapshot.index == m_base_index && snapshot.term == m_base_term) {
         return false;
@@ -89,9 +89,9 @@
     // A crash came between the snapshot and the new segment. The log may go on behind the snapshot only where
     // it holds the snapshot's last entry itself; otherwise what stands behind may be of a deposed leader, and
     // a low last term would let this node vote for a log that lacks committed entries.
-    const bool is_held =
+    const bool is_in_log =
         snapshot.index > m_base_index && snapshot.index - m_base_index <= state.entries.size();
-    if (is_held && state.entries[snapshot.index - m_base_index - 1].term == snapshot.term) {
+    if (is_in_log && state.entries[snapshot.index - m_base_index - 1].term == snapshot.term) {
         const auto count = static_cast<std::ptrdiff_t>(snapshot.index - m_base_index);
         state.entries.erase(state.entries.begin(), state.entries.begin() + count);
     } else {
@@ -149,7 +149,7 @@
     while (offset < bytes.size()) {
         const auto frame = decode_frame(bytes, offset);
         if (!frame.is_valid) {
-            if (!is_last || has_frame_behind(bytes, offset)) {
+            if (!is_last || has_frame_after(bytes, offset)) {
                 m_error_place = absl::StrCat(name, " at offset ", offset);
                 return make_error_code(storage_errc::corrupt);
             }
@@ -260,15 +260,15 @@
 
 template <file_system FileSystem>
 result<void> raft_storage<FileSystem>::save_snapshot(const raft_snapshot& snapshot, const hard_state& state,
-                                                     const std::vector<log_entry>& rest) {
+                                                     const std::vector<log_entry>& tail) {
     BOOST_OUTCOME_TRY(write_snapshot_file(snapshot));
-    BOOST_OUTCOME_TRY(start_segment(snapshot, state, rest));
+    BOOST_OUTCOME_TRY(start_segment(snapshot, state, tail));
     return remove_old_segments();
 }
 
 template <file_system FileSystem>
 result<void> raft_storage<FileSystem>::start_segment(const raft_snapshot& snapshot, const hard_state& state,
-                                                     const std::vector<log_entry>& rest) {
+                                                     const std::vector<log_entry>& tail) {
     // The first frame repeats all that older segments hold, so they may go once it is synced.
     ++m_segment_number;
     const auto name = absl::StrFormat("%s%012d", segment_prefix, m_segment_number);
@@ -280,7 +280,7 @@
     frame.set_reset_index(snapshot.index);
     frame.set_reset_term(snapshot.term);
     frame.set_truncate_from(snapshot.index + 1);
-    for (const auto& entry : rest) {
+    for (const auto& entry : tail) {
         encode(entry, *frame.add_entries());
     }
     m_segment_bytes = 0;
--- a/unit_tests/storage/raft_storage_test.cpp
+++ b/unit_tests/storage/raft_storage_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using memory_storage = raft_storage<memory_file_system>;
-const storage_settings own{"ring", 1};
+const storage_settings own_settings{"ring", 1};
 
 raft_output make_entries(log_index first, int count, log_term term) {
     raft_output output;
@@ -27,16 +27,16 @@
 
 TEST(raft_storage, keeps_what_was_saved) {
     memory_file_system files;
-    memory_storage storage(files, own);
+    memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open().value().is_blank);
     ASSERT_TRUE(storage.form({{1, 2, 3}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 3, 1)));
-    raft_output cut;
-    cut.truncate_from = 3;
-    cut.entries = {{3, 2, entry_kind::command, "other"}};
-    ASSERT_TRUE(storage.save(cut));
-    memory_storage again(files, own);
-    const auto state = again.open().value();
+    raft_output truncation;
+    truncation.truncate_from = 3;
+    truncation.entries = {{3, 2, entry_kind::command, "other"}};
+    ASSERT_TRUE(storage.save(truncation));
+    memory_storage reopened(files, own_settings);
+    const auto state = reopened.open().value();
     EXPECT_FALSE(state.is_blank);
     EXPECT_EQ(state.initial.voters, (std::vector<node_id>{1, 2, 3}));
     ASSERT_EQ(state.entries.size(), 3U);
@@ -46,74 +46,74 @@
 
 TEST(raft_storage, cuts_a_torn_end_and_goes_on) {
     memory_file_system files;
-    memory_storage storage(files, own);
+    memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
     ASSERT_TRUE(storage.form({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
-    const auto whole = files.get_files()["log-000000000001"].size();
+    const auto intact_size = files.get_files()["log-000000000001"].size();
     ASSERT_TRUE(storage.save(make_entries(3, 2, 1)));
-    files.get_files()["log-000000000001"].resize(whole + 11);
-    memory_storage again(files, own);
-    const auto state = again.open().value();
+    files.get_files()["log-000000000001"].resize(intact_size + 11);
+    memory_storage reopened(files, own_settings);
+    const auto state = reopened.open().value();
     EXPECT_EQ(state.entries.size(), 2U);
     EXPECT_EQ(state.cut_bytes, 11U);
-    ASSERT_TRUE(again.save(make_entries(3, 1, 1)));
-    memory_storage third(files, own);
+    ASSERT_TRUE(reopened.save(make_entries(3, 1, 1)));
+    memory_storage third(files, own_settings);
     EXPECT_EQ(third.open().value().entries.size(), 3U);
 }
 
 TEST(raft_storage, refuses_corruption_with_its_place) {
     memory_file_system files;
-    memory_storage storage(files, own);
+    memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
     ASSERT_TRUE(storage.form({{1}, {}}));
     const auto first_end = files.get_files()["log-000000000001"].size();
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     ASSERT_TRUE(storage.save(make_entries(3, 2, 1)));
     files.get_files()["log-000000000001"][first_end + 20] ^= 1;
-    memory_storage again(files, own);
-    EXPECT_EQ(again.open().error(), make_error_code(storage_errc::corrupt));
-    EXPECT_EQ(again.get_error_place(), "log-000000000001 at offset " + std::to_string(first_end));
+    memory_storage reopened(files, own_settings);
+    EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt));
+    EXPECT_EQ(reopened.get_error_place(), "log-000000000001 at offset " + std::to_string(first_end));
 }
 
 TEST(raft_storage, refuses_a_corrupt_snapshot_with_its_place) {
     memory_file_system files;
-    memory_storage storage(files, own);
+    memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
     ASSERT_TRUE(storage.form({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     const raft_snapshot snapshot{2, 1, {{1}, {}}, std::make_shared<const std::string>("state")};
     ASSERT_TRUE(storage.save_snapshot(snapshot, {1, 1}, {}));
-    const auto whole = files.get_files()["snapshot"];
-    for (std::size_t place = 0; place < whole.size(); ++place) {
-        files.get_files()["snapshot"] = whole;
-        files.get_files()["snapshot"][place] ^= 0x10;
-        memory_storage again(files, own);
-        EXPECT_EQ(again.open().error(), make_error_code(storage_errc::corrupt)) << "byte " << place;
-        EXPECT_EQ(again.get_error_place(), "snapshot at offset 0");
+    const auto intact = files.get_files()["snapshot"];
+    for (std::size_t offset = 0; offset < intact.size(); ++offset) {
+        files.get_files()["snapshot"] = intact;
+        files.get_files()["snapshot"][offset] ^= 0x10;
+        memory_storage reopened(files, own_settings);
+        EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt)) << "byte " << offset;
+        EXPECT_EQ(reopened.get_error_place(), "snapshot at offset 0");
     }
     // Cut short, it is refused too: the log that it stands for is gone, so nothing may be made up for it.
-    files.get_files()["snapshot"] = whole.substr(0, whole.size() / 2);
-    memory_storage again(files, own);
-    EXPECT_EQ(again.open().error(), make_error_code(storage_errc::corrupt));
+    files.get_files()["snapshot"] = intact.substr(0, intact.size() / 2);
+    memory_storage reopened(files, own_settings);
+    EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt));
 }
 
 TEST(raft_storage, refuses_a_damaged_length_in_the_middle) {
     memory_file_system files;
-    memory_storage storage(files, own);
+    memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
     ASSERT_TRUE(storage.form({{1}, {}}));
     const auto first_end = files.get_files()["log-000000000001"].size();
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     ASSERT_TRUE(storage.save(make_entries(3, 2, 1)));
     files.get_files()["log-000000000001"][first_end + 6] = 0x7f; // now reaches far behind the end
-    memory_storage again(files, own);
-    EXPECT_EQ(again.open().error(), make_error_code(storage_errc::corrupt));
+    memory_storage reopened(files, own_settings);
+    EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt));
 }
 
 TEST(raft_storage, refuses_a_folder_of_others) {
     memory_file_system files;
-    memory_storage storage(files, own);
+    memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
     ASSERT_TRUE(storage.form({{1}, {}}));
     EXPECT_EQ(memory_storage(files, {"other", 1}).open().error(),
@@ -123,16 +123,16 @@
 
 TEST(raft_storage, starts_a_new_segment_with_a_snapshot) {
     memory_file_system files;
-    memory_storage storage(files, own);
+    memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
     ASSERT_TRUE(storage.form({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 10, 1)));
     const raft_snapshot snapshot{8, 1, {{1}, {}}, std::make_shared<const std::string>("state")};
-    const auto rest = make_entries(9, 2, 1).entries;
-    ASSERT_TRUE(storage.save_snapshot(snapshot, {1, 2}, rest));
+    const auto tail = make_entries(9, 2, 1).entries;
+    ASSERT_TRUE(storage.save_snapshot(snapshot, {1, 2}, tail));
     EXPECT_FALSE(files.get_files().contains("log-000000000001"));
-    memory_storage again(files, own);
-    const auto state = again.open().value();
+    memory_storage reopened(files, own_settings);
+    const auto state = reopened.open().value();
     EXPECT_EQ(*state.snapshot.data, "state");
     ASSERT_EQ(state.entries.size(), 2U);
     EXPECT_EQ(state.entries[0].index, 9U);
@@ -140,7 +140,7 @@
 
 TEST(raft_storage, drops_a_log_that_does_not_lead_up_to_the_snapshot) {
     memory_file_system files;
-    memory_storage storage(files, own);
+    memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
     ASSERT_TRUE(storage.form({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 20, 2))); // of a deposed leader
@@ -152,37 +152,37 @@
     EXPECT_FALSE(storage.save(install));
     EXPECT_GT(files.get_calls(), before);
     files.heal();
-    memory_storage again(files, own);
-    const auto state = again.open().value();
+    memory_storage reopened(files, own_settings);
+    const auto state = reopened.open().value();
     EXPECT_EQ(state.snapshot.index, 15U);
     EXPECT_TRUE(state.entries.empty());
 }
 
 TEST(raft_storage, full_disk_loses_nothing_acknowledged) {
     memory_file_system files;
-    memory_storage storage(files, own);
+    memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
     ASSERT_TRUE(storage.form({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     files.fail_after(0, storage_errc::no_space);
     EXPECT_EQ(storage.save(make_entries(3, 2, 1)).error(), make_error_code(storage_errc::no_space));
     files.heal();
-    memory_storage again(files, own);
-    EXPECT_EQ(again.open().value().entries.size(), 2U);
+    memory_storage reopened(files, own_settings);
+    EXPECT_EQ(reopened.open().value().entries.size(), 2U);
 }
 
 RC_GTEST_PROP(raft_storage, survives_a_power_cut_at_any_call, ()) {
     memory_file_system files;
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
     {
-        memory_storage storage(files, own);
+        memory_storage storage(files, own_settings);
         RC_ASSERT(storage.open().has_value());
         RC_ASSERT(storage.form({{1}, {}}).has_value());
     }
     log_index acknowledged = 0;
     hard_state last_state;
-    for (int life = 0; life < 5; ++life) {
-        memory_storage storage(files, own);
+    for (int restart = 0; restart < 5; ++restart) {
+        memory_storage storage(files, own_settings);
         auto opened = storage.open();
         RC_ASSERT(opened.has_value());
         const auto& state = opened.value();
@@ -233,14 +233,14 @@
 TEST(posix_file_system, stores_through_real_files) {
     const auto folder =
         std::filesystem::temp_directory_path() / ("poplarpitch-real-" + std::to_string(::getpid()));
-    for (int life = 0; life < 3; ++life) {
+    for (int restart = 0; restart < 3; ++restart) {
         posix_file_system files(folder.string());
-        raft_storage<posix_file_system> storage(files, own);
+        raft_storage<posix_file_system> storage(files, own_settings);
         const auto state = storage.open().value();
-        if (life == 0) {
+        if (restart == 0) {
             ASSERT_TRUE(storage.form({{1}, {}}));
         }
-        EXPECT_EQ(state.entries.size(), static_cast<std::size_t>(life) * 2);
+        EXPECT_EQ(state.entries.size(), static_cast<std::size_t>(restart) * 2);
         ASSERT_TRUE(storage.save(make_entries(state.entries.size() + 1, 2, 1)));
     }
     std::filesystem::remove_all(folder);
