--- a/poplarpitch/state/config_table.cpp
+++ b/poplarpitch/state/config_table.cpp
@@ -18,7 +18,7 @@
 std::error_code config_table::put(const wire::put_config& command, wire::command_result& outcome) {
     const auto known = m_change_by_id.find(command.change_id());
     const bool is_repeated = !command.change_id().empty() && known != m_change_by_id.end();
-    if (is_repeated && m_rules.config_remembers_changes) {
+    if (is_repeated && m_rules.config_deduplicates_changes) {
         // The first answer again: only the number and the id, since the version itself may be gone from
         // history.
         outcome.set_repeated_change(true);
--- a/poplarpitch/state/fleet_table.cpp
+++ b/poplarpitch/state/fleet_table.cpp
@@ -20,12 +20,12 @@
         if (found->second.incarnation() > opened.incarnation()) {
             return state_errc::unknown_session; // a late message of an older process
         }
-        free_workers(opened.entry(), index);
+        release_workers(opened.entry(), index);
     }
     auto record = opened;
     record.set_opened_index(index);
     m_sessions[opened.entry()] = record;
-    touch(opened.entry(), index);
+    record_owned_change(opened.entry(), index);
     return {};
 }
 
@@ -34,7 +34,7 @@
     if (found == m_sessions.end() || found->second.incarnation() != command.incarnation()) {
         return state_errc::unknown_session;
     }
-    free_workers(command.entry(), index);
+    release_workers(command.entry(), index);
     m_sessions.erase(found);
     m_owned_change.erase(command.entry());
     return {};
@@ -66,7 +66,7 @@
             record.clear_owner();
         }
         m_owned[record.owner()].insert(record.id());
-        touch(record.owner(), index);
+        record_owned_change(record.owner(), index);
         m_workers.emplace(record.id(), std::move(record));
         return {};
     }
@@ -82,7 +82,7 @@
     record.set_epoch(epoch);
     record.set_quarantined(is_quarantined);
     record.set_changed_index(index);
-    touch(owner, index);
+    record_owned_change(owner, index);
     return {};
 }
 
@@ -113,13 +113,13 @@
     found->second.set_silent(command.silent());
     found->second.set_quarantined(command.quarantined());
     found->second.set_changed_index(index);
-    touch(found->second.owner(), index);
+    record_owned_change(found->second.owner(), index);
     return {};
 }
 
-void fleet_table::touch_worker(const std::string& id, log_index index) {
+void fleet_table::record_worker_change(const std::string& id, log_index index) {
     if (const auto* worker = find_worker(id)) {
-        touch(worker->owner(), index);
+        record_owned_change(worker->owner(), index);
     }
 }
 
@@ -132,7 +132,7 @@
         return state_errc::stale_epoch;
     }
     m_owned[found->second.owner()].erase(command.worker());
-    touch(found->second.owner(), index);
+    record_owned_change(found->second.owner(), index);
     m_workers.erase(found);
     return {};
 }
@@ -144,15 +144,15 @@
 
 void fleet_table::set_owner(wire::worker& record, const std::string& owner, log_index index) {
     m_owned[record.owner()].erase(record.id());
-    touch(record.owner(), index);
+    record_owned_change(record.owner(), index);
     record.set_owner(owner);
     record.set_epoch(record.epoch() + 1);
     record.set_changed_index(index);
     m_owned[owner].insert(record.id());
-    touch(owner, index);
+    record_owned_change(owner, index);
 }
 
-void fleet_table::free_workers(const std::string& entry, log_index index) {
+void fleet_table::release_workers(const std::string& entry, log_index index) {
     const auto owned = get_owned(entry); // a copy: set_owner changes the set
     for (const auto& id : owned) {
         set_owner(m_workers.at(id), "", index);
@@ -192,12 +192,12 @@
     m_owned_change.clear();
     for (const auto& record : snapshot.sessions()) {
         m_sessions[record.entry()] = record;
-        touch(record.entry(), snapshot.applied_index());
+        record_owned_change(record.entry(), snapshot.applied_index());
     }
     for (const auto& record : snapshot.workers()) {
         m_workers[record.id()] = record;
         m_owned[record.owner()].insert(record.id());
-        touch(record.owner(), snapshot.applied_index());
+        record_owned_change(record.owner(), snapshot.applied_index());
     }
 }
 
--- a/poplarpitch/state/fleet_table.h
+++ b/poplarpitch/state/fleet_table.h
@@ -33,7 +33,7 @@
     /// Notes that the owner does not hear from the worker, or hears again, or distrusts it.
     std::error_code mark(const wire::mark_worker& command, log_index index);
     /// Makes the worker's owner read its list of workers and tasks anew.
-    void touch_worker(const std::string& id, log_index index);
+    void record_worker_change(const std::string& id, log_index index);
     /// Forgets a worker.
     std::error_code remove(const wire::remove_worker& command, log_index index);
 
@@ -57,8 +57,8 @@
 
 private:
     void set_owner(wire::worker& record, const std::string& owner, log_index index);
-    void free_workers(const std::string& entry, log_index index);
-    void touch(const std::string& owner, log_index index) { m_owned_change[owner] = index; }
+    void release_workers(const std::string& entry, log_index index);
+    void record_owned_change(const std::string& owner, log_index index) { m_owned_change[owner] = index; }
 
     state_rules m_rules;
     absl::btree_map<std::string, wire::session> m_sessions;
--- a/poplarpitch/state/intent_table.cpp
+++ b/poplarpitch/state/intent_table.cpp
@@ -19,9 +19,9 @@
         if (record.request_hash() != begun.request_hash()) {
             return state_errc::key_conflict;
         }
-        const bool is_again_allowed =
-            record.phase() == to_number(intent_phase::not_run) || !m_rules.intent_is_once;
-        if (!is_again_allowed) {
+        const bool may_begin_again =
+            record.phase() == to_number(intent_phase::not_run) || !m_rules.intent_begins_once;
+        if (!may_begin_again) {
             return state_errc::key_in_use;
         }
         record.set_phase(to_number(intent_phase::begun));
--- a/poplarpitch/state/job_table.cpp
+++ b/poplarpitch/state/job_table.cpp
@@ -9,7 +9,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::uint32_t most_crashes = 3; // of workers under one job: an operator is to look at it then
+constexpr std::uint32_t max_worker_crashes = 3; // of workers under one job: an operator is to look at it then
 
 } // namespace
 
@@ -31,7 +31,7 @@
     return found == m_jobs.end() ? nullptr : &*found;
 }
 
-void job_table::unlink(const job_node& node, const wire::job& record) {
+void job_table::remove_from_indexes(const job_node& node, const wire::job& record) {
     auto& usage = m_usage[record.tenant()];
     if (record.state() == wire::job_queued) {
         auto& queue = m_queued[record.tenant()];
@@ -42,7 +42,7 @@
         --m_queued_count;
     }
     if (is_active(record.state())) {
-        unlink_from_worker(node, record);
+        remove_from_worker_jobs(node, record);
         m_lost.erase(&node);
         --m_active_count;
         usage.active_millicores -= record.need().millicores();
@@ -55,14 +55,14 @@
     }
 }
 
-void job_table::link(const job_node& node, const wire::job& record) {
+void job_table::add_to_indexes(const job_node& node, const wire::job& record) {
     auto& usage = m_usage[record.tenant()];
     if (record.state() == wire::job_queued) {
         m_queued[record.tenant()].insert({!record.urgent(), record.submitted_ms(), &node});
         ++m_queued_count;
     }
     if (is_active(record.state())) {
-        link_to_worker(node, record);
+        add_to_worker_jobs(node, record);
         if (record.lost()) {
             m_lost.insert(&node);
         }
@@ -77,14 +77,14 @@
     }
 }
 
-void job_table::link_to_worker(const job_node& node, const wire::job& record) {
+void job_table::add_to_worker_jobs(const job_node& node, const wire::job& record) {
     auto& worker = m_by_worker[record.worker()];
     worker.jobs.insert(&node);
     worker.claims.reserved += decode(record.reserved());
     ++worker.claims.tasks_by_tenant[record.tenant()];
 }
 
-void job_table::unlink_from_worker(const job_node& node, const wire::job& record) {
+void job_table::remove_from_worker_jobs(const job_node& node, const wire::job& record) {
     const auto found = m_by_worker.find(record.worker());
     if (found == m_by_worker.end()) {
         return;
@@ -107,7 +107,7 @@
     m_bytes -= node.second.get_bytes().size();
     node.second.pack(record);
     m_bytes += node.second.get_bytes().size();
-    link(node, record);
+    add_to_indexes(node, record);
 }
 
 // ---- commands
@@ -142,7 +142,7 @@
     if (record.state() != wire::job_queued || command.attempt() != record.attempt() + 1) {
         return state_errc::stale_attempt;
     }
-    unlink(*node, record);
+    remove_from_indexes(*node, record);
     record.set_state(wire::job_assigned);
     record.set_attempt(command.attempt());
     record.set_worker(command.worker());
@@ -154,7 +154,7 @@
     return {};
 }
 
-std::error_code job_table::take_event(const wire::job_event& event, int max_attempts, log_index index) {
+std::error_code job_table::handle_event(const wire::job_event& event, int max_attempts, log_index index) {
     auto* node = find_node(event.job());
     if (node == nullptr) {
         return state_errc::unknown_job;
@@ -166,20 +166,20 @@
         return state_errc::stale_attempt;
     }
     if (event.kind() == wire::event_lost && record.lost()) {
-        note_crash(*node, record, event);
+        record_crash(*node, record, event);
         return {}; // told again: the wait for the lease goes on and does not begin anew
     }
-    unlink(*node, record);
+    remove_from_indexes(*node, record);
     apply_event(record, event, max_attempts);
     store(*node, record, index);
     return {};
 }
 
-void job_table::note_crash(job_node& node, wire::job& record, const wire::job_event& event) {
+void job_table::record_crash(job_node& node, wire::job& record, const wire::job_event& event) {
     if (!event.crashed() || record.crashed()) {
         return;
     }
-    unlink(node, record);
+    remove_from_indexes(node, record);
     record.set_crashed(true);
     store(node, record, record.changed_index());
 }
@@ -227,12 +227,12 @@
         record.set_crashed(event.crashed());
         record.set_reason(event.detail());
         if (!m_rules.job_waits_for_lease) {
-            on_lease_over(record, event);
+            on_lease_expired(record, event);
         }
         break;
     case wire::event_lease_over:
         if (record.lost() && event.expected_index() == record.changed_index()) {
-            on_lease_over(record, event);
+            on_lease_expired(record, event);
         }
         break;
     case wire::event_evict_asked:
@@ -269,7 +269,7 @@
     }
 }
 
-void job_table::on_lease_over(wire::job& record, const wire::job_event& event) {
+void job_table::on_lease_expired(wire::job& record, const wire::job_event& event) {
     if (!record.idempotent() && m_rules.unknown_is_final) {
         finish(record, wire::job_unknown, event.at_ms(),
                "its worker was lost; it may have run: " + record.reason());
@@ -277,7 +277,7 @@
     }
     // Run again it would only end the next worker, with all that runs there.
     record.set_crashes(record.crashes() + (record.crashed() ? 1 : 0));
-    if (record.crashes() >= most_crashes) {
+    if (record.crashes() >= max_worker_crashes) {
         finish(record, wire::job_parked, event.at_ms(),
                absl::StrCat("its worker ended under ", record.crashes(), " attempts"));
         return;
@@ -320,7 +320,7 @@
     if (record.state() == wire::job_done || record.state() == wire::job_failed) {
         return state_errc::not_allowed;
     }
-    unlink(*node, record);
+    remove_from_indexes(*node, record);
     record.set_cancel_requested(true);
     if (!is_active(record.state())) {
         finish(record, wire::job_cancelled, command.at_ms(), "cancelled");
@@ -335,12 +335,12 @@
         return state_errc::unknown_job;
     }
     auto record = node->second.unpack();
-    const bool is_open = record.state() == wire::job_unknown || record.state() == wire::job_parked ||
-                         record.state() == wire::job_failed;
-    if (!is_open) {
+    const bool is_resolvable = record.state() == wire::job_unknown || record.state() == wire::job_parked ||
+                               record.state() == wire::job_failed;
+    if (!is_resolvable) {
         return state_errc::not_allowed;
     }
-    unlink(*node, record);
+    remove_from_indexes(*node, record);
     if (command.action() == wire::resolve_rerun) {
         record.set_failures(0);
         record.set_crashes(0);
@@ -358,7 +358,7 @@
 void job_table::expire(std::int64_t before_ms) {
     while (!m_ended.empty() && m_ended.begin()->at_ms < before_ms) {
         const auto* node = m_ended.begin()->node;
-        unlink(*node, node->second.unpack());
+        remove_from_indexes(*node, node->second.unpack());
         m_bytes -= node->second.get_bytes().size();
         m_jobs.erase(m_jobs.find(node->first));
     }
@@ -367,7 +367,7 @@
 void job_table::restore(const wire::job& record) {
     const auto added = m_jobs.emplace(record.id(), packed_job(record)).first;
     m_bytes += added->second.get_bytes().size();
-    link(*added, record);
+    add_to_indexes(*added, record);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/state/job_table.h
+++ b/poplarpitch/state/job_table.h
@@ -58,7 +58,7 @@
     /// Gives a queued job to a worker whose process is of `incarnation`.
     std::error_code assign(const wire::assign_job& command, std::uint64_t incarnation, log_index index);
     /// Takes what happened to an attempt.
-    std::error_code take_event(const wire::job_event& event, int max_attempts, log_index index);
+    std::error_code handle_event(const wire::job_event& event, int max_attempts, log_index index);
     /// Cancels a job: at once when it is queued, else as soon as its worker confirms the stop.
     std::error_code cancel(const wire::cancel_job& command, log_index index);
     /// Ends the doubt about an unknown or parked job, as its operator decides.
@@ -135,20 +135,20 @@
     /// Returns all jobs, ordered by id.
     [[nodiscard]] std::vector<const job_node*> get_sorted() const;
     /// Takes the job out of every index, before a change. `record` is what the node holds.
-    void unlink(const job_node& node, const wire::job& record);
+    void remove_from_indexes(const job_node& node, const wire::job& record);
     /// Puts the job into every index that its state asks for, after a change.
-    void link(const job_node& node, const wire::job& record);
-    void link_to_worker(const job_node& node, const wire::job& record);
-    void unlink_from_worker(const job_node& node, const wire::job& record);
-    /// Ends a change that began with `unlink`: writes the record into the node and links it.
+    void add_to_indexes(const job_node& node, const wire::job& record);
+    void add_to_worker_jobs(const job_node& node, const wire::job& record);
+    void remove_from_worker_jobs(const job_node& node, const wire::job& record);
+    /// Ends a change that began with `remove_from_indexes`: writes the record into the node and links it.
     void store(job_node& node, wire::job& record, log_index index);
     void finish(wire::job& record, wire::job_state state, std::int64_t at_ms, const std::string& reason);
     void requeue(wire::job& record);
     /// Notes of a job that is lost already that its worker has ended since.
-    void note_crash(job_node& node, wire::job& record, const wire::job_event& event);
+    void record_crash(job_node& node, wire::job& record, const wire::job_event& event);
     void apply_event(wire::job& record, const wire::job_event& event, int max_attempts);
     void on_failed(wire::job& record, const wire::job_event& event, int max_attempts);
-    void on_lease_over(wire::job& record, const wire::job_event& event);
+    void on_lease_expired(wire::job& record, const wire::job_event& event);
 
     state_rules m_rules;
     std::size_t m_max_jobs;
--- a/poplarpitch/state/snapshot_restorer.cpp
+++ b/poplarpitch/state/snapshot_restorer.cpp
@@ -44,8 +44,8 @@
 
 std::optional<restored_state> restore_snapshot(std::string_view backup, std::int64_t wall_ms) {
     wire::state_snapshot snapshot;
-    const bool is_read = snapshot.ParseFromArray(backup.data(), static_cast<int>(backup.size()));
-    if (!is_read || snapshot.applied_index() == 0) {
+    const bool is_parsed = snapshot.ParseFromArray(backup.data(), static_cast<int>(backup.size()));
+    if (!is_parsed || snapshot.applied_index() == 0) {
         return std::nullopt;
     }
     restored_state restored;
--- a/poplarpitch/state/state_machine.cpp
+++ b/poplarpitch/state/state_machine.cpp
@@ -68,12 +68,12 @@
         return m_configs.put(command.config(), outcome);
     case wire::command::kRegisterTarget: {
         const auto error = m_fleet.register_worker(command.register_target().registered(), index);
-        report_worker(command.register_target().registered().id(), outcome);
+        attach_worker(command.register_target().registered().id(), outcome);
         return error;
     }
     case wire::command::kOwner: {
         const auto error = m_fleet.assign_owner(command.owner(), index);
-        report_worker(command.owner().worker(), outcome);
+        attach_worker(command.owner().worker(), outcome);
         return error;
     }
     case wire::command::kMark:
@@ -86,33 +86,33 @@
         return assign(index, command.assign());
     case wire::command::kEvent: {
         const auto attempts = m_configs.get_configuration()->system.max_attempts;
-        const bool is_lease_over = command.event().kind() == wire::event_lease_over;
-        const auto before = is_lease_over ? m_jobs.find(command.event().job()) : std::nullopt;
-        const auto error = m_jobs.take_event(command.event(), attempts, index);
+        const bool is_lease_expiry = command.event().kind() == wire::event_lease_over;
+        const auto before = is_lease_expiry ? m_jobs.find(command.event().job()) : std::nullopt;
+        const auto error = m_jobs.handle_event(command.event(), attempts, index);
         if (!error && before.has_value()) {
-            m_fleet.touch_worker(before->worker(), index); // its owner may still count the task
+            m_fleet.record_worker_change(before->worker(), index); // its owner may still count the task
         }
-        report_job(command.event().job(), outcome);
+        attach_job(command.event().job(), outcome);
         return error;
     }
     case wire::command::kCancel: {
         const auto error = m_jobs.cancel(command.cancel(), index);
-        report_job(command.cancel().job(), outcome);
+        attach_job(command.cancel().job(), outcome);
         return error;
     }
     case wire::command::kResolve: {
         const auto error = m_jobs.resolve(command.resolve(), index);
-        report_job(command.resolve().job(), outcome);
+        attach_job(command.resolve().job(), outcome);
         return error;
     }
     case wire::command::kBegin: {
         const auto error = m_intents.begin(command.begin().begun());
-        report_intent(command.begin().begun().key(), outcome);
+        attach_intent(command.begin().begun().key(), outcome);
         return error;
     }
     case wire::command::kEnd: {
         const auto error = m_intents.end(command.end().ended());
-        report_intent(command.end().ended().key(), outcome);
+        attach_intent(command.end().ended().key(), outcome);
         return error;
     }
     case wire::command::kExpire:
@@ -143,7 +143,7 @@
     } else {
         error = m_jobs.submit(submitted, tenant->max_jobs, index);
     }
-    report_job(submitted.id(), outcome);
+    attach_job(submitted.id(), outcome);
     return error;
 }
 
@@ -159,19 +159,19 @@
     return m_jobs.assign(command, worker->incarnation(), index);
 }
 
-void state_machine::report_job(const std::string& id, wire::command_result& outcome) const {
+void state_machine::attach_job(const std::string& id, wire::command_result& outcome) const {
     if (auto record = m_jobs.find(id)) {
         *outcome.mutable_job_record() = std::move(*record);
     }
 }
 
-void state_machine::report_intent(const std::string& key, wire::command_result& outcome) const {
+void state_machine::attach_intent(const std::string& key, wire::command_result& outcome) const {
     if (const auto* record = m_intents.find(key)) {
         *outcome.mutable_intent_record() = *record;
     }
 }
 
-void state_machine::report_worker(const std::string& id, wire::command_result& outcome) const {
+void state_machine::attach_worker(const std::string& id, wire::command_result& outcome) const {
     if (const auto* record = m_fleet.find_worker(id)) {
         *outcome.mutable_worker_record() = *record;
     }
--- a/poplarpitch/state/state_machine.h
+++ b/poplarpitch/state/state_machine.h
@@ -44,9 +44,9 @@
     std::error_code dispatch(log_index index, const wire::command& command, wire::command_result& outcome);
     std::error_code submit(log_index index, const wire::submit_job& command, wire::command_result& outcome);
     std::error_code assign(log_index index, const wire::assign_job& command);
-    void report_job(const std::string& id, wire::command_result& outcome) const;
-    void report_intent(const std::string& key, wire::command_result& outcome) const;
-    void report_worker(const std::string& id, wire::command_result& outcome) const;
+    void attach_job(const std::string& id, wire::command_result& outcome) const;
+    void attach_intent(const std::string& key, wire::command_result& outcome) const;
+    void attach_worker(const std::string& id, wire::command_result& outcome) const;
 
     state_settings m_settings;
     state_rules m_rules;
--- a/unit_tests/state/intent_table_test.cpp
+++ b/unit_tests/state/intent_table_test.cpp
@@ -108,7 +108,7 @@
 
 TEST(intent_mutation, key_that_may_be_begun_again_is_found) {
     state_rules rules;
-    rules.intent_is_once = false;
+    rules.intent_begins_once = false;
     int most = 0;
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
         most = std::max(most, count_runs(rules, seed));
--- a/unit_tests/state/job_world.cpp
+++ b/unit_tests/state/job_simulation.cpp
@@ -1,4 +1,4 @@
-#include "unit_tests/state/job_world.h"
+#include "unit_tests/state/job_simulation.h"
 
 #include "poplarpitch/state/amounts_codec.h"
 
@@ -13,17 +13,17 @@
 
 } // namespace
 
-job_world::job_world(const state_rules& rules, std::uint64_t seed)
+job_simulation::job_simulation(const state_rules& rules, std::uint64_t seed)
     : m_random(seed), m_table(rules, 1000, 1 << 20) {}
 
-std::optional<wire::job> job_world::any_job() {
+std::optional<wire::job> job_simulation::pick_job() {
     if (m_submitted == 0) {
         return std::nullopt;
     }
     return m_table.find("job-" + std::to_string(pick(m_submitted)));
 }
 
-void job_world::send(const std::string& job, std::uint64_t attempt, wire::job_event_kind kind) {
+void job_simulation::send(const std::string& job, std::uint64_t attempt, wire::job_event_kind kind) {
     wire::job_event event;
     event.set_job(job);
     event.set_attempt(attempt);
@@ -31,7 +31,7 @@
     m_events.push_back(event);
 }
 
-void job_world::submit() {
+void job_simulation::submit() {
     if (m_submitted >= max_jobs) {
         return;
     }
@@ -45,8 +45,8 @@
     m_table.submit(job, max_jobs, ++m_index);
 }
 
-void job_world::assign() {
-    const auto job = any_job();
+void job_simulation::assign() {
+    const auto job = pick_job();
     if (!job.has_value() || job->state() != wire::job_queued) {
         return;
     }
@@ -57,59 +57,59 @@
     m_table.assign(command, 7, ++m_index);
 }
 
-void job_world::start_run() {
-    const auto job = any_job();
+void job_simulation::start_run() {
+    const auto job = pick_job();
     if (!job.has_value() || job->state() != wire::job_assigned || job->lost()) {
         return;
     }
-    auto& truth = m_truth[job->id()];
-    if (truth.runs.contains(job->attempt())) {
+    auto& actual = m_actual_jobs[job->id()];
+    if (actual.runs.contains(job->attempt())) {
         send(job->id(), job->attempt(), wire::event_started); // told again
         return;
     }
     if (pick(6) == 0) {
         send(job->id(), job->attempt(), wire::event_refused);
-        truth.runs[job->attempt()] = {job->attempt(), false, false}; // the worker keeps refusing it
+        actual.runs[job->attempt()] = {job->attempt(), false, false}; // the worker keeps refusing it
         return;
     }
-    const int live = static_cast<int>(std::count_if(truth.runs.begin(), truth.runs.end(),
+    const int live = static_cast<int>(std::count_if(actual.runs.begin(), actual.runs.end(),
                                                     [](const auto& item) { return item.second.is_live; }));
     if (live > 0) {
         m_violation = job->id() + " runs in two places";
     }
-    const bool ran_before = std::any_of(truth.runs.begin(), truth.runs.end(), [](const auto& item) {
-        return item.second.is_renewed; // a refused one never ran
+    const bool ran_before = std::any_of(actual.runs.begin(), actual.runs.end(), [](const auto& item) {
+        return item.second.has_started; // a refused one never ran
     });
-    if (!job->idempotent() && ran_before && !truth.is_resolved && job->evictions() == 0) {
+    if (!job->idempotent() && ran_before && !actual.is_resolved && job->evictions() == 0) {
         m_violation = job->id() + " is not idempotent and runs again by itself";
     }
-    truth.is_resolved = false;
-    truth.runs[job->attempt()] = {job->attempt(), true, true};
+    actual.is_resolved = false;
+    actual.runs[job->attempt()] = {job->attempt(), true, true};
     send(job->id(), job->attempt(), wire::event_started);
 }
 
-void job_world::end_run() {
-    const auto job = any_job();
+void job_simulation::end_run() {
+    const auto job = pick_job();
     if (!job.has_value()) {
         return;
     }
-    for (auto& [attempt, run] : m_truth[job->id()].runs) {
+    for (auto& [attempt, run] : m_actual_jobs[job->id()].runs) {
         if (run.is_live) {
             run.is_live = false;
             const bool is_failed = pick(4) == 0;
-            m_truth[job->id()].finished += is_failed ? 0 : 1;
+            m_actual_jobs[job->id()].finished += is_failed ? 0 : 1;
             send(job->id(), attempt, is_failed ? wire::event_failed : wire::event_finished);
             return;
         }
     }
 }
 
-void job_world::evict_run() {
-    const auto job = any_job();
+void job_simulation::evict_run() {
+    const auto job = pick_job();
     if (!job.has_value()) {
         return;
     }
-    for (auto& [attempt, run] : m_truth[job->id()].runs) {
+    for (auto& [attempt, run] : m_actual_jobs[job->id()].runs) {
         if (run.is_live) {
             run.is_live = false;
             send(job->id(), attempt, pick(2) == 0 ? wire::event_evicted : wire::event_stopped);
@@ -118,8 +118,8 @@
     }
 }
 
-void job_world::cut_off_worker() {
-    const auto job = any_job();
+void job_simulation::lose_worker() {
+    const auto job = pick_job();
     if (!job.has_value() || !is_active(job->state())) {
         return;
     }
@@ -127,23 +127,23 @@
     send(job->id(), job->attempt(), wire::event_lost);
 }
 
-void job_world::watch_leases() {
-    const auto job = any_job();
+void job_simulation::expire_leases() {
+    const auto job = pick_job();
     if (!job.has_value()) {
         return;
     }
-    auto& truth = m_truth[job->id()];
+    auto& actual = m_actual_jobs[job->id()];
     if (!job->lost()) {
-        truth.lost_index = 0;
+        actual.lost_index = 0;
         return;
     }
-    if (truth.lost_index != job->changed_index()) {
-        truth.lost_index = job->changed_index(); // the wait begins
+    if (actual.lost_index != job->changed_index()) {
+        actual.lost_index = job->changed_index(); // the wait begins
         return;
     }
     // The wait is over: by now the worker has stopped the run by itself.
-    const auto run = truth.runs.find(job->attempt());
-    if (run != truth.runs.end()) {
+    const auto run = actual.runs.find(job->attempt());
+    if (run != actual.runs.end()) {
         run->second.is_live = false;
     }
     wire::job_event event;
@@ -154,7 +154,7 @@
     m_events.push_back(event);
 }
 
-void job_world::deliver() {
+void job_simulation::deliver() {
     if (m_events.empty()) {
         return;
     }
@@ -163,19 +163,19 @@
     if (pick(4) != 0) { // else it comes again later
         m_events.erase(place);
     }
-    m_table.take_event(event, max_attempts, ++m_index);
+    m_table.handle_event(event, max_attempts, ++m_index);
 }
 
-void job_world::check() {
+void job_simulation::check() {
     m_table.for_each([&](const wire::job& job) {
-        const auto& truth = m_truth[job.id()];
-        if (!job.idempotent() && truth.finished > 1 && job.evictions() == 0) {
+        const auto& actual = m_actual_jobs[job.id()];
+        if (!job.idempotent() && actual.finished > 1 && job.evictions() == 0) {
             m_violation = job.id() + " finished more than once";
         }
         if (job.state() != wire::job_queued) {
             return;
         }
-        for (const auto& [attempt, run] : truth.runs) {
+        for (const auto& [attempt, run] : actual.runs) {
             if (run.is_live) {
                 m_violation = job.id() + " is queued while attempt " + std::to_string(attempt) + " runs";
             }
@@ -183,7 +183,7 @@
     });
 }
 
-void job_world::check_claims() {
+void job_simulation::check_claims() {
     std::map<std::string, job_claims> sums;
     m_table.for_each([&](const wire::job& job) {
         if (is_active(job.state())) {
@@ -206,7 +206,7 @@
     }
 }
 
-void job_world::step() {
+void job_simulation::step() {
     switch (pick(12)) {
     case 0:
         submit();
@@ -226,13 +226,13 @@
         evict_run();
         break;
     case 7:
-        cut_off_worker();
+        lose_worker();
         break;
     case 8:
-        watch_leases();
+        expire_leases();
         break;
     case 9:
-        if (const auto job = any_job(); job.has_value() && pick(10) == 0) {
+        if (const auto job = pick_job(); job.has_value() && pick(10) == 0) {
             wire::cancel_job cancel;
             cancel.set_job(job->id());
             m_table.cancel(cancel, ++m_index);
@@ -246,7 +246,7 @@
     check_claims();
 }
 
-std::string job_world::run(int steps) {
+std::string job_simulation::run(int steps) {
     for (int step_number = 0; step_number < steps && m_violation.empty(); ++step_number) {
         step();
     }
--- a/unit_tests/state/job_world.h
+++ b/unit_tests/state/job_simulation.h
@@ -12,21 +12,21 @@
 
 /// A few jobs, the workers that really run them, and events that come late, twice and out of order. Follows
 /// the protocol of owner and worker by hand and notes the first broken promise.
-class job_world {
+class job_simulation {
 public:
-    job_world(const state_rules& rules, std::uint64_t seed);
+    job_simulation(const state_rules& rules, std::uint64_t seed);
 
     /// Takes random steps. Returns the first broken promise, or an empty text.
     std::string run(int steps);
 
 private:
-    struct live_run {
+    struct actual_run {
         std::uint64_t attempt = 0;
-        bool is_renewed = true; ///< false: its lease is running out
+        bool has_started = true; ///< false: its lease is running out
         bool is_live = true;
     };
-    struct job_truth {
-        std::map<std::uint64_t, live_run> runs; ///< by attempt
+    struct actual_job {
+        std::map<std::uint64_t, actual_run> runs; ///< by attempt
         int finished = 0;
         bool is_resolved = false;     ///< an operator allowed another run
         std::uint64_t lost_index = 0; ///< state in which the leader saw it lost, 0 for none
@@ -38,19 +38,19 @@
     void start_run();
     void end_run();
     void evict_run();
-    void cut_off_worker();
-    void watch_leases();
+    void lose_worker();
+    void expire_leases();
     void deliver();
     void send(const std::string& job, std::uint64_t attempt, wire::job_event_kind kind);
     void check();
     void check_claims();
-    std::optional<wire::job> any_job();
+    std::optional<wire::job> pick_job();
     int pick(int bound) { return static_cast<int>(m_random() % static_cast<std::uint64_t>(bound)); }
 
     std::mt19937_64 m_random;
     job_table m_table;
     log_index m_index = 0;
-    std::map<std::string, job_truth> m_truth;
+    std::map<std::string, actual_job> m_actual_jobs;
     std::deque<wire::job_event> m_events; ///< on their way to the log
     int m_submitted = 0;
     std::string m_violation;
--- a/unit_tests/state/job_table_test.cpp
+++ b/unit_tests/state/job_table_test.cpp
@@ -1,5 +1,5 @@
 #include "poplarpitch/state/job_table.h"
-#include "unit_tests/state/job_world.h"
+#include "unit_tests/state/job_simulation.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -28,22 +28,22 @@
         EXPECT_FALSE(m_table.assign(command, 7, ++m_index));
     }
 
-    std::error_code tell(const std::string& id, wire::job_event_kind kind, std::uint64_t attempt = 0) {
+    std::error_code send_event(const std::string& id, wire::job_event_kind kind, std::uint64_t attempt = 0) {
         wire::job_event event;
         event.set_job(id);
         event.set_attempt(attempt != 0 ? attempt : m_table.find(id)->attempt());
         event.set_kind(kind);
         event.set_expected_index(m_table.find(id)->changed_index());
-        return m_table.take_event(event, 3, ++m_index);
+        return m_table.handle_event(event, 3, ++m_index);
     }
 
-    void lose(const std::string& id, bool has_crashed) {
+    void report_lost(const std::string& id, bool has_crashed) {
         wire::job_event event;
         event.set_job(id);
         event.set_attempt(m_table.find(id)->attempt());
         event.set_kind(wire::event_lost);
         event.set_crashed(has_crashed);
-        EXPECT_FALSE(m_table.take_event(event, 3, ++m_index));
+        EXPECT_FALSE(m_table.handle_event(event, 3, ++m_index));
     }
 
     job_table m_table{{}, 1000, 1 << 20};
@@ -53,11 +53,11 @@
 TEST_F(job_table_test, runs_a_job_to_its_end) {
     add("a");
     assign("a");
-    EXPECT_FALSE(tell("a", wire::event_started));
-    EXPECT_FALSE(tell("a", wire::event_finished));
+    EXPECT_FALSE(send_event("a", wire::event_started));
+    EXPECT_FALSE(send_event("a", wire::event_finished));
     EXPECT_EQ(m_table.find("a")->state(), wire::job_done);
     EXPECT_EQ(m_table.get_usage("t").open_jobs, 0);
-    EXPECT_EQ(tell("a", wire::event_finished), make_error_code(state_errc::stale_attempt));
+    EXPECT_EQ(send_event("a", wire::event_finished), make_error_code(state_errc::stale_attempt));
 }
 
 TEST_F(job_table_test, submits_the_same_job_once) {
@@ -72,14 +72,14 @@
 TEST_F(job_table_test, resumes_an_evicted_job_once_from_its_checkpoint) {
     add("a");
     assign("a");
-    tell("a", wire::event_started);
+    send_event("a", wire::event_started);
     wire::job_event event;
     event.set_job("a");
     event.set_attempt(1);
     event.set_kind(wire::event_evicted);
     event.set_checkpoint("42");
-    EXPECT_FALSE(m_table.take_event(event, 3, ++m_index));
-    EXPECT_EQ(m_table.take_event(event, 3, ++m_index), make_error_code(state_errc::stale_attempt));
+    EXPECT_FALSE(m_table.handle_event(event, 3, ++m_index));
+    EXPECT_EQ(m_table.handle_event(event, 3, ++m_index), make_error_code(state_errc::stale_attempt));
     EXPECT_EQ(m_table.find("a")->checkpoint(), "42");
     EXPECT_EQ(m_table.find("a")->evictions(), 1U);
     EXPECT_EQ(m_table.get_queued_count(), 1U);
@@ -92,12 +92,12 @@
     for (int attempt = 1; attempt <= 3; ++attempt) {
         ASSERT_EQ(m_table.find("a")->state(), wire::job_queued) << attempt;
         assign("a");
-        tell("a", wire::event_started);
-        tell("a", wire::event_lost); // silent at first; later its next process answers
+        send_event("a", wire::event_started);
+        send_event("a", wire::event_lost); // silent at first; later its next process answers
         const auto since = m_table.find("a")->changed_index();
-        lose("a", true);
+        report_lost("a", true);
         EXPECT_EQ(m_table.find("a")->changed_index(), since) << "the wait for the lease goes on";
-        tell("a", wire::event_lease_over);
+        send_event("a", wire::event_lease_over);
     }
     EXPECT_EQ(m_table.find("a")->state(), wire::job_parked);
     EXPECT_NE(m_table.find("a")->reason().find("ended"), std::string::npos);
@@ -107,9 +107,9 @@
     add("a");
     for (int attempt = 1; attempt <= 10; ++attempt) {
         assign("a");
-        tell("a", wire::event_started);
-        lose("a", false);
-        tell("a", wire::event_lease_over);
+        send_event("a", wire::event_started);
+        report_lost("a", false);
+        send_event("a", wire::event_lease_over);
         EXPECT_EQ(m_table.find("a")->state(), wire::job_queued);
     }
 }
@@ -145,7 +145,7 @@
     job.set_tenant("t");
     job.set_payload("work");
     EXPECT_FALSE(m_table.submit(job, 100, ++m_index));
-    EXPECT_FALSE(tell("a", wire::event_unplaceable));
+    EXPECT_FALSE(send_event("a", wire::event_unplaceable));
     EXPECT_EQ(m_table.find("a")->state(), wire::job_parked);
     EXPECT_EQ(m_table.find("a")->payload(), "work");
     wire::resolve_job resolve;
@@ -153,55 +153,55 @@
     resolve.set_action(wire::resolve_rerun);
     EXPECT_FALSE(m_table.resolve(resolve, ++m_index));
     assign("a");
-    tell("a", wire::event_started);
-    tell("a", wire::event_finished);
+    send_event("a", wire::event_started);
+    send_event("a", wire::event_finished);
     EXPECT_EQ(m_table.find("a")->payload(), "");
 }
 
 TEST_F(job_table_test, lost_job_waits_for_its_lease) {
     add("a");
     assign("a");
-    tell("a", wire::event_started);
-    EXPECT_FALSE(tell("a", wire::event_lost));
+    send_event("a", wire::event_started);
+    EXPECT_FALSE(send_event("a", wire::event_lost));
     EXPECT_EQ(m_table.find("a")->state(), wire::job_running);
     EXPECT_EQ(m_table.get_queued_count(), 0U);
-    EXPECT_FALSE(tell("a", wire::event_lease_over));
+    EXPECT_FALSE(send_event("a", wire::event_lease_over));
     EXPECT_EQ(m_table.find("a")->state(), wire::job_queued);
 }
 
 TEST_F(job_table_test, repeated_loss_does_not_prolong_the_wait) {
     add("a");
     assign("a");
-    tell("a", wire::event_started);
-    tell("a", wire::event_lost);
+    send_event("a", wire::event_started);
+    send_event("a", wire::event_lost);
     const auto seen = m_table.find("a")->changed_index();
-    EXPECT_FALSE(tell("a", wire::event_lost)); // an owner tells it until it is confirmed
+    EXPECT_FALSE(send_event("a", wire::event_lost)); // an owner tells it until it is confirmed
     EXPECT_EQ(m_table.find("a")->changed_index(), seen);
-    EXPECT_FALSE(tell("a", wire::event_lease_over));
+    EXPECT_FALSE(send_event("a", wire::event_lease_over));
     EXPECT_EQ(m_table.find("a")->state(), wire::job_queued);
 }
 
 TEST_F(job_table_test, lease_end_of_an_earlier_loss_does_nothing) {
     add("a");
     assign("a");
-    tell("a", wire::event_lost);
+    send_event("a", wire::event_lost);
     wire::job_event over;
     over.set_job("a");
     over.set_attempt(1);
     over.set_kind(wire::event_lease_over);
     over.set_expected_index(m_table.find("a")->changed_index());
-    tell("a", wire::event_started); // heard again
-    tell("a", wire::event_lost);    // and lost again: the wait begins anew
-    m_table.take_event(over, 3, ++m_index);
+    send_event("a", wire::event_started); // heard again
+    send_event("a", wire::event_lost);    // and lost again: the wait begins anew
+    m_table.handle_event(over, 3, ++m_index);
     EXPECT_EQ(m_table.find("a")->state(), wire::job_running);
 }
 
 TEST_F(job_table_test, unknown_outcome_waits_for_an_operator) {
     add("a", false);
     assign("a");
-    tell("a", wire::event_started);
-    tell("a", wire::event_lost);
-    tell("a", wire::event_lease_over);
+    send_event("a", wire::event_started);
+    send_event("a", wire::event_lost);
+    send_event("a", wire::event_lease_over);
     EXPECT_EQ(m_table.find("a")->state(), wire::job_unknown);
     EXPECT_EQ(m_table.get_queued_count(), 0U);
     wire::resolve_job resolve;
@@ -215,8 +215,8 @@
     add("a");
     for (const auto* worker : {"w1", "w2", "w3"}) {
         assign("a", worker);
-        tell("a", wire::event_started);
-        tell("a", wire::event_failed);
+        send_event("a", wire::event_started);
+        send_event("a", wire::event_failed);
     }
     EXPECT_EQ(m_table.find("a")->state(), wire::job_parked);
     EXPECT_EQ(m_table.find("a")->failed_workers_size(), 3);
@@ -227,7 +227,7 @@
         add("job-" + std::to_string(index));
     }
     assign("job-0");
-    tell("job-0", wire::event_started);
+    send_event("job-0", wire::event_started);
     wire::cancel_job cancel;
     for (int index = 0; index < 45; ++index) {
         cancel.set_job("job-" + std::to_string(index));
@@ -235,7 +235,7 @@
     }
     EXPECT_EQ(m_table.get_queued_count(), 45U);
     EXPECT_EQ(m_table.find("job-0")->state(), wire::job_running); // until its worker confirms
-    tell("job-0", wire::event_stopped);
+    send_event("job-0", wire::event_stopped);
     EXPECT_EQ(m_table.find("job-0")->state(), wire::job_cancelled);
 }
 
@@ -245,7 +245,7 @@
     wire::cancel_job cancel;
     cancel.set_job("a");
     m_table.cancel(cancel, ++m_index);
-    tell("a", wire::event_refused);
+    send_event("a", wire::event_refused);
     EXPECT_EQ(m_table.find("a")->state(), wire::job_cancelled);
 }
 
@@ -253,7 +253,7 @@
     add("a");
     add("b");
     assign("a");
-    tell("a", wire::event_finished);
+    send_event("a", wire::event_finished);
     m_table.expire(1);
     EXPECT_FALSE(m_table.find("a").has_value());
     EXPECT_TRUE(m_table.find("b").has_value());
@@ -266,15 +266,15 @@
     EXPECT_EQ(m_table.submit(second, 1, ++m_index), make_error_code(state_errc::over_quota));
 }
 
-RC_GTEST_PROP(job_world, keeps_its_promises_under_late_and_doubled_events, ()) {
+RC_GTEST_PROP(job_simulation, keeps_its_promises_under_late_and_doubled_events, ()) {
     const auto seed = *rc::gen::noShrink(rc::gen::arbitrary<std::uint64_t>());
     RC_LOG() << "seed " << seed;
-    RC_ASSERT(job_world({}, seed).run(2000) == "");
+    RC_ASSERT(job_simulation({}, seed).run(2000) == "");
 }
 
 int find_job_violation(const state_rules& rules) {
     for (int seed = 1; seed <= 500; ++seed) {
-        if (!job_world(rules, static_cast<std::uint64_t>(seed)).run(2000).empty()) {
+        if (!job_simulation(rules, static_cast<std::uint64_t>(seed)).run(2000).empty()) {
             return seed;
         }
     }
--- a/unit_tests/state/state_machine_test.cpp
+++ b/unit_tests/state/state_machine_test.cpp
@@ -40,7 +40,8 @@
         return apply(command);
     }
 
-    wire::command_result give(const std::string& worker, const std::string& owner, std::uint64_t epoch) {
+    wire::command_result assign_owner(const std::string& worker, const std::string& owner,
+                                      std::uint64_t epoch) {
         wire::command command;
         command.mutable_owner()->set_worker(worker);
         command.mutable_owner()->set_owner(owner);
@@ -70,21 +71,21 @@
     add.mutable_register_target()->mutable_registered()->set_id("w");
     add.mutable_register_target()->mutable_registered()->mutable_capacity()->set_millicores(64000);
     machine.apply(++index, add);
-    const auto give = [&](const std::string& owner) {
+    const auto assign_owner = [&](const std::string& owner) {
         wire::command command;
         command.mutable_owner()->set_worker("w");
         command.mutable_owner()->set_owner(owner);
         command.mutable_owner()->set_expected_epoch(machine.get_fleet().find_worker("w")->epoch());
         machine.apply(++index, command);
     };
-    give("old");
+    assign_owner("old");
     const auto old_epoch = machine.get_fleet().find_worker("w")->epoch();
     wire::command submit;
     submit.mutable_submit()->mutable_submitted()->set_id("j");
     submit.mutable_submit()->mutable_submitted()->set_tenant("t");
     submit.mutable_submit()->mutable_submitted()->set_batch("b");
     machine.apply(++index, submit);
-    give("new");
+    assign_owner("new");
     wire::command assign;
     assign.mutable_assign()->set_job("j");
     assign.mutable_assign()->set_attempt(1);
@@ -133,15 +134,15 @@
     open("e1");
     open("e2");
     add_worker("w");
-    EXPECT_EQ(give("w", "e1", 1).worker_record().epoch(), 2U);
-    EXPECT_EQ(give("w", "e2", 1).code(), static_cast<std::uint32_t>(state_errc::stale_epoch));
-    EXPECT_EQ(give("w", "e2", 2).worker_record().epoch(), 3U);
+    EXPECT_EQ(assign_owner("w", "e1", 1).worker_record().epoch(), 2U);
+    EXPECT_EQ(assign_owner("w", "e2", 1).code(), static_cast<std::uint32_t>(state_errc::stale_epoch));
+    EXPECT_EQ(assign_owner("w", "e2", 2).worker_record().epoch(), 3U);
 }
 
 TEST_F(state_machine_test, session_end_frees_its_workers) {
     open("e1", 1);
     add_worker("w");
-    give("w", "e1", 1);
+    assign_owner("w", "e1", 1);
     open("e1", 2); // a new process of the same entry
     EXPECT_EQ(m_machine.get_fleet().get_free().size(), 1U);
     EXPECT_EQ(m_machine.get_fleet().find_worker("w")->epoch(), 3U);
@@ -242,25 +243,25 @@
 
 RC_GTEST_PROP(state_machine, snapshot_and_log_lead_to_the_same_state, ()) {
     std::mt19937_64 random(*rc::gen::noShrink(rc::gen::arbitrary<std::uint64_t>()));
-    state_machine whole;
+    state_machine original;
     state_machine restored;
     const int steps = 400;
-    const int cut = static_cast<int>(random() % steps);
+    const int snapshot_step = static_cast<int>(random() % steps);
     for (int step = 1; step <= steps; ++step) {
-        const auto command = make_command(random, whole.get_configs().get_version());
-        whole.apply(static_cast<log_index>(step), command);
-        if (step > cut) {
+        const auto command = make_command(random, original.get_configs().get_version());
+        original.apply(static_cast<log_index>(step), command);
+        if (step > snapshot_step) {
             restored.apply(static_cast<log_index>(step), command);
-        } else if (step == cut) {
-            RC_ASSERT(restored.load(whole.save()));
+        } else if (step == snapshot_step) {
+            RC_ASSERT(restored.load(original.save()));
         }
         std::set<std::string> owned;
-        for (const auto& [id, worker] : whole.get_fleet().get_workers()) {
-            RC_ASSERT(whole.get_fleet().get_owned(worker.owner()).contains(id));
+        for (const auto& [id, worker] : original.get_fleet().get_workers()) {
+            RC_ASSERT(original.get_fleet().get_owned(worker.owner()).contains(id));
         }
     }
-    if (cut > 0) {
-        RC_ASSERT(whole.hash_state() == restored.hash_state());
+    if (snapshot_step > 0) {
+        RC_ASSERT(original.hash_state() == restored.hash_state());
     }
 }
 
@@ -319,7 +320,7 @@
 TEST(config_mutation, forgotten_change_id_is_found) {
     // With versions unchecked too, since a version check alone refuses most resends.
     state_rules rules;
-    rules.config_remembers_changes = false;
+    rules.config_deduplicates_changes = false;
     rules.config_compares_version = false;
     EXPECT_GT(find_race(rules), 0);
 }
