--- a/poplarpitch/consensus/consensus_error.cpp
+++ b/poplarpitch/consensus/consensus_error.cpp
@@ -12,23 +12,23 @@
     [[nodiscard]] std::string message(int code) const override {
         switch (static_cast<consensus_errc>(code)) {
         case consensus_errc::not_leader:
-            return "this node does not lead";
+            return "this node is not the leader";
         case consensus_errc::overloaded:
-            return "too many uncommitted changes";
+            return "the log has too many uncommitted bytes";
         case consensus_errc::transfer_in_progress:
-            return "leadership is being transferred";
+            return "a leadership transfer is in progress";
         case consensus_errc::change_in_progress:
             return "a membership change is in progress";
         case consensus_errc::no_commit_in_term:
-            return "the leader has not committed in its own term yet";
+            return "the leader has not committed an entry in its own term yet";
         case consensus_errc::unknown_node:
             return "the node is not a member";
         case consensus_errc::not_caught_up:
-            return "the learner has not caught up";
+            return "the learner's log is too far behind";
         case consensus_errc::last_voter:
             return "the last voter cannot be removed";
         case consensus_errc::already_member:
-            return "the node is a member already";
+            return "the node is already a member";
         }
         return "unknown error";
     }
--- a/poplarpitch/state/state_error.cpp
+++ b/poplarpitch/state/state_error.cpp
@@ -12,7 +12,7 @@
     [[nodiscard]] std::string message(int code) const override {
         switch (static_cast<state_errc>(code)) {
         case state_errc::version_conflict:
-            return "the configuration has another version by now";
+            return "the configuration version has changed";
         case state_errc::invalid_config:
             return "the configuration text has errors";
         case state_errc::unknown_session:
@@ -20,13 +20,13 @@
         case state_errc::unknown_worker:
             return "no such worker";
         case state_errc::stale_epoch:
-            return "the worker has another owner by now";
+            return "the worker's owner has changed";
         case state_errc::unknown_job:
             return "no such job";
         case state_errc::stale_attempt:
-            return "the job has moved on to another attempt";
+            return "the job is no longer at this attempt";
         case state_errc::conflicting_job:
-            return "a job with this id and other content exists";
+            return "a job with this id and different content exists";
         case state_errc::over_quota:
             return "the tenant has as many jobs as its quota allows";
         case state_errc::unknown_tenant:
@@ -34,23 +34,23 @@
         case state_errc::unknown_batch:
             return "no batch class has this name";
         case state_errc::not_allowed:
-            return "the record's state does not allow this";
+            return "the state of the record does not allow this command";
         case state_errc::key_in_use:
             return "the idempotency key is in use";
         case state_errc::key_conflict:
-            return "the idempotency key was used with another request";
+            return "the idempotency key was used with a different request";
         case state_errc::unknown_intent:
             return "no request with this idempotency key is known";
         case state_errc::intents_full:
-            return "too many idempotency keys are remembered";
+            return "the table of idempotency keys is full";
         case state_errc::malformed:
-            return "the command cannot be read";
+            return "the command is malformed";
         case state_errc::never_fits:
-            return "no worker could ever hold the job";
+            return "no worker has the capacity for the job";
         case state_errc::address_taken:
             return "another target uses this id";
         case state_errc::jobs_full:
-            return "the records of all jobs take all the room there is; come back when some have ended";
+            return "the table of jobs is full; retry when some have ended";
         }
         return "unknown error";
     }
--- a/poplarpitch/storage/storage_error.cpp
+++ b/poplarpitch/storage/storage_error.cpp
@@ -14,7 +14,7 @@
         case storage_errc::no_space:
             return "the disk is full";
         case storage_errc::sync_failed:
-            return "a sync to disk failed";
+            return "syncing to disk failed";
         case storage_errc::corrupt:
             return "a stored record is corrupt";
         case storage_errc::other_cluster:
@@ -22,7 +22,7 @@
         case storage_errc::other_node:
             return "the data folder belongs to another node";
         case storage_errc::folder_missing:
-            return "the data folder does not exist and cannot be made";
+            return "the data folder does not exist and cannot be created";
         case storage_errc::folder_locked:
             return "another process uses the data folder";
         case storage_errc::unknown_format:
