--- a/poplarpitch/consensus/consensus_error.h
+++ b/poplarpitch/consensus/consensus_error.h
@@ -4,17 +4,17 @@
 
 namespace poplarpitch {
 
-/// Why the replicated log refuses a call.
+/// Errors returned by calls on the replicated log.
 enum class consensus_errc {
-    not_leader = 1,       ///< ask the leader
-    overloaded,           ///< too many uncommitted bytes; try again later
-    transfer_in_progress, ///< leadership is being handed over
-    change_in_progress,   ///< the last membership change is not committed yet
+    not_leader = 1,       ///< this node is not the leader; retry at the leader
+    overloaded,           ///< too many uncommitted bytes; retry later
+    transfer_in_progress, ///< a leadership transfer is in progress
+    change_in_progress,   ///< the previous membership change is not committed yet
     no_commit_in_term,    ///< the leader has not committed an entry of its own term yet
-    unknown_node,         ///< the node is not in the membership
-    not_caught_up,        ///< the learner lacks too much of the log
+    unknown_node,         ///< the node is not a member
+    not_caught_up,        ///< the learner's log is too far behind
     last_voter,           ///< the only voter cannot be removed
-    already_member,       ///< the node is in the membership already
+    already_member,       ///< the node is already a member
 };
 
 /// Returns the error category of the replicated log. Thread safety: any thread.
--- a/poplarpitch/consensus/early_messages.h
+++ b/poplarpitch/consensus/early_messages.h
@@ -5,12 +5,13 @@
 struct raft_message;
 struct raft_output;
 
-/// Returns true when a message of `output` may be sent before what `output` asks for is on this node's disk.
+/// Returns true if `message`, which is part of `output`, may be sent before `output` is synced to disk.
 ///
-/// A leader's entries may reach the others' disks at the same time as its own, which spares one sync of two
-/// for each commit: nothing counts its own copy before its sync has ended, since the node takes no answer
-/// until then, and a leader that forgets entries it has sent leads no more in their term. Everything else
-/// tells of what this node must remember: a term, a vote, entries that it holds. Thread safety: any thread.
+/// A leader may send entries while its own disk still writes them, so that a commit waits for one sync
+/// instead of two in a row. This is safe because the leader processes no response before its sync has ended,
+/// so its own copy is never counted too early. A leader that loses entries after sending them no longer leads
+/// in their term. All other messages report state that this node must not forget: a term, a vote or stored
+/// entries. Thread safety: any thread.
 [[nodiscard]] bool may_send_before_sync(const raft_output& output, const raft_message& message);
 
 } // namespace poplarpitch
--- a/poplarpitch/consensus/hard_state.h
+++ b/poplarpitch/consensus/hard_state.h
@@ -6,7 +6,7 @@
 
 namespace poplarpitch {
 
-/// What a node must have on disk before it answers: its term and whom it voted for in it.
+/// State that a node must store on disk before it responds: its term and its vote in that term.
 struct hard_state {
     log_term term = 0;
     node_id vote = 0;
--- a/poplarpitch/consensus/log_entry.h
+++ b/poplarpitch/consensus/log_entry.h
@@ -7,11 +7,11 @@
 
 namespace poplarpitch {
 
-/// What a log entry carries.
+/// Kind of a log entry's payload.
 enum class entry_kind : std::uint8_t {
-    none = 0,       ///< nothing; a new leader's first entry
-    command = 1,    ///< bytes for the replicated state machine
-    membership = 2, ///< a change of the voters or learners
+    none = 0,       ///< no payload; first entry of a new leader
+    command = 1,    ///< command for the replicated state machine
+    membership = 2, ///< new set of voters and learners
 };
 
 /// One entry of the replicated log.
@@ -19,7 +19,7 @@
     log_index index = 0;
     log_term term = 0;
     entry_kind kind = entry_kind::none;
-    std::string payload; ///< bytes, read by whoever owns the kind
+    std::string payload; ///< bytes in the format of `kind`
 
     friend auto operator<=>(const log_entry&, const log_entry&) = default;
 };
--- a/poplarpitch/consensus/node_id.h
+++ b/poplarpitch/consensus/node_id.h
@@ -4,13 +4,13 @@
 
 namespace poplarpitch {
 
-/// Number of a control instance in the replicated log's membership. 0 means none.
+/// Identifies a control instance in the membership of the replicated log. 0 means none.
 using node_id = std::uint64_t;
 
-/// Position in the replicated log, from 1. 0 means before the first entry.
+/// Position in the replicated log, starting at 1. 0 is the position before the first entry.
 using log_index = std::uint64_t;
 
-/// Election term, from 1.
+/// Election term, starting at 1.
 using log_term = std::uint64_t;
 
 } // namespace poplarpitch
--- a/poplarpitch/consensus/raft_log.h
+++ b/poplarpitch/consensus/raft_log.h
@@ -8,32 +8,32 @@
 
 namespace poplarpitch {
 
-/// The entries behind the last snapshot, in memory; the driver keeps the same on disk.
+/// The log entries after the last snapshot, kept in memory. The driver stores the same entries on disk.
 /// Thread safety: none, as for all methods.
 class raft_log {
 public:
-    /// Starts behind the snapshot at `index` of `term`.
+    /// Clears the log. The next entry follows the snapshot at `index` of `term`.
     void reset(log_index index, log_term term);
-    /// Appends one entry. Precondition: its index follows the last one.
+    /// Appends one entry. Precondition: its index is the last index plus one.
     void append(log_entry entry);
-    /// Drops the entries from `index` on. Precondition: `index` is behind the snapshot.
+    /// Removes the entries from `index` to the end. Precondition: `index` is after the snapshot.
     void truncate_from(log_index index);
-    /// Drops the entries up to `index`, which a snapshot now holds. Precondition: `index` is in the log.
+    /// Removes the entries up to `index`, which a snapshot now covers. Precondition: `index` is in the log.
     void compact(log_index index);
 
-    /// Returns the index of the last entry, or the snapshot's.
+    /// Returns the index of the last entry, or of the snapshot when there is no entry.
     [[nodiscard]] log_index get_last_index() const { return m_base_index + m_entries.size(); }
-    /// Returns the term of the last entry, or the snapshot's.
+    /// Returns the term of the last entry, or of the snapshot when there is no entry.
     [[nodiscard]] log_term get_last_term() const;
-    /// Returns the snapshot's index.
+    /// Returns the index of the snapshot.
     [[nodiscard]] log_index get_base_index() const { return m_base_index; }
-    /// Returns the snapshot's term.
+    /// Returns the term of the snapshot.
     [[nodiscard]] log_term get_base_term() const { return m_base_term; }
-    /// Returns the term at `index`; empty when it is before the snapshot or behind the end.
+    /// Returns the term at `index`, or nothing when `index` is before the snapshot or after the last entry.
     [[nodiscard]] std::optional<log_term> find_term(log_index index) const;
-    /// Returns the entry at `index`. Precondition: it is behind the snapshot and not behind the end.
+    /// Returns the entry at `index`. Precondition: the log has an entry at `index`.
     [[nodiscard]] const log_entry& at(log_index index) const;
-    /// Copies entries from `first` on, of at most `max_bytes` in all but at least one.
+    /// Copies entries starting at `first`, up to `max_bytes` of payload in total, but at least one entry.
     [[nodiscard]] std::vector<log_entry> copy_from(log_index first, std::size_t max_bytes) const;
 
 private:
--- a/poplarpitch/consensus/raft_node.cpp
+++ b/poplarpitch/consensus/raft_node.cpp
@@ -18,25 +18,25 @@
     }
     m_commit = m_snapshot.index;
     m_output_commit = m_snapshot.index;
-    // A restarted node has forgotten when it last heard a leader. It counts its start as that moment, so that
-    // the leader lease of a leader it may have just answered stays true.
-    m_last_heard = now;
+    // A restarted node does not know when it last received a message from a leader. It uses its start time,
+    // so that the lease of a leader to which it responded just before the restart stays valid.
+    m_last_leader_contact = now;
     refresh_membership();
     reset_election_timer(now);
 }
 
-// ---- time
+// ---- timers
 
 void raft_node::tick(time_point now) {
     if (m_role == raft_role::leader) {
         if (m_transfer_target != 0 && now >= m_transfer_deadline) {
-            // The target may still stand for election with a forced vote at any time, so no lease can be
-            // granted in this term any more: give it up.
+            // The target may still start a forced election at any time, so this leader cannot hold a lease
+            // again in this term. It steps down.
             become_follower(m_state.term, 0, now);
             return;
         }
         if (now - m_quorum_contact > m_settings.election_timeout_max) {
-            become_follower(m_state.term, 0, now); // check-quorum
+            become_follower(m_state.term, 0, now); // check-quorum: no quorum responded
             return;
         }
         if (now >= m_next_heartbeat) {
@@ -49,7 +49,8 @@
         if (m_members.is_voter(m_id)) {
             start_pre_vote(now);
         } else {
-            m_leader = 0; // a learner, or removed unawares: nobody has sent anything for an election timeout
+            // A learner, or a removed node that does not know of it: no leader sent anything for a timeout.
+            m_leader = 0;
             reset_election_timer(now);
         }
     }
@@ -66,7 +67,7 @@
     m_election_deadline = now + duration{low + static_cast<std::int64_t>(m_random() % span)};
 }
 
-// ---- messages in
+// ---- incoming messages
 
 void raft_node::step(const raft_message& message, time_point now) {
     if (message.to != m_id || message.from == m_id) {
@@ -194,7 +195,7 @@
         for (auto& [id, progress] : m_progress) {
             send_pending(id, progress);
         }
-        // A leader that is no longer a member leads until the entry that removed it is committed.
+        // A leader that is removed from the membership steps down once that change is committed.
         if (!m_members.is_voter(m_id) && m_commit >= m_members_index) {
             fail_reads();
             m_role = raft_role::follower;
--- a/poplarpitch/consensus/raft_node_election.cpp
+++ b/poplarpitch/consensus/raft_node_election.cpp
@@ -1,4 +1,4 @@
-// Elections: pre-vote, votes, becoming follower or leader.
+// Elections: pre-vote, votes and role changes.
 #include "poplarpitch/consensus/raft_node.h"
 
 namespace poplarpitch {
@@ -56,7 +56,7 @@
 }
 
 bool raft_node::has_recent_leader(time_point now) const {
-    return m_role == raft_role::leader || now - m_last_heard < m_settings.election_timeout_min;
+    return m_role == raft_role::leader || now - m_last_leader_contact < m_settings.election_timeout_min;
 }
 
 void raft_node::on_vote_request(const raft_message& message, time_point now) {
@@ -138,14 +138,14 @@
     m_reads.clear();
     m_progress.clear();
     reconcile_progress();
-    // The round counter goes on over terms, so that an answer to an older term's round never counts.
+    // The round counter continues across terms, so that a response to a round of an older term never counts.
     m_confirmed_round = m_round;
     m_round_times.clear();
     m_quorum_contact = now;
     m_term_first_index = m_log.get_last_index() + 1;
     if (m_log.get_last_index() == 0) {
-        // The first entry of a new cluster names its members, so that every later node learns them from the
-        // log.
+        // The first entry of a new cluster holds its membership, so that nodes that join later learn it from
+        // the log.
         m_members_index = 1;
         append_entry(entry_kind::membership, m_members.encode());
     } else {
--- a/poplarpitch/consensus/raft_node_follower.cpp
+++ b/poplarpitch/consensus/raft_node_follower.cpp
@@ -1,4 +1,4 @@
-// A follower's side of replication: entries and snapshots that come in.
+// Follower side of replication: incoming entries and snapshots.
 #include "poplarpitch/consensus/raft_node.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
     if (m_role != raft_role::follower || m_leader != message.from) {
         become_follower(message.term, message.from, now);
     }
-    m_last_heard = now;
+    m_last_leader_contact = now;
     reset_election_timer(now);
 }
 
@@ -26,19 +26,19 @@
     }
     follow_leader(message, now);
 
-    // 1. What the snapshot or the commit index already covers matches by definition.
+    // 1. Entries that the snapshot or the commit index covers match by definition.
     if (message.index < m_log.get_base_index()) {
         response.index = m_commit;
         m_output.messages.push_back(std::move(response));
         return;
     }
-    // 2. The entry before the new ones must be the leader's.
+    // 2. The entry before the new ones must match the leader's.
     const auto previous = m_log.find_term(message.index);
     const bool is_match =
         previous.has_value() && (*previous == message.index_term || !m_rules.append_checks_previous);
     if (!is_match) {
         response.reject = true;
-        // Skip the whole conflicting term at once, but never below what is committed.
+        // Skips the whole conflicting term at once, but never goes below the commit index.
         auto hint = std::min(message.index == 0 ? 0 : message.index - 1, m_log.get_last_index());
         while (hint > m_commit && previous.has_value() && m_log.find_term(hint) == previous) {
             --hint;
@@ -47,7 +47,7 @@
         m_output.messages.push_back(std::move(response));
         return;
     }
-    // 3. Store what is new, and follow the leader's commit index as far as this message vouches for.
+    // 3. Stores new entries and advances the commit index, at most to the last entry that matches now.
     store_entries(message.entries);
     const auto last_verified = message.index + message.entries.size();
     response.index = last_verified;
@@ -77,7 +77,7 @@
 }
 
 void raft_node::truncate(log_index index) {
-    assert(index > m_commit || m_rules != raft_rules{}); // committed entries never go
+    assert(index > m_commit || m_rules != raft_rules{}); // committed entries are never removed
     m_log.truncate_from(index);
     std::erase_if(m_output.entries, [&](const log_entry& entry) { return entry.index >= index; });
     if (m_output.truncate_from == 0 || index < m_output.truncate_from) {
@@ -104,18 +104,19 @@
         m_output.messages.push_back(std::move(response));
         return;
     }
-    if (m_incoming_index != message.index || m_incoming_term != message.index_term || message.offset == 0) {
-        m_incoming.clear();
-        m_incoming_index = message.index;
-        m_incoming_term = message.index_term;
+    if (m_incoming_snapshot_index != message.index || m_incoming_snapshot_term != message.index_term ||
+        message.offset == 0) {
+        m_incoming_snapshot.clear();
+        m_incoming_snapshot_index = message.index;
+        m_incoming_snapshot_term = message.index_term;
     }
-    if (message.offset == m_incoming.size()) {
-        m_incoming += message.data;
+    if (message.offset == m_incoming_snapshot.size()) {
+        m_incoming_snapshot += message.data;
         if (message.last) {
             raft_snapshot snapshot{message.index, message.index_term, message.members,
-                                   std::make_shared<const std::string>(std::move(m_incoming))};
-            m_incoming = {};
-            m_incoming_index = 0;
+                                   std::make_shared<const std::string>(std::move(m_incoming_snapshot))};
+            m_incoming_snapshot = {};
+            m_incoming_snapshot_index = 0;
             m_log.reset(snapshot.index, snapshot.term);
             m_snapshot = snapshot;
             m_members = snapshot.members;
@@ -131,7 +132,7 @@
             return;
         }
     }
-    response.offset = m_incoming.size();
+    response.offset = m_incoming_snapshot.size();
     m_output.messages.push_back(std::move(response));
 }
 
--- a/poplarpitch/consensus/raft_node_leader.cpp
+++ b/poplarpitch/consensus/raft_node_leader.cpp
@@ -1,4 +1,4 @@
-// A leader's side of replication: proposals, rounds, progress, commit.
+// Leader side of replication: proposals, heartbeat rounds, follower progress and commits.
 #include "poplarpitch/consensus/raft_node.h"
 
 #include "poplarpitch/consensus/consensus_error.h"
@@ -30,7 +30,7 @@
     log_entry entry{m_log.get_last_index() + 1, m_state.term, kind, std::move(payload)};
     m_output.entries.push_back(entry);
     m_log.append(std::move(entry));
-    advance_commit(); // a single voter commits at once
+    advance_commit(); // the only voter of a cluster commits at once
 }
 
 void raft_node::start_round(time_point now) {
@@ -117,7 +117,7 @@
     progress.inflight = progress.inflight > 0 ? progress.inflight - 1 : 0;
     if (message.reject) {
         if (message.index < progress.match) {
-            return; // an old answer
+            return; // a stale response
         }
         progress.next = std::max(progress.match, message.index) + 1;
         progress.inflight = 0;
@@ -158,7 +158,7 @@
         progress.snapshot_offset = message.offset;
         send_snapshot_chunk(message.from, progress);
     } else if (message.offset < progress.snapshot_offset) {
-        progress.snapshot_offset = message.offset; // it restarted; the next heartbeat goes on from there
+        progress.snapshot_offset = message.offset; // it restarted; the next heartbeat resumes here
     }
 }
 
--- a/poplarpitch/consensus/raft_node_membership.cpp
+++ b/poplarpitch/consensus/raft_node_membership.cpp
@@ -1,4 +1,4 @@
-// Membership changes, one server at a time.
+// Single-server membership changes.
 #include "poplarpitch/consensus/raft_node.h"
 
 #include "poplarpitch/consensus/consensus_error.h"
--- a/poplarpitch/consensus/raft_role.h
+++ b/poplarpitch/consensus/raft_role.h
@@ -4,10 +4,10 @@
 
 namespace poplarpitch {
 
-/// What a node is in the present term.
+/// Role of a node in the current term.
 enum class raft_role : std::uint8_t { follower, pre_candidate, candidate, leader };
 
-/// Returns the role's name for logs and status pages. Thread safety: any thread.
+/// Returns the name of a role for logs and status pages. Thread safety: any thread.
 constexpr const char* get_role_name(raft_role role) {
     switch (role) {
     case raft_role::follower:
--- a/unit_tests/consensus/early_messages_test.cpp
+++ b/unit_tests/consensus/early_messages_test.cpp
@@ -1,4 +1,4 @@
-// What a leader may send while its own disk is still being written.
+// Checks which messages a leader may send before its own disk is synced.
 #include "poplarpitch/consensus/early_messages.h"
 
 #include "poplarpitch/consensus/raft_output.h"
--- a/unit_tests/consensus/raft_harness.cpp
+++ b/unit_tests/consensus/raft_harness.cpp
@@ -50,8 +50,8 @@
 
 void raft_harness::crash(node_id id) {
     auto& self = m_slots[id];
-    // What the node has decided but not written is lost with it, though some of it may have been sent; or
-    // what was written is all that it did.
+    // The crash comes either after the output was written and before any message was sent, or before it was
+    // written and after the early messages were sent.
     if (self.node != nullptr) {
         const auto output = self.node->take_output();
         if (pick(2) == 0) {
@@ -106,9 +106,9 @@
         m_acknowledged = std::max(m_acknowledged, self.node->get_commit());
     }
     for (const auto token : output.reads) {
-        const auto asked = self.reads.find(token);
-        if (asked != self.reads.end() && self.applied < asked->second) {
-            fail("a read returned less than was acknowledged before it was asked");
+        const auto requested = self.reads.find(token);
+        if (requested != self.reads.end() && self.applied < requested->second) {
+            fail("a read returned an older state than was acknowledged when it was requested");
         }
         self.reads.erase(token);
     }
@@ -116,7 +116,7 @@
 
 void raft_harness::check_committed(slot& self, const log_entry& entry) {
     if (entry.index != self.applied + 1) {
-        fail("committed entries came out of order");
+        fail("entries were committed out of order");
     }
     self.applied = entry.index;
     if (entry.kind == entry_kind::membership) {
@@ -144,7 +144,7 @@
             const bool is_newer = other.node != nullptr && other.node->get_role() == raft_role::leader &&
                                   other.node->get_term() > self.node->get_term();
             if (is_newer) {
-                fail("a leader holds its lease while a newer one leads");
+                fail("a leader holds its lease while another node leads in a newer term");
             }
         }
     }
@@ -154,17 +154,17 @@
     if (m_messages.empty()) {
         return;
     }
-    const auto place = static_cast<std::size_t>(pick(static_cast<int>(m_messages.size())));
-    const auto message = m_messages[place];
+    const auto position = static_cast<std::size_t>(pick(static_cast<int>(m_messages.size())));
+    const auto message = m_messages[position];
     if (m_slots[message.to].is_frozen) {
-        return; // its sockets keep it until it wakes
+        return; // the sockets of a frozen node keep the message until it resumes
     }
-    const int fate = pick(20);
-    if (fate != 0) { // 0: doubled, it stays in flight too
-        m_messages[place] = m_messages.back();
+    const int fault = pick(20);
+    if (fault != 0) { // 0: duplicated, a copy stays in flight
+        m_messages[position] = m_messages.back();
         m_messages.pop_back();
     }
-    const bool is_lost = fate == 1 || m_cuts.contains({message.from, message.to});
+    const bool is_lost = fault == 1 || m_cuts.contains({message.from, message.to});
     auto& self = m_slots[message.to];
     if (is_lost || self.node == nullptr) {
         return;
@@ -231,14 +231,14 @@
         self.is_frozen = self.node != nullptr && !self.is_frozen;
     } else if (pick(400) == 0) {
         for (auto& [other_id, other] : m_slots) {
-            crash(other_id); // the power of all fails at once
+            crash(other_id); // a power failure of all nodes at once
         }
     } else if (self.is_frozen) {
         self.is_frozen = pick(3) != 0;
     } else if (choice == 82) {
         m_cuts.clear();
         for (int cut = pick(4); cut > 0; --cut) {
-            m_cuts.insert({any_node(), any_node()}); // one way only: links can be cut in one direction
+            m_cuts.insert({any_node(), any_node()}); // cuts one direction only
         }
     } else if (self.node == nullptr) {
         start(id);
@@ -306,7 +306,9 @@
         }
         const auto last = m_committed.find(proposed);
         if (proposed != 0 && last != m_committed.end()) {
-            return last->second.payload == "last" ? "" : "another entry took the place of the last command";
+            return last->second.payload == "last"
+                       ? ""
+                       : "another entry was committed at the index of the last command";
         }
     }
     return m_violation.empty() ? "no command could be committed after the faults ended" : m_violation;
--- a/unit_tests/consensus/raft_node_test.cpp
+++ b/unit_tests/consensus/raft_node_test.cpp
@@ -9,7 +9,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Three nodes on a perfect network, for tests of one rule each.
+/// Three nodes on a network without faults, for tests of one rule each.
 class raft_trio : public testing::Test {
 protected:
     raft_trio() {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Lets time pass in steps; messages to and from `m_down` are lost.
+    /// Advances time in steps. Messages to and from `m_down` are lost.
     void run(duration length) {
         for (const auto end = m_now + length; m_now < end; m_now += milliseconds{10}) {
             for (auto& [id, node] : m_nodes) {
@@ -102,7 +102,7 @@
     const auto leader = find_leader();
     const auto term = m_nodes[leader]->get_term();
     const node_id isolated = leader == 1 ? 2 : 1;
-    // It hears nobody for long and asks for votes all the while; nothing of that reaches the others.
+    // The isolated node receives nothing and keeps requesting votes, but its messages are lost.
     for (int index = 0; index < 1000; ++index) {
         m_now += milliseconds{10};
         for (auto& [id, node] : m_nodes) {
@@ -111,7 +111,7 @@
         m_down = isolated;
         exchange();
     }
-    EXPECT_EQ(m_nodes[isolated]->get_term(), term); // pre-vote: no term was burned
+    EXPECT_EQ(m_nodes[isolated]->get_term(), term); // pre-vote does not raise the term
     m_down = 0;
     run(seconds{1});
     EXPECT_EQ(find_leader(), leader);
--- a/unit_tests/consensus/raft_safety_test.cpp
+++ b/unit_tests/consensus/raft_safety_test.cpp
@@ -44,7 +44,7 @@
     EXPECT_EQ(first.hash_committed(), second.hash_committed());
 }
 
-/// Runs seeds until a property breaks. Returns the number of seeds it took, or 0 when none broke.
+/// Runs seeds until a property is violated. Returns the number of seeds run, or 0 when none violated one.
 int find_violation(const harness_settings& settings) {
     constexpr int most_seeds = 2000;
     for (int seed = 1; seed <= most_seeds; ++seed) {
@@ -56,7 +56,7 @@
     return 0;
 }
 
-// Each rule is switched off once; a harness that did not notice would prove nothing.
+// Each test disables one rule and checks that the harness detects the violation.
 
 TEST(raft_mutation, vote_for_an_incomplete_log_is_found) {
     harness_settings settings;
--- a/unit_tests/consensus/raft_scenarios_test.cpp
+++ b/unit_tests/consensus/raft_scenarios_test.cpp
@@ -12,7 +12,7 @@
     return nodes;
 }
 
-/// Runs until somebody leads, and returns it before it could send anything.
+/// Runs until a node leads in a term above `above`. Returns it before it has sent anything.
 raft_node& elect(split_cluster& cluster, const side& nodes, log_term above) {
     EXPECT_TRUE(cluster.run_until(nodes, [&] {
         const auto* leader = cluster.find_leader(nodes);
@@ -21,7 +21,7 @@
     return *cluster.find_leader(nodes);
 }
 
-/// A cut-off leader adds two nodes of its side while the other founders elect a leader of theirs.
+/// A partitioned leader adds two nodes on its side while the other founders elect their own leader.
 bool split_by_two_changes(const raft_rules& rules) {
     split_cluster cluster(5, 3, {}, rules);
     const side founders = {1, 2, 3};
@@ -43,35 +43,35 @@
     EXPECT_TRUE(split_by_two_changes(rules));
 }
 
-/// Figure 8 of the Raft paper: an entry of an older term reaches a majority and is overwritten all the same.
+/// Figure 8 of the Raft paper: an entry of an older term reaches a majority and is still overwritten.
 bool split_by_older_term(const raft_rules& rules) {
     raft_settings settings;
-    settings.max_append_bytes = 1; // one entry with a message, one message at a time: the order is exact
+    settings.max_append_bytes = 1; // one entry per message and one message at a time, for an exact order
     settings.max_inflight = 1;
     split_cluster cluster(5, 5, settings, rules);
     const side all = {1, 2, 3, 4, 5};
     cluster.run(all, seconds{2});
-    // 1. The first leader brings its entry to one follower only.
+    // 1. The first leader replicates its entry to one follower only.
     auto& first = *cluster.find_leader(all);
     const auto follower = first.get_id() == 1 ? node_id{2} : node_id{1};
     const auto index = first.propose("contested", cluster.get_now()).value();
     cluster.run_until({first.get_id(), follower},
                       [&] { return cluster.get(follower).get_log().get_last_index() == index; });
-    // 2. The others elect a leader, which writes an entry of its own at that index and is cut off.
+    // 2. The others elect a leader, which appends its own entry at that index and is cut off.
     const auto others = without(without(all, first.get_id()), follower);
     auto& second = elect(cluster, others, first.get_term());
     cluster.cut_off(second.get_id());
     const auto rest = without(others, second.get_id());
-    // 3. The entry of the first term reaches a third node, but nothing of the newest term does.
+    // 3. The entry of the first term reaches a third node, but no entry of the newest term does.
     const side majority = {first.get_id(), follower, *rest.begin()};
     auto& third = cluster.get(*rest.begin());
     EXPECT_TRUE(cluster.run_until(majority, [&] { return third.get_log().get_last_index() == index; }));
-    cluster.run(majority, milliseconds{10}); // its answer
+    cluster.run(majority, milliseconds{10}); // delivers its response
     for (const auto id : majority) {
         cluster.cut_off(id);
     }
     EXPECT_EQ(third.get_log().get_last_index(), index);
-    // 4. The second leader's log is the newer one to all but the first side.
+    // 4. For all nodes outside the first side, the second leader has the newer log.
     cluster.run(others, seconds{4});
     return cluster.is_split();
 }
@@ -83,8 +83,8 @@
     EXPECT_TRUE(split_by_older_term(rules));
 }
 
-/// Ongaro's correction of 2015: a leader that changes the members before it has committed in its term does
-/// not know of a change that the last leader had under way.
+/// Ongaro's correction of 2015: a leader that changes the membership before it has committed an entry in its
+/// term does not know of a change that the previous leader had in progress.
 bool split_by_early_change(const raft_rules& rules) {
     split_cluster cluster(5, 4, {}, rules);
     const side founders = {1, 2, 3, 4};
@@ -93,16 +93,16 @@
     auto& first = *cluster.find_leader(founders);
     EXPECT_TRUE(first.add_learner(5, cluster.get_now()));
     cluster.run(all, milliseconds{500});
-    // 1. The first leader makes node 5 a voter; only node 5 hears of it.
+    // 1. The first leader makes node 5 a voter. Only node 5 receives the change.
     EXPECT_TRUE(first.promote(5, cluster.get_now()));
     cluster.run({first.get_id(), 5}, milliseconds{50});
-    // 2. The next leader removes the first one, and only one more node hears of that.
+    // 2. The next leader removes the first one. Only one more node receives that change.
     const auto others = without(founders, first.get_id());
     auto& second = elect(cluster, others, first.get_term());
     static_cast<void>(second.remove(first.get_id(), cluster.get_now()));
     const auto rest = without(others, second.get_id());
     cluster.run({second.get_id(), *rest.begin()}, milliseconds{200});
-    // 3. The first leader, node 5 and the one that heard nothing are a majority of the first one's members.
+    // 3. The first leader, node 5 and the node without either change are a majority of the first membership.
     cluster.run({first.get_id(), 5, *rest.rbegin()}, seconds{4});
     return cluster.is_split();
 }
@@ -122,7 +122,7 @@
     const auto removed = leader.get_id() == 3 ? node_id{2} : node_id{3};
     const auto rest = without(all, removed);
     EXPECT_TRUE(leader.remove(removed, cluster.get_now()));
-    cluster.run_apart({rest, {removed}}, seconds{30}); // it waits behind the partition, and raises no term
+    cluster.run_apart({rest, {removed}}, seconds{30}); // the partitioned node raises no term
     const auto term = leader.get_term();
     cluster.run(all, seconds{5});
     EXPECT_EQ(leader.get_role(), raft_role::leader);
@@ -141,7 +141,7 @@
         EXPECT_TRUE(leader.propose("change " + std::to_string(number), cluster.get_now()));
     }
     cluster.run_apart({founders, {4}}, seconds{10});
-    EXPECT_FALSE(leader.promote(4, cluster.get_now())); // it has nothing yet
+    EXPECT_FALSE(leader.promote(4, cluster.get_now())); // it has no entries yet
     cluster.run({1, 2, 3, 4}, seconds{2});
     EXPECT_TRUE(leader.promote(4, cluster.get_now()));
     cluster.run({1, 2, 3, 4}, seconds{1});
@@ -157,7 +157,7 @@
     const auto lost = leader.get_id() == 3 ? node_id{2} : node_id{3};
     const auto rest = without(founders, lost);
     const auto survivor = *without(rest, leader.get_id()).begin();
-    // The repair: the lost one goes, a spare learns the log and votes in its place.
+    // The repair removes the lost node, and a spare learns the log and replaces it as a voter.
     EXPECT_TRUE(leader.remove(lost, cluster.get_now()));
     cluster.run(rest, milliseconds{200});
     EXPECT_TRUE(leader.add_learner(4, cluster.get_now()));
@@ -169,7 +169,7 @@
     const auto index = leader.propose("kept", cluster.get_now()).value();
     cluster.run(repaired, milliseconds{200});
     EXPECT_TRUE(cluster.has_committed(index));
-    // At once the leader is lost too, and the spare and the other founder go on with everything.
+    // The leader is lost right afterwards. The spare and the other founder keep all committed entries.
     const side survivors = {survivor, 4};
     auto& next = elect(cluster, survivors, leader.get_term());
     cluster.run(survivors, milliseconds{500});
@@ -184,12 +184,12 @@
     const side founders = {1, 2, 3};
     cluster.run(founders, seconds{2});
     auto& leader = *cluster.find_leader(founders);
-    EXPECT_TRUE(leader.add_learner(4, cluster.get_now())); // in the log, but never committed
+    EXPECT_TRUE(leader.add_learner(4, cluster.get_now())); // appended, but never committed
     const auto index = leader.propose("alone", cluster.get_now()).value();
     cluster.run({leader.get_id(), 4}, seconds{2});
     EXPECT_FALSE(cluster.has_committed(index));
     EXPECT_NE(leader.get_role(), raft_role::leader);
-    cluster.run({1, 2, 3, 4}, seconds{3}); // both come back
+    cluster.run({1, 2, 3, 4}, seconds{3}); // the other two founders return
     EXPECT_NE(cluster.find_leader({1, 2, 3, 4}), nullptr);
     EXPECT_FALSE(cluster.is_split());
 }
