--- a/poplarpitch/storage/file_system.h
+++ b/poplarpitch/storage/file_system.h
@@ -9,8 +9,8 @@
 
 namespace poplarpitch {
 
-/// What storage needs of a folder of files. Names are relative to the one data folder. The POSIX one is used
-/// by daemons; the one in the tests drops unsynced bytes and fails any call on demand.
+/// File operations that storage needs. File names are relative to the data folder. Daemons use the POSIX
+/// implementation. The one in the tests drops unsynced bytes and fails any call on demand.
 template <class T>
 concept file_system = requires(T& files, const std::string& name, std::string_view bytes,
                                std::uint64_t size) {
--- a/poplarpitch/storage/frame_codec.cpp
+++ b/poplarpitch/storage/frame_codec.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint32_t magic = 0x70d5a31fU;
 constexpr std::size_t header_size = sizeof(std::uint32_t) + sizeof(std::uint32_t) + sizeof(std::uint64_t);
 
-/// Mixes the length into the checksum, so that a damaged length cannot go unseen.
+/// Computes a checksum that includes the length, so that a damaged length is detected.
 std::uint64_t make_checksum(std::string_view payload) {
     return hash_bytes(payload) ^ (payload.size() * 0x9e3779b97f4a7c15ULL);
 }
--- a/poplarpitch/storage/posix_file_system.cpp
+++ b/poplarpitch/storage/posix_file_system.cpp
@@ -47,7 +47,7 @@
 
 result<void> posix_file_system::lock() {
     if (m_lock >= 0) {
-        return boost::outcome_v2::success(); // a second lock of its own would meet the first
+        return boost::outcome_v2::success(); // a second lock would conflict with the first
     }
     if (::mkdir(m_folder.c_str(), folder_mode) != 0 && errno != EEXIST) {
         return make_error_code(storage_errc::folder_missing);
@@ -139,7 +139,7 @@
         }
         if (count <= 0) {
             const auto error = make_errno_error();
-            // Half a record must not stand in front of the next one.
+            // A partial record must not precede the next one.
             if (::ftruncate(descriptor, before.st_size) != 0) {
                 return make_error_code(storage_errc::sync_failed);
             }
--- a/poplarpitch/storage/posix_file_system.h
+++ b/poplarpitch/storage/posix_file_system.h
@@ -10,7 +10,7 @@
 
 namespace poplarpitch {
 
-/// The files of one data folder. Keeps appended files open, since opening costs more than the write.
+/// The files of one data folder. Keeps appended files open, because opening a file costs more than the write.
 /// Thread safety: none, as for all methods; one thread owns the folder.
 class posix_file_system {
 public:
@@ -20,24 +20,24 @@
     posix_file_system(const posix_file_system&) = delete;
     posix_file_system& operator=(const posix_file_system&) = delete;
 
-    /// Makes the folder where it is missing and locks it against other processes. Locked already, it does
-    /// nothing.
+    /// Creates the folder if it is missing and locks it against other processes. Does nothing when this
+    /// object already holds the lock.
     result<void> lock();
-    /// Returns the names of the files, sorted.
+    /// Returns the names of the files, sorted, without the lock file.
     result<std::vector<std::string>> list();
     /// Returns all bytes of a file.
     result<std::string> read(const std::string& name);
-    /// Appends to a file, making it where it is missing. On a failure the file is cut back to its old size.
+    /// Appends to a file and creates it if it is missing. A failed append truncates the file to its old size.
     result<void> append(const std::string& name, std::string_view bytes);
-    /// Cuts a file to `size` bytes.
+    /// Truncates a file to `size` bytes.
     result<void> truncate(const std::string& name, std::uint64_t size);
     /// Makes the bytes of a file durable.
     result<void> sync(const std::string& name);
-    /// Makes names, renames and removals durable.
+    /// Makes new names, renames and removals durable.
     result<void> sync_folder();
-    /// Gives a file another name, replacing what stood there.
+    /// Renames a file and replaces an existing file of the new name.
     result<void> rename(const std::string& from, const std::string& to);
-    /// Removes a file; one that is missing is no error.
+    /// Removes a file. A missing file is not an error.
     result<void> remove(const std::string& name);
 
 private:
--- a/poplarpitch/storage/raft_codec.h
+++ b/poplarpitch/storage/raft_codec.h
@@ -12,11 +12,11 @@
 
 /// Writes an entry into its protobuf message. Thread safety: any thread.
 void encode(const log_entry& entry, wire::log_entry& message);
-/// Reads an entry. Thread safety: any thread.
+/// Reads an entry from its protobuf message. Thread safety: any thread.
 [[nodiscard]] log_entry decode(const wire::log_entry& message);
 /// Writes a membership into its protobuf message. Thread safety: any thread.
 void encode(const raft_membership& members, wire::membership& message);
-/// Reads a membership. Thread safety: any thread.
+/// Reads a membership from its protobuf message. Thread safety: any thread.
 [[nodiscard]] raft_membership decode(const wire::membership& message);
 
 } // namespace poplarpitch
--- a/poplarpitch/storage/raft_message_codec.h
+++ b/poplarpitch/storage/raft_message_codec.h
@@ -8,9 +8,9 @@
 
 namespace poplarpitch {
 
-/// Writes a message of the replicated log into its protobuf form. Thread safety: any thread.
+/// Writes a message of the replicated log into its protobuf message. Thread safety: any thread.
 void encode(const raft_message& message, wire::raft_message& target);
-/// Reads a message of the replicated log. Thread safety: any thread.
+/// Reads a message of the replicated log from its protobuf message. Thread safety: any thread.
 [[nodiscard]] raft_message decode(const wire::raft_message& source);
 
 } // namespace poplarpitch
--- a/poplarpitch/storage/raft_storage.h
+++ b/poplarpitch/storage/raft_storage.h
@@ -11,41 +11,41 @@
 
 namespace poplarpitch {
 
-/// The durable side of one node: a write-ahead log in segments, and the newest snapshot.
+/// Durable storage of one node: a segmented write-ahead log and the newest snapshot.
 ///
-/// Each call of `save` writes one frame and syncs once (group commit): whatever the driver collected shares
-/// one sync. Only the last frame of the last segment can therefore be torn; it is cut off at open, since
-/// nothing in it was acknowledged. A bad frame anywhere else is corruption and refused with its file and
-/// offset. A snapshot is written beside the old one, synced and renamed; a new segment starts with it and
-/// older segments go. After any error the object must not be used again: the state of the disk is not known.
-/// Thread safety: none, as for all methods.
+/// Each call of `save` writes one frame and syncs once (group commit), so everything that the driver
+/// collected shares one sync. Therefore only the last frame of the last segment can be torn. `open` truncates
+/// it, because nothing in it was acknowledged. An invalid frame anywhere else is corruption, which is
+/// reported with its file and offset. A snapshot is written to a new file, synced and renamed over the old
+/// one. A new segment then starts with it, and older segments are removed. After an error the object must not
+/// be used again, because the state of the disk is unknown. Thread safety: none, as for all methods.
 template <file_system FileSystem>
 class raft_storage {
 public:
-    /// Precondition: `files` outlives the storage.
+    /// Precondition: `files` outlives this object.
     raft_storage(FileSystem& files, const storage_settings& settings);
 
-    /// Locks the folder and reads it.
+    /// Locks the data folder and reads its contents.
     result<stored_state> open();
-    /// Writes the founding members; from then on the folder is not blank. Precondition: `open` found it
+    /// Writes the founding members, so that the folder is no longer blank. Precondition: `open` found it
     /// blank.
     result<void> form(const raft_membership& members);
-    /// Makes what `output` asks for durable. Precondition: `open` succeeded.
+    /// Makes the state in `output` durable. Precondition: `open` succeeded.
     result<void> save(const raft_output& output);
-    /// Stores a snapshot and starts a new segment with `rest`, the entries behind it.
+    /// Stores a snapshot and starts a new segment with `tail`, the entries after the snapshot.
     result<void> save_snapshot(const raft_snapshot& snapshot, const hard_state& state,
                                const std::vector<log_entry>& tail);
 
-    /// Returns where the last error was found: file and offset, for logs.
+    /// Returns the file and offset of the last error, for logs.
     [[nodiscard]] const std::string& get_error_place() const { return m_error_place; }
-    /// Returns the bytes of the present segment.
+    /// Returns the size of the current segment in bytes.
     [[nodiscard]] std::uint64_t get_segment_bytes() const { return m_segment_bytes; }
-    /// Returns the bytes written since open.
+    /// Returns the number of bytes written since `open`.
     [[nodiscard]] std::uint64_t get_written_bytes() const { return m_written_bytes; }
 
 private:
     result<void> read_snapshot(stored_state& state);
-    /// Cuts the log to what follows the snapshot. Returns true when a new segment must say so on disk.
+    /// Removes log entries that do not follow the snapshot. Returns true if a new segment must record that.
     bool trim_log_to_snapshot(stored_state& state);
     result<void> read_segment(const std::string& name, bool is_last, stored_state& state);
     result<void> apply_frame(const std::string& name, std::uint64_t offset, std::string_view payload,
@@ -58,11 +58,11 @@
 
     FileSystem& m_files;
     storage_settings m_settings;
-    std::string m_segment; ///< name of the segment being written
+    std::string m_segment; ///< name of the current segment
     std::uint64_t m_segment_number = 0;
     std::uint64_t m_segment_bytes = 0;
     std::uint64_t m_written_bytes = 0;
-    log_index m_base_index = 0; ///< while reading: the log's entries start behind this
+    log_index m_base_index = 0; ///< while reading: index before the first entry
     log_term m_base_term = 0;
     std::string m_error_place;
 };
--- a/poplarpitch/storage/raft_storage_impl.h
+++ b/poplarpitch/storage/raft_storage_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Definitions of raft_storage, for the files that instantiate it with a file system of their own.
+// Definitions of raft_storage, for source files that instantiate it with their own file system.
 
 #include "poplarpitch/storage/raft_storage.h"
 
@@ -27,7 +27,7 @@
 raft_storage<FileSystem>::raft_storage(FileSystem& files, const storage_settings& settings)
     : m_files(files), m_settings(settings) {}
 
-/// Checks that a file was written for this cluster and node by a version we can read.
+/// Checks that a file belongs to this cluster and node and has a supported format.
 inline result<void> check_identity(const wire::wal_identity& identity, const storage_settings& settings) {
     if (identity.format() > storage_format) {
         return make_error_code(storage_errc::unknown_format);
@@ -55,7 +55,7 @@
     std::vector<std::string> segments;
     for (const auto& name : names) {
         if (name == snapshot_new_name || name == members_new_name) {
-            BOOST_OUTCOME_TRY(m_files.remove(name)); // a crash came before its rename
+            BOOST_OUTCOME_TRY(m_files.remove(name)); // left by a crash before its rename
         } else if (absl::StartsWith(name, segment_prefix)) {
             segments.push_back(name);
         } else if (name == snapshot_name || name == members_name) {
@@ -86,9 +86,9 @@
     if (snapshot.index == m_base_index && snapshot.term == m_base_term) {
         return false;
     }
-    // A crash came between the snapshot and the new segment. The log may go on behind the snapshot only where
-    // it holds the snapshot's last entry itself; otherwise what stands behind may be of a deposed leader, and
-    // a low last term would let this node vote for a log that lacks committed entries.
+    // A crash occurred between writing the snapshot and starting the new segment. Entries after the snapshot
+    // may be kept only if the log holds the snapshot's last entry. Otherwise they may come from a deposed
+    // leader, and their low last term would let this node vote for a log that lacks committed entries.
     const bool is_in_log =
         snapshot.index > m_base_index && snapshot.index - m_base_index <= state.entries.size();
     if (is_in_log && state.entries[snapshot.index - m_base_index - 1].term == snapshot.term) {
@@ -175,7 +175,7 @@
     }
     if (frame.has_identity()) {
         BOOST_OUTCOME_TRY(check_identity(frame.identity(), m_settings));
-        state.entries.clear(); // a segment's first frame repeats what still counts of older ones
+        state.entries.clear(); // the first frame of a segment repeats the valid entries of older ones
     }
     if (frame.has_state()) {
         state.state = {frame.term(), frame.vote()};
@@ -193,7 +193,7 @@
         auto entry = decode(message);
         const auto expected = m_base_index + state.entries.size() + 1;
         if (entry.index != expected) {
-            return make_error_code(storage_errc::corrupt); // a gap: a segment is missing
+            return make_error_code(storage_errc::corrupt); // an index gap: a segment is missing
         }
         state.entries.push_back(std::move(entry));
     }
@@ -216,7 +216,7 @@
     if (output.install.has_value()) {
         const auto state = output.state.value_or(hard_state{});
         BOOST_OUTCOME_TRY(write_snapshot_file(*output.install));
-        // The log restarts behind the snapshot; entries of this output come after it.
+        // The log restarts after the snapshot. The entries of this output follow it.
         wire::wal_frame frame;
         frame.set_reset_index(output.install->index);
         frame.set_reset_term(output.install->term);
@@ -269,7 +269,7 @@
 template <file_system FileSystem>
 result<void> raft_storage<FileSystem>::start_segment(const raft_snapshot& snapshot, const hard_state& state,
                                                      const std::vector<log_entry>& tail) {
-    // The first frame repeats all that older segments hold, so they may go once it is synced.
+    // The first frame repeats all valid state of older segments, which may be removed once it is synced.
     ++m_segment_number;
     const auto name = absl::StrFormat("%s%012d", segment_prefix, m_segment_number);
     wire::wal_frame frame;
--- a/poplarpitch/storage/storage_error.h
+++ b/poplarpitch/storage/storage_error.h
@@ -4,14 +4,14 @@
 
 namespace poplarpitch {
 
-/// Why the data folder cannot be used or written.
+/// Errors of reading or writing the data folder.
 enum class storage_errc {
     no_space = 1,   ///< the disk is full; nothing was acknowledged
-    sync_failed,    ///< a sync failed: what is on disk is not known, so the process must end
+    sync_failed,    ///< a sync failed; the state on disk is unknown, so the process must exit
     corrupt,        ///< a record in the middle of a file does not match its checksum
     other_cluster,  ///< the folder belongs to another cluster
     other_node,     ///< the folder belongs to another node
-    folder_missing, ///< the data folder does not exist and cannot be made
+    folder_missing, ///< the data folder does not exist and cannot be created
     folder_locked,  ///< another process uses the folder
     unknown_format, ///< written by a newer version
     io_failed,      ///< any other failure of the file system
--- a/poplarpitch/storage/storage_settings.h
+++ b/poplarpitch/storage/storage_settings.h
@@ -8,10 +8,10 @@
 
 namespace poplarpitch {
 
-/// Whose files a data folder holds.
+/// The cluster and node that a data folder belongs to.
 struct storage_settings {
     std::string cluster; ///< name of the cluster
-    node_id node = 0;    ///< number of the node
+    node_id node = 0;    ///< id of the node
 
     friend auto operator<=>(const storage_settings&, const storage_settings&) = default;
 };
--- a/poplarpitch/storage/stored_state.h
+++ b/poplarpitch/storage/stored_state.h
@@ -8,14 +8,14 @@
 
 namespace poplarpitch {
 
-/// What a data folder held when it was opened.
+/// Contents of a data folder when it was opened.
 struct stored_state {
-    bool is_blank = true; ///< nothing was ever stored here
+    bool is_blank = true; ///< true when the folder holds no state
     hard_state state;
     raft_snapshot snapshot;
-    std::vector<log_entry> entries; ///< behind the snapshot
-    raft_membership initial;        ///< members at the forming of the cluster
-    std::uint64_t cut_bytes = 0;    ///< bytes of a torn end that were cut off
+    std::vector<log_entry> entries; ///< entries after the snapshot
+    raft_membership initial;        ///< founding members of the cluster
+    std::uint64_t cut_bytes = 0;    ///< bytes truncated from a torn end
 
     friend bool operator==(const stored_state&, const stored_state&) = default;
 };
--- a/unit_tests/storage/raft_storage_test.cpp
+++ b/unit_tests/storage/raft_storage_test.cpp
@@ -92,7 +92,7 @@
         EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt)) << "byte " << offset;
         EXPECT_EQ(reopened.get_error_place(), "snapshot at offset 0");
     }
-    // Cut short, it is refused too: the log that it stands for is gone, so nothing may be made up for it.
+    // A truncated snapshot is refused too: the log that it replaced is gone and cannot be rebuilt.
     files.get_files()["snapshot"] = intact.substr(0, intact.size() / 2);
     memory_storage reopened(files, own_settings);
     EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt));
@@ -106,7 +106,7 @@
     const auto first_end = files.get_files()["log-000000000001"].size();
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     ASSERT_TRUE(storage.save(make_entries(3, 2, 1)));
-    files.get_files()["log-000000000001"][first_end + 6] = 0x7f; // now reaches far behind the end
+    files.get_files()["log-000000000001"][first_end + 6] = 0x7f; // past the end of the file
     memory_storage reopened(files, own_settings);
     EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt));
 }
@@ -143,12 +143,12 @@
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
     ASSERT_TRUE(storage.form({{1}, {}}));
-    ASSERT_TRUE(storage.save(make_entries(1, 20, 2))); // of a deposed leader
+    ASSERT_TRUE(storage.save(make_entries(1, 20, 2))); // entries of a deposed leader
     const int before = files.get_calls();
-    // A snapshot of a newer term is installed; the power fails after its rename, before the log is reset.
+    // A snapshot of a newer term is installed. Power fails after its rename, before the log is reset.
     raft_output install;
     install.install = raft_snapshot{15, 5, {{1}, {}}, std::make_shared<const std::string>("new")};
-    files.fail_after(5, storage_errc::io_failed); // remove, append, sync, rename, folder sync pass
+    files.fail_after(5, storage_errc::io_failed); // remove, append, sync, rename and folder sync succeed
     EXPECT_FALSE(storage.save(install));
     EXPECT_GT(files.get_calls(), before);
     files.heal();
