--- a/poplarpitch/state/amounts_codec.h
+++ b/poplarpitch/state/amounts_codec.h
@@ -10,7 +10,7 @@
 
 /// Writes resources into their protobuf message. Thread safety: any thread.
 void encode(const resources& value, wire::amounts& message);
-/// Reads resources. Thread safety: any thread.
+/// Reads resources from their protobuf message. Thread safety: any thread.
 [[nodiscard]] resources decode(const wire::amounts& message);
 
 } // namespace poplarpitch
--- a/poplarpitch/state/config_table.cpp
+++ b/poplarpitch/state/config_table.cpp
@@ -19,8 +19,8 @@
     const auto known = m_change_by_id.find(command.change_id());
     const bool is_repeated = !command.change_id().empty() && known != m_change_by_id.end();
     if (is_repeated && m_rules.config_deduplicates_changes) {
-        // The first answer again: only the number and the id, since the version itself may be gone from
-        // history.
+        // Returns the first result again. It has only the version number and the change id, because the
+        // version may no longer be in the history.
         outcome.set_repeated_change(true);
         outcome.mutable_config()->set_version(known->second.version());
         outcome.mutable_config()->set_change_id(command.change_id());
@@ -28,8 +28,7 @@
     }
     const bool is_accepted = command.base_version() == get_version() || !m_rules.config_compares_version;
     if (is_accepted) {
-        // Refused before it was proposed when it has errors; checked again here, since the log is the
-        // authority.
+        // A text with errors is refused before it is proposed. Checks it again, as the log is the authority.
         if (!parse_configuration(command.text()).errors.empty()) {
             return state_errc::invalid_config;
         }
--- a/poplarpitch/state/config_table.h
+++ b/poplarpitch/state/config_table.h
@@ -14,28 +14,28 @@
 
 namespace poplarpitch {
 
-/// The versions of the operators' configuration. A change is a compare-and-set on the version, and its id is
-/// remembered with its first answer, so that an operator whose answer was lost may send it again.
+/// The versions of the operators' configuration. A change is a compare-and-set on the version. Its id is
+/// stored with its first result, so that an operator who did not receive the result may resend the change.
 /// Thread safety: none, as for all methods.
 class config_table {
 public:
     config_table(const state_rules& rules, const state_settings& settings);
 
-    /// Applies a change; `result` gets the accepted or the present version.
+    /// Applies a change. `outcome` receives the accepted version, or the current one after a refusal.
     std::error_code put(const wire::put_config& command, wire::command_result& outcome);
 
-    /// Returns the present version's number; 0 when no configuration was accepted yet.
+    /// Returns the number of the current version, or 0 when no configuration has been accepted yet.
     [[nodiscard]] std::uint64_t get_version() const;
-    /// Returns the present version's record; an empty one when there is none.
+    /// Returns the record of the current version. The record is empty when there is no version.
     [[nodiscard]] const wire::config_version& get_current() const;
-    /// Returns the parsed present configuration, never null.
+    /// Returns the current configuration in parsed form. Never null.
     [[nodiscard]] std::shared_ptr<const configuration> get_configuration() const { return m_configuration; }
-    /// Returns the kept versions, oldest first.
+    /// Returns the versions in the history, oldest first.
     [[nodiscard]] const std::deque<wire::config_version>& get_history() const { return m_history; }
 
-    /// Writes everything into a snapshot.
+    /// Writes all versions and changes into a snapshot.
     void save(wire::state_snapshot& snapshot) const;
-    /// Takes everything from a snapshot.
+    /// Replaces all versions and changes by those of a snapshot.
     void load(const wire::state_snapshot& snapshot);
 
 private:
--- a/poplarpitch/state/fleet_table.cpp
+++ b/poplarpitch/state/fleet_table.cpp
@@ -18,7 +18,7 @@
             return {};
         }
         if (found->second.incarnation() > opened.incarnation()) {
-            return state_errc::unknown_session; // a late message of an older process
+            return state_errc::unknown_session; // a late message from an older process
         }
         release_workers(opened.entry(), index);
     }
--- a/poplarpitch/state/fleet_table.h
+++ b/poplarpitch/state/fleet_table.h
@@ -13,28 +13,28 @@
 
 namespace poplarpitch {
 
-/// Entry sessions, workers, and which entry owns which worker under which epoch. Every change of owner raises
-/// the worker's epoch by one; the worker refuses anything of an older one, so two owners can never both start
-/// work. Thread safety: none, as for all methods.
+/// The sessions of the entries, the workers, and the owner and epoch of each worker. Every change of owner
+/// increments the worker's epoch. The worker refuses requests with an older epoch, so two owners can never
+/// both start work. Thread safety: none, as for all methods.
 class fleet_table {
 public:
     explicit fleet_table(const state_rules& rules);
 
-    /// Opens a session, replacing an older incarnation of the same entry, whose workers become free.
+    /// Opens a session. Replaces a session of an older incarnation of the entry and releases its workers.
     std::error_code open(const wire::session& opened, log_index index);
-    /// Ends a session; its workers become free.
+    /// Closes a session and releases its workers.
     std::error_code close(const wire::close_session& command, log_index index);
-    /// Marks a session as leaving, so that it gets no more workers, or takes the mark back.
+    /// Marks a session as draining, so that it gets no more workers, or removes the mark.
     std::error_code drain(const wire::drain_session& command);
-    /// Adds a worker or takes its changed description.
+    /// Adds a worker or updates its description.
     std::error_code register_worker(const wire::worker& registered, log_index index);
-    /// Gives a worker to an entry, raising its epoch.
+    /// Assigns a worker to an entry and increments the worker's epoch.
     std::error_code assign_owner(const wire::assign_owner& command, log_index index);
-    /// Notes that the owner does not hear from the worker, or hears again, or distrusts it.
+    /// Sets whether a worker is silent (its owner receives nothing from it) and whether it is quarantined.
     std::error_code mark(const wire::mark_worker& command, log_index index);
-    /// Makes the worker's owner read its list of workers and tasks anew.
+    /// Makes the worker's owner read its list of workers and tasks again.
     void record_worker_change(const std::string& id, log_index index);
-    /// Forgets a worker.
+    /// Removes a worker.
     std::error_code remove(const wire::remove_worker& command, log_index index);
 
     [[nodiscard]] const wire::session* find_session(const std::string& entry) const;
@@ -43,16 +43,18 @@
         return m_sessions;
     }
     [[nodiscard]] const absl::btree_map<std::string, wire::worker>& get_workers() const { return m_workers; }
-    /// Returns the ids of the workers that `entry` owns.
+    /// Returns the ids of the workers owned by `entry`.
     [[nodiscard]] const absl::btree_set<std::string>& get_owned(const std::string& entry) const;
     /// Returns the ids of the workers without an owner.
     [[nodiscard]] const absl::btree_set<std::string>& get_free() const { return get_owned(""); }
-    /// Returns the index at which the set of `entry`'s workers last changed.
+    /// Returns the log index at which the workers of `entry` last changed.
     [[nodiscard]] log_index get_owned_change(const std::string& entry) const;
-    /// Returns true when some registered worker, empty, would hold `need`.
+    /// Returns true if the total capacity of some registered worker is enough for `need`.
     [[nodiscard]] bool can_ever_hold(const resources& need) const;
 
+    /// Writes all sessions and workers into a snapshot.
     void save(wire::state_snapshot& snapshot) const;
+    /// Replaces all sessions and workers by those of a snapshot.
     void load(const wire::state_snapshot& snapshot);
 
 private:
--- a/poplarpitch/state/intent_table.cpp
+++ b/poplarpitch/state/intent_table.cpp
@@ -48,7 +48,7 @@
     if (record.request_id() != ended.request_id() || record.phase() == to_number(intent_phase::answered)) {
         return state_errc::not_allowed;
     }
-    // An answer may come after the doubt was recorded; nothing else may follow it.
+    // After the outcome was recorded as unknown, only an answer may still change it.
     const bool is_late = record.phase() == to_number(intent_phase::unknown);
     if (is_late && ended.phase() != to_number(intent_phase::answered)) {
         return state_errc::not_allowed;
@@ -66,7 +66,7 @@
     if (ended.body().size() <= m_max_body) {
         record.set_body(ended.body());
     } else {
-        record.set_phase(to_number(intent_phase::unknown)); // it ran, but its answer is too large to repeat
+        record.set_phase(to_number(intent_phase::unknown)); // it ran, but its answer is too large to record
     }
     return {};
 }
--- a/poplarpitch/state/job_claims.h
+++ b/poplarpitch/state/job_claims.h
@@ -9,10 +9,10 @@
 
 namespace poplarpitch {
 
-/// What the assigned and running jobs of one worker claim of it.
+/// Claims of the assigned and running jobs of one worker.
 struct job_claims {
-    resources reserved;                                          ///< set aside for them together
-    absl::btree_map<std::string, std::uint32_t> tasks_by_tenant; ///< number of them, by tenant
+    resources reserved;                                          ///< total for all of them
+    absl::btree_map<std::string, std::uint32_t> tasks_by_tenant; ///< number of tasks by tenant
 
     friend bool operator==(const job_claims&, const job_claims&) = default;
 };
--- a/poplarpitch/state/job_table.cpp
+++ b/poplarpitch/state/job_table.cpp
@@ -9,7 +9,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::uint32_t max_worker_crashes = 3; // of workers under one job: an operator is to look at it then
+constexpr std::uint32_t max_worker_crashes = 3; // per job, which is then parked for an operator
 
 } // namespace
 
@@ -167,7 +167,7 @@
     }
     if (event.kind() == wire::event_lost && record.lost()) {
         record_crash(*node, record, event);
-        return {}; // told again: the wait for the lease goes on and does not begin anew
+        return {}; // repeated event: the wait for the lease continues and does not restart
     }
     remove_from_indexes(*node, record);
     apply_event(record, event, max_attempts);
@@ -217,8 +217,7 @@
         if (record.cancel_requested()) {
             finish(record, wire::job_cancelled, event.at_ms(), "cancelled");
         } else {
-            record.set_evictions(record.evictions() +
-                                 1); // stopped by its worker: it goes on from its checkpoint
+            record.set_evictions(record.evictions() + 1); // stopped by its worker: resumes at the checkpoint
             requeue(record);
         }
         break;
@@ -244,7 +243,7 @@
     default:
         break;
     }
-    // A cancelled job that would go back into the queue ends here instead.
+    // A job with a requested cancellation ends here instead of being queued again.
     if (record.state() == wire::job_queued && record.cancel_requested()) {
         finish(record, wire::job_cancelled, event.at_ms(), "cancelled");
     }
@@ -260,7 +259,7 @@
     if (record.cancel_requested()) {
         finish(record, wire::job_cancelled, event.at_ms(), "cancelled");
     } else if (!record.idempotent()) {
-        // A failure report says that it ran in part; only an operator may decide to run it again.
+        // A failed job has run in part. Only an operator may decide to rerun it.
         finish(record, wire::job_failed, event.at_ms(), event.detail());
     } else if (static_cast<int>(record.failures()) >= max_attempts) {
         finish(record, wire::job_parked, event.at_ms(), "failed on every attempt; last: " + event.detail());
@@ -275,7 +274,7 @@
                "its worker was lost; it may have run: " + record.reason());
         return;
     }
-    // Run again it would only end the next worker, with all that runs there.
+    // A rerun would only crash the next worker and everything that runs there.
     record.set_crashes(record.crashes() + (record.crashed() ? 1 : 0));
     if (record.crashes() >= max_worker_crashes) {
         finish(record, wire::job_parked, event.at_ms(),
@@ -299,7 +298,7 @@
     record.set_lost(false);
     record.set_ended_ms(at_ms);
     if (state == wire::job_done || state == wire::job_cancelled) {
-        record.clear_payload(); // nothing runs it again; parked, failed and unknown ones may be rerun
+        record.clear_payload(); // never rerun; parked, failed and unknown jobs may be
         record.clear_checkpoint();
         record.clear_failed_workers();
     }
--- a/poplarpitch/state/job_table_queries.cpp
+++ b/poplarpitch/state/job_table_queries.cpp
@@ -1,4 +1,4 @@
-// What the job table tells: records one by one, in order, and what they claim.
+// Queries of the job table: records in order, and their claims.
 #include "poplarpitch/state/job_table.h"
 
 #include <algorithm>
--- a/poplarpitch/state/packed_job.cpp
+++ b/poplarpitch/state/packed_job.cpp
@@ -9,12 +9,12 @@
 
 wire::job packed_job::unpack() const {
     wire::job record;
-    record.ParseFromString(m_bytes); // written by `pack`, so it always reads
+    record.ParseFromString(m_bytes); // written by `pack`, so parsing succeeds
     return record;
 }
 
 void packed_job::pack(const wire::job& record) {
-    m_bytes = record.SerializeAsString(); // a new string: its room is as large as the bytes and no larger
+    m_bytes = record.SerializeAsString(); // a new string, so that its capacity does not exceed its size
     m_changed_index = record.changed_index();
 }
 
--- a/poplarpitch/state/packed_job.h
+++ b/poplarpitch/state/packed_job.h
@@ -11,25 +11,25 @@
 
 namespace poplarpitch {
 
-/// A job's record as the bytes of its message. As an object a record takes about 0.8 KB, most of it for
-/// strings of their own and for fields that are not set; its bytes take about 0.2 KB, and reading them costs
-/// less than a microsecond. Thread safety: none, as for all methods.
+/// A job record as the bytes of its protobuf message. As an object, a record takes about 0.8 KB, most of it
+/// for separate strings and unset fields. Its bytes take about 0.2 KB, and decoding them takes less than a
+/// microsecond. Thread safety: none, as for all methods.
 class packed_job {
 public:
     explicit packed_job(const wire::job& record);
 
-    /// Returns the record.
+    /// Returns the decoded record.
     [[nodiscard]] wire::job unpack() const;
     /// Replaces the record.
     void pack(const wire::job& record);
     /// Returns the bytes of the message, for snapshots.
     [[nodiscard]] std::string_view get_bytes() const { return m_bytes; }
-    /// Returns the index of the log entry that changed it last, without reading the record.
+    /// Returns the index of the log entry that last changed the record, without decoding it.
     [[nodiscard]] log_index get_changed_index() const { return m_changed_index; }
 
 private:
     std::string m_bytes;           ///< a serialized `wire::job`
-    log_index m_changed_index = 0; ///< of the record
+    log_index m_changed_index = 0; ///< copy of the record's field
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/state/snapshot_restorer.cpp
+++ b/poplarpitch/state/snapshot_restorer.cpp
@@ -6,9 +6,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::uint64_t index_step = 1'000'000'000; // changes a backup may be behind
-constexpr std::uint64_t epoch_step = 1'000'000;     // changes of a worker's owner
-constexpr std::uint64_t attempt_step = 1'000;       // attempts of a job
+constexpr std::uint64_t index_step = 1'000'000'000; // log entries that may have followed the backup
+constexpr std::uint64_t epoch_step = 1'000'000;     // owner changes of a worker since the backup
+constexpr std::uint64_t attempt_step = 1'000;       // attempts of a job since the backup
 
 void restore_worker(wire::worker& worker, std::uint64_t index) {
     worker.clear_owner();
@@ -29,14 +29,14 @@
         job.set_reason("restored from a backup; it may have run since");
         ++restored.uncertain;
     } else if (is_active(job.state())) {
-        // Running and lost, whatever it was: wherever it runs now, its lease ends before it starts again.
+        // Marks an assigned job as running and lost too, so that its lease expires before it restarts.
         job.set_state(wire::job_running);
         job.set_lost(true);
         ++restored.lost;
     } else {
         ++restored.queued;
     }
-    // Last: a worker answers for an attempt that it knows, whatever it was started for.
+    // A worker reports on any attempt number that it knows, so a number must not be reused.
     job.set_attempt(job.attempt() + attempt_step);
 }
 
--- a/poplarpitch/state/state_machine.cpp
+++ b/poplarpitch/state/state_machine.cpp
@@ -9,7 +9,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Writes one element of a repeated message field, as protobuf itself would.
+/// Writes one element of a repeated message field in protobuf's wire format.
 void write_record(google::protobuf::io::CodedOutputStream& stream, int field, std::string_view record) {
     constexpr std::uint32_t length_delimited = 2; // protobuf's wire type
     stream.WriteTag(static_cast<std::uint32_t>(field) << 3U | length_delimited);
@@ -27,7 +27,7 @@
 wire::command_result state_machine::apply_bytes(log_index index, std::string_view payload) {
     wire::command command;
     if (!command.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) {
-        command.Clear(); // applies as a command without a body: malformed
+        command.Clear(); // a command without a body is applied as malformed
     }
     return apply(index, command);
 }
@@ -180,8 +180,8 @@
 // ---- snapshots
 
 std::string state_machine::save() const {
-    // Configuration and fleet are small. Jobs and intents are many and are written one by one: a message that
-    // held them all would copy the whole state for a moment, and its memory would stay with the process.
+    // The configuration and the fleet are small. Jobs and intents are many and are written one by one. A
+    // message with all of them would briefly copy the whole state, and the process would keep that memory.
     wire::state_snapshot head;
     head.set_applied_index(m_applied);
     m_configs.save(head);
--- a/poplarpitch/state/state_machine.h
+++ b/poplarpitch/state/state_machine.h
@@ -15,35 +15,38 @@
 
 namespace poplarpitch {
 
-/// All replicated state: applies the log's commands in order. Deterministic: commands carry every time and
-/// choice they need, so equal logs give equal snapshots on every replica, byte for byte (see `hash_state`).
-/// Thread safety: none, as for all methods; the control thread owns it.
+/// All replicated state. Applies the commands of the log in order. The result is deterministic: commands
+/// carry every time and choice that they need, so equal logs give equal snapshots on every replica, byte for
+/// byte (see `hash_state`). Thread safety: none, as for all methods; the control thread owns it.
 class state_machine {
 public:
     explicit state_machine(const state_settings& settings = {}, const state_rules& rules = {});
 
-    /// Applies one command and returns its outcome. Precondition: `index` is above all before.
+    /// Applies one command and returns its result. Precondition: `index` is greater than all previous ones.
     wire::command_result apply(log_index index, const wire::command& command);
-    /// Reads and applies a log entry's payload; an unreadable one changes nothing and answers `malformed`.
+    /// Decodes and applies the payload of a log entry. A payload that cannot be decoded changes nothing and
+    /// returns `malformed`.
     wire::command_result apply_bytes(log_index index, std::string_view payload);
 
     [[nodiscard]] const config_table& get_configs() const { return m_configs; }
     [[nodiscard]] const fleet_table& get_fleet() const { return m_fleet; }
     [[nodiscard]] const job_table& get_jobs() const { return m_jobs; }
     [[nodiscard]] const intent_table& get_intents() const { return m_intents; }
+    /// Returns the index of the last applied command.
     [[nodiscard]] log_index get_applied() const { return m_applied; }
 
-    /// Returns the bytes of a snapshot.
+    /// Returns the serialized snapshot of all state.
     [[nodiscard]] std::string save() const;
-    /// Replaces everything by a snapshot. Returns false, changing nothing, when the bytes are not one.
+    /// Replaces all state by a snapshot. Returns false and changes nothing when `bytes` is not a snapshot.
     bool load(std::string_view bytes);
-    /// Returns a hash over everything, to compare replicas and builds.
+    /// Returns a hash of all state, to compare replicas and builds.
     [[nodiscard]] std::uint64_t hash_state() const;
 
 private:
     std::error_code dispatch(log_index index, const wire::command& command, wire::command_result& outcome);
     std::error_code submit(log_index index, const wire::submit_job& command, wire::command_result& outcome);
     std::error_code assign(log_index index, const wire::assign_job& command);
+    /// Copies the record of a job into `outcome` if the job exists.
     void attach_job(const std::string& id, wire::command_result& outcome) const;
     void attach_intent(const std::string& key, wire::command_result& outcome) const;
     void attach_worker(const std::string& id, wire::command_result& outcome) const;
--- a/unit_tests/state/intent_table_test.cpp
+++ b/unit_tests/state/intent_table_test.cpp
@@ -57,7 +57,7 @@
     table.mark_unknown("entry-1");
     EXPECT_EQ(table.find("k")->phase(), static_cast<std::uint32_t>(intent_phase::unknown));
     EXPECT_EQ(table.begin(make_intent("k", "2")), make_error_code(state_errc::key_in_use));
-    EXPECT_FALSE(table.end(make_end("k", "1", intent_phase::answered))); // its answer came late after all
+    EXPECT_FALSE(table.end(make_end("k", "1", intent_phase::answered))); // its answer arrived late
 }
 
 TEST(intent_table, is_bounded_and_forgets_by_age) {
@@ -77,13 +77,13 @@
     EXPECT_EQ(table.find("a")->phase(), static_cast<std::uint32_t>(intent_phase::unknown));
 }
 
-/// Sends the same key many times through several entries, with ends that come late or never. Returns how
-/// often it ran.
+/// Sends the same key many times through several entries. Outcomes are reported late or never. Returns how
+/// often the request ran.
 int count_runs(const state_rules& rules, std::uint64_t seed) {
     std::mt19937_64 random(seed);
     intent_table table(rules, 10, 100);
     int runs = 0;
-    std::map<std::string, bool> begun; // request and whether it ran
+    std::map<std::string, bool> begun; // whether the request ran, by request id
     for (int step = 0; step < 50; ++step) {
         const auto request = std::to_string(random() % 20);
         if (random() % 2 == 0 && !begun.contains(request)) {
--- a/unit_tests/state/job_simulation.cpp
+++ b/unit_tests/state/job_simulation.cpp
@@ -64,7 +64,7 @@
     }
     auto& actual = m_actual_jobs[job->id()];
     if (actual.runs.contains(job->attempt())) {
-        send(job->id(), job->attempt(), wire::event_started); // told again
+        send(job->id(), job->attempt(), wire::event_started); // repeated event
         return;
     }
     if (pick(6) == 0) {
@@ -81,7 +81,7 @@
         return item.second.has_started; // a refused one never ran
     });
     if (!job->idempotent() && ran_before && !actual.is_resolved && job->evictions() == 0) {
-        m_violation = job->id() + " is not idempotent and runs again by itself";
+        m_violation = job->id() + " is not idempotent and runs again without an operator";
     }
     actual.is_resolved = false;
     actual.runs[job->attempt()] = {job->attempt(), true, true};
@@ -123,7 +123,7 @@
     if (!job.has_value() || !is_active(job->state())) {
         return;
     }
-    // The owner no longer renews, then says that it lost the worker. The run goes on until its lease ends.
+    // The owner stops renewing and reports the worker as lost. The run continues until its lease expires.
     send(job->id(), job->attempt(), wire::event_lost);
 }
 
@@ -138,10 +138,10 @@
         return;
     }
     if (actual.lost_index != job->changed_index()) {
-        actual.lost_index = job->changed_index(); // the wait begins
+        actual.lost_index = job->changed_index(); // the wait starts
         return;
     }
-    // The wait is over: by now the worker has stopped the run by itself.
+    // The wait is over, so the worker has stopped the run itself.
     const auto run = actual.runs.find(job->attempt());
     if (run != actual.runs.end()) {
         run->second.is_live = false;
@@ -160,7 +160,7 @@
     }
     const auto place = m_events.begin() + pick(static_cast<int>(m_events.size()));
     const auto event = *place;
-    if (pick(4) != 0) { // else it comes again later
+    if (pick(4) != 0) { // otherwise it is delivered again later
         m_events.erase(place);
     }
     m_table.handle_event(event, max_attempts, ++m_index);
@@ -194,14 +194,14 @@
     std::size_t bytes = 0;
     m_table.for_each_packed([&](std::string_view record) { bytes += record.size(); });
     if (bytes != m_table.get_bytes()) {
-        m_violation = "the bytes of the table are not the sum of its records";
+        m_violation = "the table's byte count is not the sum of its records";
     }
     for (int number = 0; number < workers; ++number) {
         const auto worker = "worker-" + std::to_string(number);
         const auto* claims = m_table.find_claims(worker);
         const bool is_same = claims == nullptr ? !sums.contains(worker) : *claims == sums[worker];
         if (!is_same) {
-            m_violation = "the claims on " + worker + " are not the sum of its jobs";
+            m_violation = "the claims on " + worker + " are not the sum of those of its jobs";
         }
     }
 }
--- a/unit_tests/state/job_simulation.h
+++ b/unit_tests/state/job_simulation.h
@@ -10,26 +10,26 @@
 
 namespace poplarpitch {
 
-/// A few jobs, the workers that really run them, and events that come late, twice and out of order. Follows
-/// the protocol of owner and worker by hand and notes the first broken promise.
+/// Simulates a few jobs, the workers that run them, and events that arrive late, twice and out of order.
+/// Follows the protocol between owner and worker and records the first violated property.
 class job_simulation {
 public:
     job_simulation(const state_rules& rules, std::uint64_t seed);
 
-    /// Takes random steps. Returns the first broken promise, or an empty text.
+    /// Runs random steps. Returns the first violated property, or an empty text.
     std::string run(int steps);
 
 private:
     struct actual_run {
         std::uint64_t attempt = 0;
-        bool has_started = true; ///< false: its lease is running out
+        bool has_started = true; ///< false when the worker refused it
         bool is_live = true;
     };
     struct actual_job {
         std::map<std::uint64_t, actual_run> runs; ///< by attempt
         int finished = 0;
-        bool is_resolved = false;     ///< an operator allowed another run
-        std::uint64_t lost_index = 0; ///< state in which the leader saw it lost, 0 for none
+        bool is_resolved = false;     ///< an operator has allowed another run
+        std::uint64_t lost_index = 0; ///< changed index at which the leader saw the loss; 0 for none
     };
 
     void step();
@@ -51,7 +51,7 @@
     job_table m_table;
     log_index m_index = 0;
     std::map<std::string, actual_job> m_actual_jobs;
-    std::deque<wire::job_event> m_events; ///< on their way to the log
+    std::deque<wire::job_event> m_events; ///< not yet applied
     int m_submitted = 0;
     std::string m_violation;
 };
--- a/unit_tests/state/job_table_test.cpp
+++ b/unit_tests/state/job_table_test.cpp
@@ -85,24 +85,24 @@
     EXPECT_EQ(m_table.get_queued_count(), 1U);
 }
 
-// A task that ends its worker's process each time was run again after each lease, for ever: a loss counted
-// against nothing. An attempt of which the worker was only out of reach still counts against nothing.
+// A task that crashed its worker on each attempt was rerun forever, because lost attempts had no limit.
 TEST_F(job_table_test, parks_a_job_whose_worker_ended_under_three_attempts) {
     add("a");
     for (int attempt = 1; attempt <= 3; ++attempt) {
         ASSERT_EQ(m_table.find("a")->state(), wire::job_queued) << attempt;
         assign("a");
         send_event("a", wire::event_started);
-        send_event("a", wire::event_lost); // silent at first; later its next process answers
+        send_event("a", wire::event_lost); // silent at first; its next process responds later
         const auto since = m_table.find("a")->changed_index();
         report_lost("a", true);
-        EXPECT_EQ(m_table.find("a")->changed_index(), since) << "the wait for the lease goes on";
+        EXPECT_EQ(m_table.find("a")->changed_index(), since) << "the wait for the lease continues";
         send_event("a", wire::event_lease_over);
     }
     EXPECT_EQ(m_table.find("a")->state(), wire::job_parked);
     EXPECT_NE(m_table.find("a")->reason().find("ended"), std::string::npos);
 }
 
+// An attempt whose worker was only unreachable counts towards no limit.
 TEST_F(job_table_test, runs_a_job_again_however_often_its_worker_was_out_of_reach) {
     add("a");
     for (int attempt = 1; attempt <= 10; ++attempt) {
@@ -126,7 +126,7 @@
     EXPECT_FALSE(submit("a"));
     EXPECT_FALSE(submit("b"));
     EXPECT_EQ(submit("c"), make_error_code(state_errc::jobs_full));
-    EXPECT_FALSE(submit("a")); // it is there: the same answer as before
+    EXPECT_FALSE(submit("a")); // it exists: the same result as before
     wire::cancel_job cancel;
     cancel.set_job("a");
     cancel.set_at_ms(5);
@@ -175,7 +175,7 @@
     send_event("a", wire::event_started);
     send_event("a", wire::event_lost);
     const auto seen = m_table.find("a")->changed_index();
-    EXPECT_FALSE(send_event("a", wire::event_lost)); // an owner tells it until it is confirmed
+    EXPECT_FALSE(send_event("a", wire::event_lost)); // an owner repeats it until it is confirmed
     EXPECT_EQ(m_table.find("a")->changed_index(), seen);
     EXPECT_FALSE(send_event("a", wire::event_lease_over));
     EXPECT_EQ(m_table.find("a")->state(), wire::job_queued);
@@ -190,8 +190,8 @@
     over.set_attempt(1);
     over.set_kind(wire::event_lease_over);
     over.set_expected_index(m_table.find("a")->changed_index());
-    send_event("a", wire::event_started); // heard again
-    send_event("a", wire::event_lost);    // and lost again: the wait begins anew
+    send_event("a", wire::event_started); // the worker responds again
+    send_event("a", wire::event_lost);    // and is lost again: the wait restarts
     m_table.handle_event(over, 3, ++m_index);
     EXPECT_EQ(m_table.find("a")->state(), wire::job_running);
 }
--- a/unit_tests/state/state_machine_test.cpp
+++ b/unit_tests/state/state_machine_test.cpp
@@ -53,8 +53,8 @@
     log_index m_index = 0;
 };
 
-/// An owner that lost its worker to another says late that the worker is silent, and control's placement of a
-/// job under the old epoch comes late too. Returns true when either had an effect.
+/// A former owner reports its worker as silent after the worker was assigned to another owner, and an
+/// assignment of a job under the old epoch arrives late too. Returns true if either had an effect.
 bool old_epoch_has_effect(const state_rules& rules) {
     state_machine machine({}, rules);
     log_index index = 0;
@@ -143,7 +143,7 @@
     open("e1", 1);
     add_worker("w");
     assign_owner("w", "e1", 1);
-    open("e1", 2); // a new process of the same entry
+    open("e1", 2); // a restarted process of the same entry
     EXPECT_EQ(m_machine.get_fleet().get_free().size(), 1U);
     EXPECT_EQ(m_machine.get_fleet().find_worker("w")->epoch(), 3U);
     wire::command close;
@@ -187,7 +187,7 @@
     EXPECT_EQ(m_machine.hash_state(), before);
 }
 
-/// Makes any command out of a seed; most of them fit to what is there.
+/// Creates a random command. Most commands match existing records.
 wire::command make_command(std::mt19937_64& random, std::uint64_t version) {
     wire::command command;
     const auto name = [&](const char* prefix) {
@@ -265,7 +265,7 @@
     }
 }
 
-/// Two operators race with equal versions and resend after lost answers. Returns the first broken promise.
+/// Two operators race with equal versions and resend after lost results. Returns the first violated property.
 std::string race_operators(const state_rules& rules, std::uint64_t seed) {
     std::mt19937_64 random(seed);
     state_machine machine({}, rules);
@@ -276,13 +276,13 @@
         auto& change = *command.mutable_config();
         const auto number = random() % 25;
         change.set_change_id(std::to_string(number));
-        // A version that was read some time ago; the same again when the change is sent again.
+        // A version that was read earlier. A resent change has the same version again.
         change.set_base_version(number / 2);
         change.set_text(std::string(small_config) + "[tenant x" + std::to_string(number) + "]\n");
         const auto outcome = machine.apply(index, command);
         const auto version = machine.get_configs().get_version();
         if (version < last || version > last + 1) {
-            return "the version jumped";
+            return "the version did not increase by one";
         }
         if (version == last + 1 && change.base_version() != last) {
             return "a change of an older version was accepted";
@@ -318,7 +318,7 @@
 }
 
 TEST(config_mutation, forgotten_change_id_is_found) {
-    // With versions unchecked too, since a version check alone refuses most resends.
+    // Versions are not checked either, because the version check alone refuses most resends.
     state_rules rules;
     rules.config_deduplicates_changes = false;
     rules.config_compares_version = false;
