--- a/unit_tests/consensus/early_messages_test.cpp
+++ b/unit_tests/consensus/early_messages_test.cpp
@@ -24,7 +24,7 @@
     EXPECT_TRUE(may_send_before_sync(make_output(), make_message(raft_message_type::append_request)));
 }
 
-TEST(early_messages, keeps_answers_and_votes_until_what_they_promise_is_on_disk) {
+TEST(early_messages, holds_back_responses_and_votes_until_the_state_is_on_disk) {
     for (const auto type : {raft_message_type::append_response, raft_message_type::vote_response,
                             raft_message_type::vote_request, raft_message_type::pre_vote_response,
                             raft_message_type::snapshot_response, raft_message_type::timeout_now}) {
@@ -32,7 +32,7 @@
     }
 }
 
-TEST(early_messages, keeps_all_while_a_term_a_snapshot_or_a_cut_is_written) {
+TEST(early_messages, holds_back_all_while_a_term_a_snapshot_or_a_truncation_is_written) {
     auto with_state = make_output();
     with_state.state = hard_state{};
     auto with_cut = make_output();
--- a/unit_tests/consensus/raft_node_test.cpp
+++ b/unit_tests/consensus/raft_node_test.cpp
@@ -118,7 +118,7 @@
     EXPECT_EQ(m_nodes[leader]->get_term(), term);
 }
 
-TEST_F(raft_trio, transfer_hands_leadership_on) {
+TEST_F(raft_trio, transfer_elects_another_leader) {
     run(seconds{2});
     const auto leader = find_leader();
     ASSERT_TRUE(m_nodes[leader]->transfer_leadership(0, m_now));
--- a/unit_tests/consensus/raft_scenarios_test.cpp
+++ b/unit_tests/consensus/raft_scenarios_test.cpp
@@ -149,7 +149,7 @@
     EXPECT_TRUE(leader.get_membership().is_voter(4));
 }
 
-TEST(raft_scenario, second_node_lost_right_after_a_repair_costs_nothing) {
+TEST(raft_scenario, second_node_lost_right_after_a_repair_loses_no_commits) {
     split_cluster cluster(4, 3, {}, {});
     const side founders = {1, 2, 3};
     cluster.run(founders, seconds{2});
@@ -179,7 +179,7 @@
     EXPECT_FALSE(cluster.is_split());
 }
 
-TEST(raft_scenario, second_node_lost_before_the_repair_stops_commits_and_splits_nothing) {
+TEST(raft_scenario, second_node_lost_before_the_repair_stops_commits_without_a_split) {
     split_cluster cluster(4, 3, {}, {});
     const side founders = {1, 2, 3};
     cluster.run(founders, seconds{2});
--- a/unit_tests/state/intent_table_test.cpp
+++ b/unit_tests/state/intent_table_test.cpp
@@ -43,7 +43,7 @@
     EXPECT_EQ(table.begin(other), make_error_code(state_errc::key_conflict));
 }
 
-TEST(intent_table, allows_a_key_again_that_surely_did_not_run) {
+TEST(intent_table, allows_a_key_again_that_certainly_did_not_run) {
     intent_table table({}, 10, 100);
     EXPECT_FALSE(table.begin(make_intent("k", "1")));
     EXPECT_FALSE(table.end(make_end("k", "1", intent_phase::not_run)));
@@ -51,7 +51,7 @@
     EXPECT_EQ(table.end(make_end("k", "1", intent_phase::not_run)), make_error_code(state_errc::not_allowed));
 }
 
-TEST(intent_table, entry_that_is_gone_leaves_unknown) {
+TEST(intent_table, lost_entry_leaves_unknown_outcomes) {
     intent_table table({}, 10, 100);
     EXPECT_FALSE(table.begin(make_intent("k", "1")));
     table.mark_unknown("entry-1");
@@ -70,7 +70,7 @@
     EXPECT_FALSE(table.begin(make_intent("c", "3", 30)));
 }
 
-TEST(intent_table, answer_too_large_to_keep_is_unknown_later) {
+TEST(intent_table, answer_too_large_to_record_becomes_unknown) {
     intent_table table({}, 2, 3);
     EXPECT_FALSE(table.begin(make_intent("a", "1")));
     EXPECT_FALSE(table.end(make_end("a", "1", intent_phase::answered)));
--- a/unit_tests/state/job_table_test.cpp
+++ b/unit_tests/state/job_table_test.cpp
@@ -114,7 +114,7 @@
     }
 }
 
-TEST_F(job_table_test, records_are_bounded_in_bytes_and_ended_ones_give_their_payload_back) {
+TEST_F(job_table_test, record_bytes_are_bounded_and_ended_jobs_free_their_payload) {
     job_table table({}, 1000, 10'000);
     const auto submit = [&](const std::string& id) {
         wire::job job;
@@ -249,7 +249,7 @@
     EXPECT_EQ(m_table.find("a")->state(), wire::job_cancelled);
 }
 
-TEST_F(job_table_test, forgets_ended_jobs) {
+TEST_F(job_table_test, removes_expired_jobs) {
     add("a");
     add("b");
     assign("a");
@@ -259,14 +259,14 @@
     EXPECT_TRUE(m_table.find("b").has_value());
 }
 
-TEST_F(job_table_test, holds_tenants_to_their_number_of_jobs) {
+TEST_F(job_table_test, limits_the_jobs_of_a_tenant) {
     const auto job = add("a");
     auto second = job;
     second.set_id("b");
     EXPECT_EQ(m_table.submit(second, 1, ++m_index), make_error_code(state_errc::over_quota));
 }
 
-RC_GTEST_PROP(job_simulation, keeps_its_promises_under_late_and_doubled_events, ()) {
+RC_GTEST_PROP(job_simulation, holds_its_properties_under_late_and_duplicate_events, ()) {
     const auto seed = *rc::gen::noShrink(rc::gen::arbitrary<std::uint64_t>());
     RC_LOG() << "seed " << seed;
     RC_ASSERT(job_simulation({}, seed).run(2000) == "");
--- a/unit_tests/state/snapshot_restorer_test.cpp
+++ b/unit_tests/state/snapshot_restorer_test.cpp
@@ -66,7 +66,7 @@
     log_index m_index = 0;
 };
 
-TEST_F(snapshot_restorer_test, nothing_looks_older_than_what_workers_and_entries_know) {
+TEST_F(snapshot_restorer_test, restored_numbers_are_newer_than_what_workers_and_entries_know) {
     submit("j", true);
     assign("j");
     const auto machine = restore();
@@ -116,7 +116,7 @@
     EXPECT_EQ(restore().get_jobs().find("j")->SerializeAsString(), before.SerializeAsString());
 }
 
-TEST_F(snapshot_restorer_test, refuses_what_is_no_backup) {
+TEST_F(snapshot_restorer_test, refuses_bytes_that_are_not_a_backup) {
     EXPECT_FALSE(restore_snapshot("", 1).has_value());
     EXPECT_FALSE(restore_snapshot("no backup at all", 1).has_value());
 }
--- a/unit_tests/state/state_machine_test.cpp
+++ b/unit_tests/state/state_machine_test.cpp
@@ -100,7 +100,7 @@
     return machine.get_jobs().get_active_count() != 0 || machine.get_fleet().find_worker("w")->silent();
 }
 
-TEST(fleet_mutation, word_of_an_old_owner_is_found) {
+TEST(fleet_mutation, command_of_a_former_owner_is_found) {
     EXPECT_FALSE(old_epoch_has_effect({}));
     state_rules rules;
     rules.epoch_is_compared = false;
--- a/unit_tests/storage/raft_storage_test.cpp
+++ b/unit_tests/storage/raft_storage_test.cpp
@@ -62,7 +62,7 @@
     EXPECT_EQ(third.open().value().entries.size(), 3U);
 }
 
-TEST(raft_storage, refuses_corruption_with_its_place) {
+TEST(raft_storage, refuses_corruption_and_reports_its_offset) {
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
@@ -76,7 +76,7 @@
     EXPECT_EQ(reopened.get_error_place(), "log-000000000001 at offset " + std::to_string(first_end));
 }
 
-TEST(raft_storage, refuses_a_corrupt_snapshot_with_its_place) {
+TEST(raft_storage, refuses_a_corrupt_snapshot_and_reports_its_offset) {
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
@@ -111,7 +111,7 @@
     EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt));
 }
 
-TEST(raft_storage, refuses_a_folder_of_others) {
+TEST(raft_storage, refuses_a_folder_of_another_cluster_or_node) {
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
@@ -225,7 +225,7 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST(posix_file_system, names_a_folder_that_cannot_be_made) {
+TEST(posix_file_system, reports_a_folder_that_cannot_be_created) {
     posix_file_system files("/proc/no-such-folder/data");
     EXPECT_EQ(files.lock().error(), make_error_code(storage_errc::folder_missing));
 }
