--- a/poplarpitch/consensus/consensus_error.cpp
+++ b/poplarpitch/consensus/consensus_error.cpp
@@ -12,9 +12,9 @@
     [[nodiscard]] std::string message(int code) const override {
         switch (static_cast<consensus_errc>(code)) {
         case consensus_errc::not_leader:
-            return "this node is not the leader";
+            return "this node does not lead";
         case consensus_errc::overloaded:
-            return "the log has too many uncommitted bytes";
+            return "too many uncommitted changes";
         case consensus_errc::transfer_in_progress:
             return "a leadership transfer is in progress";
         case consensus_errc::change_in_progress:
--- a/poplarpitch/state/state_error.cpp
+++ b/poplarpitch/state/state_error.cpp
@@ -24,9 +24,9 @@
         case state_errc::unknown_job:
             return "no such job";
         case state_errc::stale_attempt:
-            return "the job is no longer at this attempt";
+            return "the job has moved on to another attempt";
         case state_errc::conflicting_job:
-            return "a job with this id and different content exists";
+            return "a job with this id and other content exists";
         case state_errc::over_quota:
             return "the tenant has as many jobs as its quota allows";
         case state_errc::unknown_tenant:
@@ -46,11 +46,11 @@
         case state_errc::malformed:
             return "the command is malformed";
         case state_errc::never_fits:
-            return "no worker has the capacity for the job";
+            return "no worker could ever hold the job";
         case state_errc::address_taken:
             return "another target uses this id";
         case state_errc::jobs_full:
-            return "the table of jobs is full; retry when some have ended";
+            return "the table of jobs has no room; retry when some have ended";
         }
         return "unknown error";
     }
--- a/unit_tests/consensus/raft_harness.cpp
+++ b/unit_tests/consensus/raft_harness.cpp
@@ -108,7 +108,7 @@
     for (const auto token : output.reads) {
         const auto requested = self.reads.find(token);
         if (requested != self.reads.end() && self.applied < requested->second) {
-            fail("a read returned an older state than was acknowledged when it was requested");
+            fail("a read returned an older state than was acknowledged when it was asked for");
         }
         self.reads.erase(token);
     }
@@ -306,9 +306,7 @@
         }
         const auto last = m_committed.find(proposed);
         if (proposed != 0 && last != m_committed.end()) {
-            return last->second.payload == "last"
-                       ? ""
-                       : "another entry was committed at the index of the last command";
+            return last->second.payload == "last" ? "" : "another entry took the place of the last command";
         }
     }
     return m_violation.empty() ? "no command could be committed after the faults ended" : m_violation;
--- a/unit_tests/state/job_table_test.cpp
+++ b/unit_tests/state/job_table_test.cpp
@@ -95,7 +95,7 @@
         send_event("a", wire::event_lost); // silent at first; its next process responds later
         const auto since = m_table.find("a")->changed_index();
         report_lost("a", true);
-        EXPECT_EQ(m_table.find("a")->changed_index(), since) << "the wait for the lease continues";
+        EXPECT_EQ(m_table.find("a")->changed_index(), since) << "the wait for the lease goes on";
         send_event("a", wire::event_lease_over);
     }
     EXPECT_EQ(m_table.find("a")->state(), wire::job_parked);
