--- a/poplarpitch/consensus/raft_node.h
+++ b/poplarpitch/consensus/raft_node.h
@@ -38,6 +38,7 @@
 /// Thread safety: none, as for all methods. Time must not go backwards between calls.
 class raft_node {
 public:
+    /// Starts as a follower with the state in `start`. Precondition: `start.id` is not 0.
     raft_node(const raft_settings& settings, raft_start start, time_point now, const raft_rules& rules = {});
 
     /// Advances time. Starts elections, sends heartbeats and runs check-quorum as they become due.
@@ -66,16 +67,21 @@
     /// snapshot covers only applied entries.
     void compact(raft_snapshot snapshot, std::uint64_t keep);
 
+    /// Returns the id of this node.
     [[nodiscard]] node_id get_id() const { return m_id; }
+    /// Returns the role of this node in the current term.
     [[nodiscard]] raft_role get_role() const { return m_role; }
+    /// Returns the current term.
     [[nodiscard]] log_term get_term() const { return m_state.term; }
     /// Returns the leader of the current term, or 0 when it is not known.
     [[nodiscard]] node_id get_leader() const { return m_leader; }
     /// Returns the commit index.
     [[nodiscard]] log_index get_commit() const { return m_commit; }
+    /// Returns the log entries after the compacted part.
     [[nodiscard]] const raft_log& get_log() const { return m_log; }
     /// Returns the newest membership in the log, committed or not.
     [[nodiscard]] const raft_membership& get_membership() const { return m_members; }
+    /// Returns the newest snapshot.
     [[nodiscard]] const raft_snapshot& get_snapshot() const { return m_snapshot; }
     /// Returns the replication progress of the other members. Empty on a follower.
     [[nodiscard]] const std::map<node_id, raft_progress>& get_progress() const { return m_progress; }
--- a/poplarpitch/state/config_table.h
+++ b/poplarpitch/state/config_table.h
@@ -19,6 +19,7 @@
 /// Thread safety: none, as for all methods.
 class config_table {
 public:
+    /// Creates a table without a version.
     config_table(const state_rules& rules, const state_settings& settings);
 
     /// Applies a change. `outcome` receives the accepted version, or the current one after a refusal.
--- a/poplarpitch/state/fleet_table.h
+++ b/poplarpitch/state/fleet_table.h
@@ -18,6 +18,7 @@
 /// both start work. Thread safety: none, as for all methods.
 class fleet_table {
 public:
+    /// Creates a table without sessions and workers.
     explicit fleet_table(const state_rules& rules);
 
     /// Opens a session. Replaces a session of an older incarnation of the entry and releases its workers.
@@ -37,11 +38,15 @@
     /// Removes a worker.
     std::error_code remove(const wire::remove_worker& command, log_index index);
 
+    /// Returns the session of `entry`, or null when there is none.
     [[nodiscard]] const wire::session* find_session(const std::string& entry) const;
+    /// Returns worker `id`, or null when there is none.
     [[nodiscard]] const wire::worker* find_worker(const std::string& id) const;
+    /// Returns all sessions by entry.
     [[nodiscard]] const absl::btree_map<std::string, wire::session>& get_sessions() const {
         return m_sessions;
     }
+    /// Returns all workers by id.
     [[nodiscard]] const absl::btree_map<std::string, wire::worker>& get_workers() const { return m_workers; }
     /// Returns the ids of the workers owned by `entry`.
     [[nodiscard]] const absl::btree_set<std::string>& get_owned(const std::string& entry) const;
--- a/poplarpitch/state/intent_table.h
+++ b/poplarpitch/state/intent_table.h
@@ -28,6 +28,7 @@
 /// methods.
 class intent_table {
 public:
+    /// Accepts at most `max_intents` intents and records answers of at most `max_body` bytes.
     intent_table(const state_rules& rules, std::size_t max_intents, std::size_t max_body);
 
     /// Records a key. Returns `key_in_use` or `key_conflict` when the key exists; `find` then returns its
@@ -42,6 +43,7 @@
 
     /// Returns the intent with `key`, or null when there is none.
     [[nodiscard]] const wire::intent* find(const std::string& key) const;
+    /// Returns the number of intents.
     [[nodiscard]] std::size_t get_count() const { return m_intents.size(); }
     /// Calls `visit` for every intent, ordered by begin time and key.
     void for_each(const std::function<void(const wire::intent&)>& visit) const;
--- a/poplarpitch/state/job_table.h
+++ b/poplarpitch/state/job_table.h
@@ -93,8 +93,11 @@
 
     /// Returns the claims of the tenant's open jobs.
     [[nodiscard]] tenant_usage get_usage(const std::string& tenant) const;
+    /// Returns the number of queued jobs.
     [[nodiscard]] std::size_t get_queued_count() const { return m_queued_count; }
+    /// Returns the number of assigned and running jobs.
     [[nodiscard]] std::size_t get_active_count() const { return m_active_count; }
+    /// Returns the number of all jobs.
     [[nodiscard]] std::size_t get_count() const { return m_jobs.size(); }
     /// Returns the total size of all records in bytes.
     [[nodiscard]] std::size_t get_bytes() const { return m_bytes; }
--- a/poplarpitch/state/packed_job.h
+++ b/poplarpitch/state/packed_job.h
@@ -16,6 +16,7 @@
 /// microsecond. Thread safety: none, as for all methods.
 class packed_job {
 public:
+    /// Encodes `record`.
     explicit packed_job(const wire::job& record);
 
     /// Returns the decoded record.
--- a/poplarpitch/state/state_machine.h
+++ b/poplarpitch/state/state_machine.h
@@ -20,6 +20,7 @@
 /// byte (see `hash_state`). Thread safety: none, as for all methods; the control thread owns it.
 class state_machine {
 public:
+    /// Creates an empty state.
     explicit state_machine(const state_settings& settings = {}, const state_rules& rules = {});
 
     /// Applies one command and returns its result. Precondition: `index` is greater than all previous ones.
@@ -28,9 +29,13 @@
     /// returns `malformed`.
     wire::command_result apply_bytes(log_index index, std::string_view payload);
 
+    /// Returns the versions of the configuration.
     [[nodiscard]] const config_table& get_configs() const { return m_configs; }
+    /// Returns the sessions and workers.
     [[nodiscard]] const fleet_table& get_fleet() const { return m_fleet; }
+    /// Returns the jobs.
     [[nodiscard]] const job_table& get_jobs() const { return m_jobs; }
+    /// Returns the idempotency keys.
     [[nodiscard]] const intent_table& get_intents() const { return m_intents; }
     /// Returns the index of the last applied command.
     [[nodiscard]] log_index get_applied() const { return m_applied; }
--- a/poplarpitch/storage/frame_codec.h
+++ b/poplarpitch/storage/frame_codec.h
@@ -10,7 +10,7 @@
 struct stored_frame {
     std::string_view payload; ///< empty when the frame is not valid
     std::uint64_t end = 0;    ///< offset after the frame
-    bool is_valid = false;
+    bool is_valid = false;    ///< true when the frame is whole and its checksum matches
 
     friend bool operator==(const stored_frame&, const stored_frame&) = default;
 };
--- a/unit_tests/state/job_simulation.cpp
+++ b/unit_tests/state/job_simulation.cpp
@@ -194,7 +194,7 @@
     std::size_t bytes = 0;
     m_table.for_each_packed([&](std::string_view record) { bytes += record.size(); });
     if (bytes != m_table.get_bytes()) {
-        m_violation = "the table's byte count is not the sum of its records";
+        m_violation = "the bytes of the table are not the sum of its records";
     }
     for (int number = 0; number < workers; ++number) {
         const auto worker = "worker-" + std::to_string(number);
