--- a/poplarpitch/consensus/raft_node.h
+++ b/poplarpitch/consensus/raft_node.h
@@ -115,7 +115,7 @@
     // replication
     /// Accepts the sender as the leader of the current term and restarts the election timer.
     void follow_leader(const raft_message& message, time_point now);
-    /// Records a follower's response. Returns the follower's progress, or null if the response is stale.
+    /// Records a follower's response. Returns the follower's progress, or null to ignore the response.
     raft_progress* record_response(const raft_message& message, time_point now);
     void on_append_request(const raft_message& message, time_point now);
     void on_append_response(const raft_message& message, time_point now);
--- a/unit_tests/consensus/raft_safety_test.cpp
+++ b/unit_tests/consensus/raft_safety_test.cpp
@@ -46,8 +46,8 @@
 
 /// Runs seeds until a property is violated. Returns the number of seeds run, or 0 when none violated one.
 int find_violation(const harness_settings& settings) {
-    constexpr int most_seeds = 2000;
-    for (int seed = 1; seed <= most_seeds; ++seed) {
+    constexpr int max_seeds = 2000;
+    for (int seed = 1; seed <= max_seeds; ++seed) {
         raft_harness harness(settings, static_cast<std::uint64_t>(seed));
         if (!harness.run().empty()) {
             return seed;
