--- a/poplarpitch/consensus/raft_node.cpp
+++ b/poplarpitch/consensus/raft_node.cpp
@@ -18,29 +18,29 @@
     }
     m_commit = m_snapshot.index;
     m_output_commit = m_snapshot.index;
-    // A restarted node has forgotten when it last heard a leader. It counts its start as that moment, so that
-    // the leader lease of a leader it may have just answered stays true.
-    m_last_heard = now;
+    // A restarted node does not know when it last received a message from a leader. It uses its start time,
+    // so that the lease of a leader to which it responded just before the restart stays valid.
+    m_last_leader_contact = now;
     refresh_membership();
     reset_election_timer(now);
 }
 
-// ---- time
+// ---- timers
 
 void raft_node::tick(time_point now) {
     if (m_role == raft_role::leader) {
         if (m_transfer_target != 0 && now >= m_transfer_deadline) {
-            // The target may still stand for election with a forced vote at any time, so no lease can be
-            // granted in this term any more: give it up.
+            // The target may still start a forced election at any time, so this leader cannot hold a lease
+            // again in this term. It steps down.
             become_follower(m_state.term, 0, now);
             return;
         }
         if (now - m_quorum_contact > m_settings.election_timeout_max) {
-            become_follower(m_state.term, 0, now); // check-quorum
+            become_follower(m_state.term, 0, now); // check-quorum: no quorum responded
             return;
         }
         if (now >= m_next_heartbeat) {
-            resend_lost();
+            rewind_stalled_followers();
             start_round(now);
         }
         return;
@@ -49,7 +49,8 @@
         if (m_members.is_voter(m_id)) {
             start_pre_vote(now);
         } else {
-            m_leader = 0; // a learner, or removed unawares: nobody has sent anything for an election timeout
+            // A learner, or a removed node that does not know of it: no leader sent anything for a timeout.
+            m_leader = 0;
             reset_election_timer(now);
         }
     }
@@ -66,7 +67,7 @@
     m_election_deadline = now + duration{low + static_cast<std::int64_t>(m_random() % span)};
 }
 
-// ---- messages in
+// ---- incoming messages
 
 void raft_node::step(const raft_message& message, time_point now) {
     if (message.to != m_id || message.from == m_id) {
@@ -77,12 +78,12 @@
     case raft_message_type::vote_request:
         on_vote_request(message, now);
         return;
-    case raft_message_type::pre_vote_answer:
+    case raft_message_type::pre_vote_response:
         if (message.reject && message.term > m_state.term) {
             become_follower(message.term, 0, now);
             return;
         }
-        on_vote_answer(message, now);
+        on_vote_response(message, now);
         return;
     default:
         break;
@@ -91,20 +92,20 @@
         become_follower(message.term, 0, now);
     }
     switch (message.type) {
-    case raft_message_type::vote_answer:
-        on_vote_answer(message, now);
+    case raft_message_type::vote_response:
+        on_vote_response(message, now);
         break;
     case raft_message_type::append_request:
         on_append_request(message, now);
         break;
-    case raft_message_type::append_answer:
-        on_append_answer(message, now);
+    case raft_message_type::append_response:
+        on_append_response(message, now);
         break;
     case raft_message_type::snapshot_request:
         on_snapshot_request(message, now);
         break;
-    case raft_message_type::snapshot_answer:
-        on_snapshot_answer(message, now);
+    case raft_message_type::snapshot_response:
+        on_snapshot_response(message, now);
         break;
     case raft_message_type::timeout_now:
         if (message.term == m_state.term && m_members.is_voter(m_id) && m_role != raft_role::leader) {
@@ -136,7 +137,7 @@
 }
 
 bool raft_node::has_own_commit() const {
-    return m_role == raft_role::leader && m_commit >= m_own_first;
+    return m_role == raft_role::leader && m_commit >= m_term_first_index;
 }
 
 bool raft_node::has_lease(time_point now) const {
@@ -168,11 +169,11 @@
     }
     m_transfer_target = id;
     m_transfer_deadline = now + m_settings.transfer_timeout;
-    check_transfer(id, found->second);
+    continue_transfer(id, found->second);
     return boost::outcome_v2::success();
 }
 
-void raft_node::check_transfer(node_id from, const raft_progress& progress) {
+void raft_node::continue_transfer(node_id from, const raft_progress& progress) {
     if (m_transfer_target == from && progress.match == m_log.get_last_index()) {
         m_output.messages.push_back(make_message(raft_message_type::timeout_now, from));
     }
@@ -194,7 +195,7 @@
         for (auto& [id, progress] : m_progress) {
             send_pending(id, progress);
         }
-        // A leader that is no longer a member leads until the entry that removed it is committed.
+        // A leader that is removed from the membership steps down once that change is committed.
         if (!m_members.is_voter(m_id) && m_commit >= m_members_index) {
             fail_reads();
             m_role = raft_role::follower;
--- a/poplarpitch/storage/frame_codec.cpp
+++ b/poplarpitch/storage/frame_codec.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint32_t magic = 0x70d5a31fU;
 constexpr std::size_t header_size = sizeof(std::uint32_t) + sizeof(std::uint32_t) + sizeof(std::uint64_t);
 
-/// Mixes the length into the checksum, so that a damaged length cannot go unseen.
+/// Computes a checksum that includes the length, so that a damaged length is detected.
 std::uint64_t make_checksum(std::string_view payload) {
     return hash_bytes(payload) ^ (payload.size() * 0x9e3779b97f4a7c15ULL);
 }
@@ -49,14 +49,14 @@
     return {payload, offset + header_size + length, true};
 }
 
-bool has_frame_behind(std::string_view file, std::uint64_t offset) {
+bool has_frame_after(std::string_view file, std::uint64_t offset) {
     const std::string_view pattern(reinterpret_cast<const char*>(&magic), sizeof(magic));
-    auto place = file.find(pattern, offset + 1);
-    while (place != std::string_view::npos) {
-        if (decode_frame(file, place).is_valid) {
+    auto position = file.find(pattern, offset + 1);
+    while (position != std::string_view::npos) {
+        if (decode_frame(file, position).is_valid) {
             return true;
         }
-        place = file.find(pattern, place + 1);
+        position = file.find(pattern, position + 1);
     }
     return false;
 }
--- a/poplarpitch/storage/raft_storage_impl.h
+++ b/poplarpitch/storage/raft_storage_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Definitions of raft_storage, for the files that instantiate it with a file system of their own.
+// Definitions of raft_storage, for source files that instantiate it with their own file system.
 
 #include "poplarpitch/storage/raft_storage.h"
 
@@ -27,7 +27,7 @@
 raft_storage<FileSystem>::raft_storage(FileSystem& files, const storage_settings& settings)
     : m_files(files), m_settings(settings) {}
 
-/// Checks that a file was written for this cluster and node by a version we can read.
+/// Checks that a file belongs to this cluster and node and has a supported format.
 inline result<void> check_identity(const wire::wal_identity& identity, const storage_settings& settings) {
     if (identity.format() > storage_format) {
         return make_error_code(storage_errc::unknown_format);
@@ -55,7 +55,7 @@
     std::vector<std::string> segments;
     for (const auto& name : names) {
         if (name == snapshot_new_name || name == members_new_name) {
-            BOOST_OUTCOME_TRY(m_files.remove(name)); // a crash came before its rename
+            BOOST_OUTCOME_TRY(m_files.remove(name)); // left by a crash before its rename
         } else if (absl::StartsWith(name, segment_prefix)) {
             segments.push_back(name);
         } else if (name == snapshot_name || name == members_name) {
@@ -73,7 +73,7 @@
         static_cast<void>(
             absl::SimpleAtoi(name.substr(std::string_view(segment_prefix).size()), &m_segment_number));
     }
-    if (join_snapshot(state) || m_segment.empty()) {
+    if (trim_log_to_snapshot(state) || m_segment.empty()) {
         BOOST_OUTCOME_TRY(start_segment(state.snapshot, state.state, state.entries));
         BOOST_OUTCOME_TRY(remove_old_segments());
     }
@@ -81,17 +81,17 @@
 }
 
 template <file_system FileSystem>
-bool raft_storage<FileSystem>::join_snapshot(stored_state& state) {
+bool raft_storage<FileSystem>::trim_log_to_snapshot(stored_state& state) {
     const auto& snapshot = state.snapshot;
     if (snapshot.index == m_base_index && snapshot.term == m_base_term) {
         return false;
     }
-    // A crash came between the snapshot and the new segment. The log may go on behind the snapshot only where
-    // it holds the snapshot's last entry itself; otherwise what stands behind may be of a deposed leader, and
-    // a low last term would let this node vote for a log that lacks committed entries.
-    const bool is_held =
+    // A crash occurred between writing the snapshot and starting the new segment. Entries after the snapshot
+    // may be kept only if the log holds the snapshot's last entry. Otherwise they may come from a deposed
+    // leader, and their low last term would let this node vote for a log that lacks committed entries.
+    const bool is_in_log =
         snapshot.index > m_base_index && snapshot.index - m_base_index <= state.entries.size();
-    if (is_held && state.entries[snapshot.index - m_base_index - 1].term == snapshot.term) {
+    if (is_in_log && state.entries[snapshot.index - m_base_index - 1].term == snapshot.term) {
         const auto count = static_cast<std::ptrdiff_t>(snapshot.index - m_base_index);
         state.entries.erase(state.entries.begin(), state.entries.begin() + count);
     } else {
@@ -149,7 +149,7 @@
     while (offset < bytes.size()) {
         const auto frame = decode_frame(bytes, offset);
         if (!frame.is_valid) {
-            if (!is_last || has_frame_behind(bytes, offset)) {
+            if (!is_last || has_frame_after(bytes, offset)) {
                 m_error_place = absl::StrCat(name, " at offset ", offset);
                 return make_error_code(storage_errc::corrupt);
             }
@@ -175,7 +175,7 @@
     }
     if (frame.has_identity()) {
         BOOST_OUTCOME_TRY(check_identity(frame.identity(), m_settings));
-        state.entries.clear(); // a segment's first frame repeats what still counts of older ones
+        state.entries.clear(); // the first frame of a segment repeats the valid entries of older ones
     }
     if (frame.has_state()) {
         state.state = {frame.term(), frame.vote()};
@@ -193,7 +193,7 @@
         auto entry = decode(message);
         const auto expected = m_base_index + state.entries.size() + 1;
         if (entry.index != expected) {
-            return make_error_code(storage_errc::corrupt); // a gap: a segment is missing
+            return make_error_code(storage_errc::corrupt); // an index gap: a segment is missing
         }
         state.entries.push_back(std::move(entry));
     }
@@ -216,7 +216,7 @@
     if (output.install.has_value()) {
         const auto state = output.state.value_or(hard_state{});
         BOOST_OUTCOME_TRY(write_snapshot_file(*output.install));
-        // The log restarts behind the snapshot; entries of this output come after it.
+        // The log restarts after the snapshot. The entries of this output follow it.
         wire::wal_frame frame;
         frame.set_reset_index(output.install->index);
         frame.set_reset_term(output.install->term);
@@ -260,16 +260,16 @@
 
 template <file_system FileSystem>
 result<void> raft_storage<FileSystem>::save_snapshot(const raft_snapshot& snapshot, const hard_state& state,
-                                                     const std::vector<log_entry>& rest) {
+                                                     const std::vector<log_entry>& tail) {
     BOOST_OUTCOME_TRY(write_snapshot_file(snapshot));
-    BOOST_OUTCOME_TRY(start_segment(snapshot, state, rest));
+    BOOST_OUTCOME_TRY(start_segment(snapshot, state, tail));
     return remove_old_segments();
 }
 
 template <file_system FileSystem>
 result<void> raft_storage<FileSystem>::start_segment(const raft_snapshot& snapshot, const hard_state& state,
-                                                     const std::vector<log_entry>& rest) {
-    // The first frame repeats all that older segments hold, so they may go once it is synced.
+                                                     const std::vector<log_entry>& tail) {
+    // The first frame repeats all valid state of older segments, which may be removed once it is synced.
     ++m_segment_number;
     const auto name = absl::StrFormat("%s%012d", segment_prefix, m_segment_number);
     wire::wal_frame frame;
@@ -280,7 +280,7 @@
     frame.set_reset_index(snapshot.index);
     frame.set_reset_term(snapshot.term);
     frame.set_truncate_from(snapshot.index + 1);
-    for (const auto& entry : rest) {
+    for (const auto& entry : tail) {
         encode(entry, *frame.add_entries());
     }
     m_segment_bytes = 0;
--- a/unit_tests/state/intent_table_test.cpp
+++ b/unit_tests/state/intent_table_test.cpp
@@ -43,7 +43,7 @@
     EXPECT_EQ(table.begin(other), make_error_code(state_errc::key_conflict));
 }
 
-TEST(intent_table, allows_a_key_again_that_surely_did_not_run) {
+TEST(intent_table, allows_a_key_again_that_certainly_did_not_run) {
     intent_table table({}, 10, 100);
     EXPECT_FALSE(table.begin(make_intent("k", "1")));
     EXPECT_FALSE(table.end(make_end("k", "1", intent_phase::not_run)));
@@ -51,13 +51,13 @@
     EXPECT_EQ(table.end(make_end("k", "1", intent_phase::not_run)), make_error_code(state_errc::not_allowed));
 }
 
-TEST(intent_table, entry_that_is_gone_leaves_unknown) {
+TEST(intent_table, lost_entry_leaves_unknown_outcomes) {
     intent_table table({}, 10, 100);
     EXPECT_FALSE(table.begin(make_intent("k", "1")));
     table.mark_unknown("entry-1");
     EXPECT_EQ(table.find("k")->phase(), static_cast<std::uint32_t>(intent_phase::unknown));
     EXPECT_EQ(table.begin(make_intent("k", "2")), make_error_code(state_errc::key_in_use));
-    EXPECT_FALSE(table.end(make_end("k", "1", intent_phase::answered))); // its answer came late after all
+    EXPECT_FALSE(table.end(make_end("k", "1", intent_phase::answered))); // its answer arrived late
 }
 
 TEST(intent_table, is_bounded_and_forgets_by_age) {
@@ -70,20 +70,20 @@
     EXPECT_FALSE(table.begin(make_intent("c", "3", 30)));
 }
 
-TEST(intent_table, answer_too_large_to_keep_is_unknown_later) {
+TEST(intent_table, answer_too_large_to_record_becomes_unknown) {
     intent_table table({}, 2, 3);
     EXPECT_FALSE(table.begin(make_intent("a", "1")));
     EXPECT_FALSE(table.end(make_end("a", "1", intent_phase::answered)));
     EXPECT_EQ(table.find("a")->phase(), static_cast<std::uint32_t>(intent_phase::unknown));
 }
 
-/// Sends the same key many times through several entries, with ends that come late or never. Returns how
-/// often it ran.
+/// Sends the same key many times through several entries. Outcomes are reported late or never. Returns how
+/// often the request ran.
 int count_runs(const state_rules& rules, std::uint64_t seed) {
     std::mt19937_64 random(seed);
     intent_table table(rules, 10, 100);
     int runs = 0;
-    std::map<std::string, bool> begun; // request and whether it ran
+    std::map<std::string, bool> begun; // whether the request ran, by request id
     for (int step = 0; step < 50; ++step) {
         const auto request = std::to_string(random() % 20);
         if (random() % 2 == 0 && !begun.contains(request)) {
@@ -108,7 +108,7 @@
 
 TEST(intent_mutation, key_that_may_be_begun_again_is_found) {
     state_rules rules;
-    rules.intent_is_once = false;
+    rules.intent_begins_once = false;
     int most = 0;
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
         most = std::max(most, count_runs(rules, seed));
