--- a/poplarpitch/dispatch/copy_need.cpp
+++ b/poplarpitch/dispatch/copy_need.cpp
@@ -3,23 +3,23 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double overdue = 1.8;     // of the estimate: a sound run takes up to 1.5 times
-constexpr double new_run = 1.3;     // of the estimate: what a new run may take, with its start
-constexpr std::int64_t whole = 100; // percent
+constexpr double overdue_multiple = 1.8;   // of the estimate: a sound run takes up to 1.5 times
+constexpr double new_run_multiple = 1.3;   // of the estimate: what a new run may take, with its start
+constexpr std::int64_t full_percent = 100; // percent
 
 } // namespace
 
 bool needs_copy(const run_progress& progress) {
     const auto age = static_cast<double>(to_milliseconds(progress.age));
     const auto estimate = static_cast<double>(progress.estimate_ms);
-    if (age < overdue * estimate) {
+    if (age < overdue_multiple * estimate) {
         return false;
     }
     if (progress.percent <= 0) {
         return true;
     }
     const auto done = static_cast<double>(progress.percent);
-    return age * (whole - done) / done > new_run * estimate;
+    return age * (full_percent - done) / done > new_run_multiple * estimate;
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -16,10 +16,10 @@
 constexpr duration place_interval = milliseconds{100}; // while tasks wait; otherwise events ask for it
 // Between looks at all workers and runs for what is due. A turn comes for each message, 2,000 a second with
 // 490 workers: a look at 490 workers and 5,000 runs in each took a tenth of the leader's time.
-constexpr duration watch_interval = milliseconds{5};
+constexpr duration check_interval = milliseconds{5};
 // Heartbeats, and relays, tell a new leader sooner of all workers that live; only the others are asked
 // unheard.
-constexpr duration announce_patience = milliseconds{400};
+constexpr duration announce_timeout = milliseconds{400};
 
 } // namespace
 
@@ -34,11 +34,11 @@
     retire();
     m_term = term;
     m_lasting.clear(now);
-    m_crowding = 0;
+    m_filling_backlog = 0;
     m_pressure.load(m_book.get_pressure());
     for (const auto& [id, record] : m_book.get_jobs()) {
         if (record.phase == job_phase::open) {
-            find_suspects(record, now);
+            restore_suspects(record, now);
             const auto age = std::max<std::int64_t>(wall_ms - record.job->accepted_ms, 0);
             open(record, now - milliseconds{age}, now, wall_ms);
         } else {
@@ -48,37 +48,38 @@
     for (const auto& [key, run] : m_book.get_assigned_runs()) {
         const auto* record = m_book.find_job(key.task.step.job);
         adopt_worker(run, now);
-        add_track(key, record->job, run.worker, run_stage::adopting, m_suspects.get_caution(key.task), now);
+        add_track(key, record->job, run.worker, run_stage::adopting, m_suspects.get_isolation(key.task), now);
         if (record->phase != job_phase::open) {
             stop_run(*find(key), now);
         }
     }
     limit_probations();
     m_must_place = true;
-    tell_took_over(
+    log_takeover(
         {term, get_fence(), m_jobs.size(), m_tracks.size(), m_workers.get_map().size(), count_waiting()});
 }
 
 /// A life that ended with the former leader never announces itself again. Asked at its address, the life
 /// after it answers, and its runs need not wait for their lease.
 void dispatcher::adopt_worker(const assigned_run& run, time_point now) {
-    auto& worker = know_life(run.worker, now);
+    auto& worker = get_or_add_worker(run.worker, now);
     grant_lease(worker, now); // an earlier leader may have granted one just now
     if (worker.report.address.empty() && !run.address.empty()) {
         worker.report.address = run.address;
-        worker.next_hold = now + announce_patience;
+        worker.next_hold = now + announce_timeout;
         worker.last_heartbeat = now;
-        m_workers.note_address(worker);
+        m_workers.add_address(worker);
     }
 }
 
-void dispatcher::find_suspects(const job_record& record, time_point now) {
+void dispatcher::restore_suspects(const job_record& record, time_point now) {
     for (const auto& [number, occurrence] : record.occurrences) {
         for (std::uint32_t step = 0; step < occurrence.steps.size(); ++step) {
             const auto& tasks = occurrence.steps[step].tasks;
             for (std::uint32_t index = 0; index < tasks.size(); ++index) {
                 if (tasks[index].crash.crashes > 0 && tasks[index].phase != task_phase::done) {
-                    m_suspects.note({{record.job->id, number, step}, index}, tasks[index].crash.crashes, now);
+                    m_suspects.record_crashes({{record.job->id, number, step}, index},
+                                              tasks[index].crash.crashes, now);
                 }
             }
         }
@@ -88,7 +89,7 @@
 void dispatcher::retire() {
     m_term = 0;
     m_workers.clear();
-    m_gone.clear();
+    m_lost_workers.clear();
     m_is_raising_fence = false;
     m_tracks.clear();
     m_jobs.clear();
@@ -100,11 +101,11 @@
     m_is_advising = false;
     m_due.clear();
     m_ended.clear();
-    m_awaited = {};
+    m_scheduled_orders = {};
     m_orders.clear();
     m_commands.clear();
     m_timings.clear();
-    m_next_watch = {};
+    m_next_check = {};
     m_next_pools = {};
     m_next_audit = {};
     m_next_waits = {};
@@ -149,11 +150,11 @@
         m_jobs[record.job->id].due.emplace(occurrence, now);
     }
     for (std::uint32_t step = 0; step < record.job->steps.size(); ++step) {
-        consider_step(record, {record.job->id, occurrence, step}, now);
+        make_step_ready(record, {record.job->id, occurrence, step}, now);
     }
 }
 
-void dispatcher::consider_step(const job_record& record, const step_key& key, time_point now) {
+void dispatcher::make_step_ready(const job_record& record, const step_key& key, time_point now) {
     if (!record.may_begin(key.occurrence, key.step)) {
         return;
     }
@@ -162,12 +163,12 @@
     for (std::uint32_t index = 0; index < spec.count; ++index) {
         // An occurrence without a record has not begun: all of its tasks wait.
         if (step == nullptr || step->tasks[index].phase == task_phase::waiting) {
-            make_ready({key, index}, now);
+            make_task_ready({key, index}, now);
         }
     }
 }
 
-void dispatcher::make_ready(const task_key& key, time_point now) {
+void dispatcher::make_task_ready(const task_key& key, time_point now) {
     const auto* record = m_book.find_job(key.step.job);
     if (record == nullptr || record->phase != job_phase::open) {
         return;
@@ -177,7 +178,7 @@
         ready.job = record->job;
         const auto lengths = m_forecast.get_lengths_ms(*record->job, key.step.occurrence);
         ready.objective_ms = to_milliseconds(record->job->get_objective(lengths));
-        ready.rest_ms = record->job->get_rest_ms(key.step.step, lengths);
+        ready.remaining_ms = record->job->get_rest_ms(key.step.step, lengths);
     }
     ready.since = ready.waiting.empty() ? now : ready.since;
     ready.waiting.insert(key.index);
@@ -185,7 +186,7 @@
 }
 
 void dispatcher::close(job_id id, time_point now) {
-    note_ended(id, now);
+    record_job_end(id, now);
     m_forecast.forget(id);
     m_lasting.remove(id);
     const auto running = m_jobs.contains(id) ? std::move(m_jobs.at(id).runs) : decltype(open_job::runs){};
@@ -216,14 +217,14 @@
     case book_event::kind::run_assigned:
         if (auto* track = find(event.run); track != nullptr) {
             track->stage = run_stage::starting;
-            push_track(*track, now);
+            send_due_order(*track, now);
         }
         return;
     case book_event::kind::run_refused: {
         drop_track(event.run, now);
         const auto* task = m_book.find_task(event.run.task);
         if (task == nullptr || task->phase == task_phase::waiting) {
-            make_ready(event.run.task, now);
+            make_task_ready(event.run.task, now);
         }
         return;
     }
@@ -241,7 +242,7 @@
         for (key.step = done + 1; key.step < record->job->steps.size(); ++key.step) {
             const auto& after = record->job->steps[key.step].depends_on;
             if (std::find(after.begin(), after.end(), done) != after.end()) {
-                consider_step(*record, key, now);
+                make_step_ready(*record, key, now);
             }
         }
         return;
@@ -256,7 +257,7 @@
         return;
     case book_event::kind::config_changed:
         for (auto* worker : m_workers.get_all()) {
-            note_room(*worker);
+            update_room_expiry(*worker);
         }
         m_must_place = true;
         return;
@@ -270,15 +271,15 @@
         worker->ends_committing -= worker->ends_committing > 0 ? 1 : 0;
         update_acknowledged(*worker);
         if (worker->ends_committing == 0) {
-            hold_soon(*worker, now);
+            schedule_hold(*worker, now);
         }
     }
     m_must_place = true;
     if (ended == nullptr) {
         return;
     }
-    note_run_time(*ended, event.end, now);
-    tell_ended(*ended, event.end, m_term, now);
+    record_run_time(*ended, event.end, now);
+    log_run_ended(*ended, event.end, m_term, now);
     drop_track(event.run, now);
     if (event.end == run_end::done) {
         ++m_counts.done_runs;
@@ -292,7 +293,7 @@
         return;
     }
     if (task->phase == task_phase::waiting) {
-        make_ready(event.run.task, now);
+        make_task_ready(event.run.task, now);
         break_gang(event.run, now);
     }
     if (task->phase == task_phase::done) {
@@ -305,7 +306,7 @@
     }
 }
 
-void dispatcher::note_run_time(const run_track& track, run_end end, time_point now) {
+void dispatcher::record_run_time(const run_track& track, run_end end, time_point now) {
     if (!track.has_known_start || track.get_spec().long_running) {
         return;
     }
@@ -359,10 +360,10 @@
     }
     begin_due_occurrences(now, wall_ms);
     forget_old_jobs(now);
-    if (now >= m_next_watch) {
-        m_next_watch = now + watch_interval;
-        watch_workers(now);
-        repeat_orders(now);
+    if (now >= m_next_check) {
+        m_next_check = now + check_interval;
+        check_workers(now);
+        send_scheduled_orders(now);
     }
     if (!m_ready.empty() && now >= m_next_place) {
         m_must_place = true; // a worker that was set aside may have come back
@@ -373,7 +374,7 @@
         start_copies(now);
     }
     observe_pools(now);
-    note_pressure(now);
+    save_pressure(now);
     report_load(now);
     audit(now);
     report_waits(now);
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -95,7 +95,7 @@
     /// Takes the answer to a pace order.
     void on_pace(const run_key& key, int percent, const order_answer& answer, time_point now);
     /// Takes the answer of the advice service.
-    void on_advice(const advise_order& asked, const advice_outcome& outcome, time_point now);
+    void on_advice(const advise_order& request, const advice_outcome& outcome, time_point now);
     /// Takes what a committed command changed.
     void on_event(const book_event& event, time_point now, std::int64_t wall_ms);
     /// Lets time pass: leases, repeated orders, occurrences that fall due, placement. Nothing is placed while
@@ -152,7 +152,7 @@
         std::set<std::uint32_t> waiting;
         time_point since{};            ///< when the first of them began to wait
         std::int64_t objective_ms = 0; ///< of the job
-        std::int64_t rest_ms = 0;      ///< forecast for this step and what follows it
+        std::int64_t remaining_ms = 0; ///< forecast for this step and what follows it
 
         /// Returns what its waiting tasks ask for, millicores.
         [[nodiscard]] std::int64_t get_wanted(const step_key& key) const {
@@ -167,10 +167,10 @@
         std::size_t probations_left = 0; ///< workers that may yet be given to a suspect for itself
     };
     /// What became of a waiting task in a pass.
-    enum class placing : std::uint8_t {
+    enum class placement_result : std::uint8_t {
         placed,
-        held,    ///< it waits for something of its own, and keeps no other task waiting
-        no_room, ///< those behind it wait too
+        deferred, ///< it waits for something of its own, and keeps no other task waiting
+        no_room,  ///< those behind it wait too
     };
     /// A worker that holds a task; the first of those with the least cost is the best.
     struct candidate {
@@ -185,86 +185,86 @@
 
     /// What a worker listed, in order, and when it was asked for: the list may be older than answers that
     /// came before it.
-    struct asked_list {
+    struct requested_list {
         std::vector<run_key> runs;
-        time_point asked{};
+        time_point requested_at{};
     };
 
     /// A start or stop that is to be sent at a time.
-    struct due_order {
+    struct scheduled_order {
         time_point when{};
         run_key run;
 
-        friend auto operator<=>(const due_order&, const due_order&) = default;
+        friend auto operator<=>(const scheduled_order&, const scheduled_order&) = default;
     };
 
     // jobs
     void open(const job_record& record, time_point accepted, time_point now, std::int64_t wall_ms);
     void adopt_worker(const assigned_run& run, time_point now);
     /// Takes up what the book says of a job's tasks that may have crashed workers.
-    void find_suspects(const job_record& record, time_point now);
+    void restore_suspects(const job_record& record, time_point now);
     void begin_occurrence(const job_record& record, std::uint32_t occurrence, time_point now);
-    void consider_step(const job_record& record, const step_key& key, time_point now);
-    void make_ready(const task_key& key, time_point now);
+    void make_step_ready(const job_record& record, const step_key& key, time_point now);
+    void make_task_ready(const task_key& key, time_point now);
     void close(job_id id, time_point now);
-    void note_started(job_id id, time_point now);
-    void note_ended(job_id id, time_point now);
+    void record_first_start(job_id id, time_point now);
+    void record_job_end(job_id id, time_point now);
     void on_run_ended(const book_event& event, time_point now);
     /// Tells the forecast how long an ending run took.
-    void note_run_time(const run_track& track, run_end end, time_point now);
+    void record_run_time(const run_track& track, run_end end, time_point now);
     void break_gang(const run_key& ended, time_point now);
     /// Tells the quota what the pools are used for.
     void observe_pools(time_point now);
-    void measure_crowding();
+    void measure_filling_backlog();
     /// Returns true when a job has waited too long with nothing running, given how empty its pool is.
     [[nodiscard]] bool is_starving(const open_job& job, const std::string& pool, time_point now) const;
-    void note_pressure(time_point now);
+    void save_pressure(time_point now);
     void report_load(time_point now);
     void begin_due_occurrences(time_point now, std::int64_t wall_ms);
     void forget_old_jobs(time_point now);
 
     // runs
     run_track& add_track(const run_key& key, std::shared_ptr<const step_job> job, const worker_life& worker,
-                         run_stage stage, caution care, time_point now);
+                         run_stage stage, isolation_level isolation, time_point now);
     void drop_track(const run_key& key, time_point now);
     run_track* find(const run_key& key);
-    void propose_end(run_track& track, run_end end, const end_word& word, time_point now,
+    void propose_end(run_track& track, run_end end, const end_evidence& evidence, time_point now,
                      const std::string& saved = {}, const run_loss& loss = {});
     void send_start(run_track& track, time_point now);
     void send_stop(run_track& track, time_point now);
     void stop_run(run_track& track, time_point now);
-    void push_track(run_track& track, time_point now);
+    void send_due_order(run_track& track, time_point now);
     /// Sends starts and stops again whose time has come.
-    void repeat_orders(time_point now);
+    void send_scheduled_orders(time_point now);
     /// Lets a start or stop that could not be sent, or had no answer, be sent at `track.next_order`.
-    void await_order(const run_track& track);
+    void schedule_order(const run_track& track);
     /// Lets the task of a run that has not started go elsewhere.
-    void give_back(run_track& track, time_point now);
+    void return_to_queue(run_track& track, time_point now);
     void on_start_refused(run_track& track, order_failure failure, time_point now);
     /// Lets orders flow again to a worker that has answered something.
-    void note_heard(worker_state& worker, time_point now);
-    void note_order_answer(run_track& track, const order_answer& answer, time_point now);
+    void release_orders(worker_state& worker, time_point now);
+    void handle_order_answer(run_track& track, const order_answer& answer, time_point now);
 
     // workers
     worker_state* find_worker(const worker_life& life) { return m_workers.find(life); }
     /// Asks for the worker's list at `when`, if not before.
-    void hold_soon(worker_state& worker, time_point when);
+    void schedule_hold(worker_state& worker, time_point when);
     /// Returns when the worker is to be looked at again at the latest.
-    [[nodiscard]] time_point get_next_look(const worker_state& worker, time_point now) const;
+    [[nodiscard]] time_point get_next_check(const worker_state& worker, time_point now) const;
     void add_load(worker_state& worker, run_track& track, int sign);
     /// Takes until when a worker's last heartbeat tells its room.
-    void note_room(worker_state& worker) const;
+    void update_room_expiry(worker_state& worker) const;
     /// Takes a worker's clock from a heartbeat, which may be late.
-    void note_clock(worker_state& worker, std::int64_t clock_ms, time_point now) const;
+    void update_clock(worker_state& worker, std::int64_t clock_ms, time_point now) const;
     void send_hold(worker_state& worker, time_point now);
     /// Returns how long a worker may wait with its list.
     [[nodiscard]] duration get_hold_wait(const worker_state& worker) const;
     [[nodiscard]] bool needs_hold(const worker_state& worker) const;
-    void take_rows(worker_state& worker, const hold_answer& answer, time_point now);
-    void take_end(worker_state& worker, const end_row& row, time_point now);
+    void process_list(worker_state& worker, const hold_answer& answer, time_point now);
+    void process_end(worker_state& worker, const end_row& row, time_point now);
     /// Ends runs that the worker lacks in its list. Precondition: `listed` is sorted.
-    void find_vanished(worker_state& worker, const std::vector<run_key>& listed, time_point now);
-    void stop_stray(worker_state& worker, const run_key& key);
+    void end_missing_runs(worker_state& worker, const std::vector<run_key>& listed, time_point now);
+    void stop_stray_run(worker_state& worker, const run_key& key);
     void grant_lease(worker_state& worker, time_point now);
     /// Takes that something may count at the worker as long as it grants anything at all.
     void grant_longest_lease(worker_state& worker, time_point now);
@@ -272,48 +272,49 @@
     [[nodiscard]] duration get_lease_span(duration lease) const;
     /// Returns until when a run may be there whose worker is out of reach.
     [[nodiscard]] time_point get_lease_end(const run_track& track) const;
-    void lose_worker(worker_state& worker, end_ground ground, time_point now);
+    void on_worker_lost(worker_state& worker, end_reason reason, time_point now);
     static void add_loss(log_event& line, const run_track& track, time_point now);
     void evacuate(worker_state& worker, time_point now);
-    void watch_workers(time_point now);
+    void check_workers(time_point now);
     /// Returns true when the worker is to be forgotten.
     [[nodiscard]] bool may_forget(const worker_state& worker, time_point now) const;
-    void watch_worker(worker_state& worker, time_point now);
+    void check_worker(worker_state& worker, time_point now);
     void update_acknowledged(worker_state& worker);
     [[nodiscard]] order_target make_target(const worker_state& worker, duration timeout) const;
 
     // lives of workers
     /// Returns what is known of a life, a new state where it is not known.
-    worker_state& know_life(const worker_life& life, time_point now);
+    worker_state& get_or_add_worker(const worker_life& life, time_point now);
     /// Returns true when a message of this life is late: it is known to have ended.
-    [[nodiscard]] bool is_past(const worker_life& life) const;
+    [[nodiscard]] bool is_stale(const worker_life& life) const;
     /// Returns the fence that no order carried yet, but for those since the last raise.
     [[nodiscard]] std::uint64_t get_fence() const { return m_term + m_book.get_fence_raises(); }
     void raise_fence(worker_state& worker);
     void on_fence_raised(time_point now);
     /// Takes a list that came from another life than the one that was asked.
-    void on_other_life(worker_state& asked, const worker_life& answered, const hold_answer& answer,
+    void on_other_life(worker_state& addressed, const worker_life& answered, const hold_answer& answer,
                        time_point now);
     /// Gives up all lives that were known before `asked` was, whose hold `worker` answered.
-    void end_former_lives(worker_state& worker, const worker_state& asked, const hold_answer& answer,
+    void end_former_lives(worker_state& worker, const worker_state& addressed, const hold_answer& answer,
                           time_point now);
     /// Gives up a life: what runs at `heir`, the life after it, or may yet come there, is followed there.
-    void end_life(worker_state& former, worker_state& heir, const asked_list& list, time_point now);
-    void mark_gone(worker_state& worker, const char* reason, time_point now);
-    void follow_at(run_track& track, worker_state& heir, const run_loss& loss, time_point now);
-    void give_up_run(run_track& track, end_ground ground, const run_loss& loss, time_point now);
+    void end_former_life(worker_state& former, worker_state& successor, const requested_list& list,
+                         time_point now);
+    void mark_lost(worker_state& worker, const char* reason, time_point now);
+    void move_run(run_track& track, worker_state& successor, const run_loss& loss, time_point now);
+    void mark_run_lost(run_track& track, end_reason reason, const run_loss& loss, time_point now);
     /// Looks whether another life took an order: its clock counts anew.
-    void compare_clock(worker_state& worker, std::int64_t clock_ms, time_point now);
+    void check_clock_reset(worker_state& worker, std::int64_t clock_ms, time_point now);
 
     // tasks that crash their workers
     /// Returns how long the run was there at most when its worker ceased to answer; nothing while unknown.
     [[nodiscard]] static std::optional<duration> get_age_at_loss(const run_track& track, time_point now);
     /// Returns what the loss of its worker says of a run, if the worker crashed.
-    [[nodiscard]] run_loss judge_loss(const run_track& track, time_point now) const;
+    [[nodiscard]] run_loss assess_loss(const run_track& track, time_point now) const;
     [[nodiscard]] crash_evidence compare_with_neighbours(const run_track& track,
                                                          std::optional<duration> age) const;
     /// Returns what is judged of all runs of a worker that have not ended.
-    [[nodiscard]] std::vector<lapsed_run> judge_runs(const worker_state& worker, time_point now) const;
+    [[nodiscard]] std::vector<lapsed_run> assess_runs(const worker_state& worker, time_point now) const;
     void propose_crash(const lapsed_run& lapsed, const worker_life& worker);
     void on_task_crashed(const book_event& event, time_point now);
     void clear_suspects(worker_state& worker, time_point now);
@@ -336,8 +337,9 @@
     // advice
     [[nodiscard]] std::string find_ticket(const step_key& step, const worker_life& worker,
                                           time_point now) const;
-    void ask_advice(const std::vector<std::pair<std::int64_t, step_key>>& ranked, time_point now);
-    std::vector<worker_life> pick_unadvised(const ready_step& ready, const step_key& key, time_point now);
+    void request_advice(const std::vector<std::pair<std::int64_t, step_key>>& ranked, time_point now);
+    std::vector<worker_life> pick_workers_to_advise(const ready_step& ready, const step_key& key,
+                                                    time_point now);
 
     // pressure of filling tasks on serving ones
     void refresh_pressure(worker_state& worker);
@@ -362,16 +364,16 @@
     /// less than it asks for.
     void place_starving(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Places a waiting task.
-    placing place_task(placing_pass& pass, ready_step& ready, const task_key& task, bool starves);
+    placement_result place_task(placing_pass& pass, ready_step& ready, const task_key& task, bool starves);
     /// Returns the waiting tasks of a step that are placed with this much care.
     [[nodiscard]] std::vector<std::uint32_t> find_waiting(const ready_step& ready, const step_key& key,
-                                                          caution care) const;
+                                                          isolation_level isolation) const;
     /// Places these tasks one by one until one finds no room.
     void place_each(placing_pass& pass, ready_step& ready, const step_key& key,
                     const std::vector<std::uint32_t>& indexes);
     /// Places these tasks, which differ by their numbers alone.
-    void place_alike(placing_pass& pass, ready_step& ready, const step_key& key,
-                     const std::vector<std::uint32_t>& indexes);
+    void place_identical(placing_pass& pass, ready_step& ready, const step_key& key,
+                         const std::vector<std::uint32_t>& indexes);
     void place_gang(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Returns how many members of a gang wait for workers of their own.
     [[nodiscard]] std::size_t count_own_workers(const ready_step& ready, const step_key& key, time_point now);
@@ -384,7 +386,7 @@
     [[nodiscard]] placement_obstacle find_policy_obstacle(const worker_state& worker, const ready_step& ready,
                                                           const placement_request& request,
                                                           time_point now) const;
-    void claim(const ready_step& ready, const task_key& key, worker_state& worker, caution care,
+    void claim(const ready_step& ready, const task_key& key, worker_state& worker, isolation_level isolation,
                time_point now);
     /// Returns true when a second run of the task may be started and would probably end first.
     [[nodiscard]] bool may_copy(const run_track& track, time_point now) const;
@@ -397,7 +399,7 @@
     log_term m_term = 0;
     worker_table m_workers;
     std::set<worker_life>
-        m_gone; ///< lives that are known to have ended; late heartbeats of theirs are ignored
+        m_lost_workers; ///< lives that are known to have ended; late heartbeats of theirs are ignored
     bool m_is_raising_fence = false; ///< a raise is on its way into the log
     absl::node_hash_map<run_key, run_track> m_tracks;
     absl::node_hash_map<job_id, open_job> m_jobs;
@@ -409,7 +411,7 @@
     time_point m_next_advice{};
     std::multimap<std::int64_t, step_key> m_due; ///< wall time -> job and occurrence (step 0)
     std::multimap<time_point, job_id> m_ended;   ///< when ended jobs are forgotten
-    std::priority_queue<due_order, std::vector<due_order>, std::greater<>> m_awaited;
+    std::priority_queue<scheduled_order, std::vector<scheduled_order>, std::greater<>> m_scheduled_orders;
     std::vector<worker_order> m_orders;
     std::vector<job_wire::job_command> m_commands;
     std::vector<job_timing> m_timings;
@@ -418,23 +420,23 @@
     work_forecast m_forecast;
     lasting_quota m_lasting;
     leader_load m_load;
-    std::set<std::string> m_roomy; ///< pools less than half of which is reserved
-    double m_crowding =
+    std::set<std::string> m_underused_pools; ///< pools less than half of which is reserved
+    double m_filling_backlog =
         0; ///< cores of filling tasks that wait, as a share of those that run, 0 to 1; smoothed
     bool m_must_place = false;
-    double m_short_cores = 0;       ///< millicores that tasks which neither serve nor fill want, smoothed
-    std::int64_t m_open_cores = 0;  ///< millicores of the usable workers on which nothing serves
-    std::int64_t m_total_cores = 0; ///< millicores of the usable workers
+    double m_short_millicores = 0;      ///< millicores that tasks which neither serve nor fill want, smoothed
+    std::int64_t m_open_millicores = 0; ///< millicores of the usable workers on which nothing serves
+    std::int64_t m_total_millicores = 0; ///< millicores of the usable workers
     time_point m_measured_at{};
     time_point m_last_place{};
     time_point m_next_place{};
-    time_point m_next_watch{};  ///< when all workers and runs are looked at again
+    time_point m_next_check{};  ///< when all workers and runs are looked at again
     time_point m_next_copies{}; ///< when slow runs are looked for again
     time_point m_next_pools{};  ///< when the use of pools is looked at again
     time_point m_next_report{};
     time_point m_next_audit{};
     time_point m_next_waits{}; ///< when long waits are told again
-    time_point m_next_note{};
+    time_point m_next_pressure_save{};
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr duration pool_interval = milliseconds{500}; // between looks at what the pools are used for
-constexpr double crowding_weight =
+constexpr double backlog_weight =
     0.2; // of a new look: two thirds in 2.5 s, longer than a wave of new jobs waits
 
 constexpr duration overload_wait =
@@ -68,10 +68,10 @@
     std::map<std::string, lasting_quota::pool_use> pools;
     std::map<std::string, std::int64_t> reserved; // millicores
     for (const auto* worker : m_workers.get_all()) {
-        if (worker->has_report && !worker->is_gone && !worker->is_leaving) {
+        if (worker->has_report && !worker->is_lost && !worker->is_leaving) {
             auto& use = pools[worker->report.pool];
             use.capacity += worker->report.capacity.millicores;
-            use.other_demand += worker->short_cores + worker->fill_cores;
+            use.other_demand += worker->short_millicores + worker->fill_millicores;
             reserved[worker->report.pool] += worker->reserved.millicores;
         }
     }
@@ -80,27 +80,27 @@
             pools[ready.job->queue.pool].other_demand += ready.get_wanted(key);
         }
     }
-    m_roomy.clear();
+    m_underused_pools.clear();
     for (const auto& [pool, use] : pools) {
         m_lasting.observe(pool, use, now);
         if (2 * reserved[pool] < use.capacity) {
-            m_roomy.insert(pool);
+            m_underused_pools.insert(pool);
         }
     }
-    measure_crowding();
+    measure_filling_backlog();
 }
 
-void dispatcher::measure_crowding() {
+void dispatcher::measure_filling_backlog() {
     std::int64_t running = 0; // millicores of filling tasks
     std::int64_t waiting = 0;
     for (const auto* worker : m_workers.get_all()) {
-        running += worker->fill_cores;
+        running += worker->fill_millicores;
     }
     for (const auto& [key, ready] : m_ready) {
         waiting += ready.job->steps[key.step].fills ? ready.get_wanted(key) : 0;
     }
     const auto share = static_cast<double>(waiting) / static_cast<double>(std::max<std::int64_t>(running, 1));
-    m_crowding += crowding_weight * (std::min(share, 1.0) - m_crowding);
+    m_filling_backlog += backlog_weight * (std::min(share, 1.0) - m_filling_backlog);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/dispatcher_advice.cpp
+++ b/poplarpitch/dispatch/dispatcher_advice.cpp
@@ -9,8 +9,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t most_named = 30;                // workers a call: the time it takes grows with each
-constexpr std::size_t spare_named = 4;                // more than there are tasks: some will be denied
+constexpr std::size_t max_advised_workers = 30;       // workers a call: the time it takes grows with each
+constexpr std::size_t extra_advised_workers = 4;      // more than there are tasks: some will be denied
 constexpr duration retry_pause = milliseconds{200};   // after a call that got no answer
 constexpr duration answer_slack = seconds{1};         // over the time that the queue's policy names
 constexpr duration ticket_margin = milliseconds{400}; // a commit and a start come before the worker sees it
@@ -24,7 +24,8 @@
 
 /// One call is under way at a time: the service answers a machine's calls in turn anyway, and what is asked
 /// next depends on the answer.
-void dispatcher::ask_advice(const std::vector<std::pair<std::int64_t, step_key>>& ranked, time_point now) {
+void dispatcher::request_advice(const std::vector<std::pair<std::int64_t, step_key>>& ranked,
+                                time_point now) {
     if (m_is_advising || now < m_next_advice) {
         return;
     }
@@ -34,7 +35,7 @@
             !found->second.job->queue.advice.has_value()) {
             continue;
         }
-        auto workers = pick_unadvised(found->second, key, now);
+        auto workers = pick_workers_to_advise(found->second, key, now);
         if (workers.empty()) {
             continue;
         }
@@ -51,8 +52,8 @@
     }
 }
 
-std::vector<worker_life> dispatcher::pick_unadvised(const ready_step& ready, const step_key& key,
-                                                    time_point now) {
+std::vector<worker_life> dispatcher::pick_workers_to_advise(const ready_step& ready, const step_key& key,
+                                                            time_point now) {
     const auto request = make_request(ready, {key, *ready.waiting.begin()}, now);
     std::vector<std::pair<double, worker_life>> found;
     for (const auto* worker : m_workers.get_all()) {
@@ -67,31 +68,31 @@
     std::sort(found.begin(), found.end());
     std::vector<worker_life> workers;
     for (const auto& [cost, life] : found) {
-        if (workers.size() < std::min(most_named, ready.waiting.size() + spare_named)) {
+        if (workers.size() < std::min(max_advised_workers, ready.waiting.size() + extra_advised_workers)) {
             workers.push_back(life);
         }
     }
     return workers;
 }
 
-void dispatcher::on_advice(const advise_order& asked, const advice_outcome& outcome, time_point now) {
+void dispatcher::on_advice(const advise_order& request, const advice_outcome& outcome, time_point now) {
     if (!is_leading()) {
         return;
     }
     m_is_advising = false;
     if (!outcome.is_answered) {
         m_next_advice = now + retry_pause;
-        log_event(log_level::warn, "advice_missing").add("job", format_job_id(asked.step.job));
+        log_event(log_level::warn, "advice_missing").add("job", format_job_id(request.step.job));
         return;
     }
-    const auto* record = m_book.find_job(asked.step.job);
+    const auto* record = m_book.find_job(request.step.job);
     if (record == nullptr || !record->job->queue.advice.has_value()) {
         return;
     }
-    auto& advice = m_advice[asked.step];
+    auto& advice = m_advice[request.step];
     // Counted from the answer less the whole call: the service may have decided at its start.
-    const auto expires = now + record->job->queue.advice->valid - asked.timeout + answer_slack;
-    for (const auto& worker : asked.workers) {
+    const auto expires = now + record->job->queue.advice->valid - request.timeout + answer_slack;
+    for (const auto& worker : request.workers) {
         const auto found = std::find_if(outcome.allowed.begin(), outcome.allowed.end(),
                                         [&](const advice_ticket& item) { return item.worker == worker.id; });
         if (found == outcome.allowed.end()) {
@@ -101,9 +102,9 @@
         }
     }
     log_event(log_level::info, "advice_taken")
-        .add("job", format_job_id(asked.step.job))
-        .add("step", static_cast<std::uint64_t>(asked.step.step))
-        .add("asked", static_cast<std::uint64_t>(asked.workers.size()))
+        .add("job", format_job_id(request.step.job))
+        .add("step", static_cast<std::uint64_t>(request.step.step))
+        .add("asked", static_cast<std::uint64_t>(request.workers.size()))
         .add("allowed", static_cast<std::uint64_t>(outcome.allowed.size()));
     m_must_place = true;
 }
--- a/poplarpitch/dispatch/dispatcher_audit.cpp
+++ b/poplarpitch/dispatch/dispatcher_audit.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 constexpr duration audit_interval = seconds{1};
-constexpr duration list_patience = seconds{3};    // lists come once a second at the least
-constexpr duration commit_patience = seconds{10}; // a disk may hang for seconds
-constexpr std::size_t most_lines = 20;            // a pass: one fault mostly holds many tasks
+constexpr duration list_timeout = seconds{3};    // lists come once a second at the least
+constexpr duration commit_timeout = seconds{10}; // a disk may hang for seconds
+constexpr std::size_t max_lines = 20;            // a pass: one fault mostly holds many tasks
 
 /// Returns why a run stands still, or nothing.
 std::optional<stuck_reason> find_stuck_reason(const run_track& track, time_point now) {
     if (track.is_ending) {
-        const bool is_late = now - track.ending_since > commit_patience;
+        const bool is_late = now - track.ending_since > commit_timeout;
         return is_late ? std::optional{stuck_reason::end_not_committed} : std::nullopt;
     }
     const bool has_lists_without =
-        track.stage == run_stage::running && track.host->listed_at - track.listed_at > list_patience;
+        track.stage == run_stage::running && track.host->listed_at - track.listed_at > list_timeout;
     return has_lists_without ? std::optional{stuck_reason::not_listed} : std::nullopt;
 }
 
@@ -76,7 +76,7 @@
     m_next_audit = now + audit_interval;
     const auto stuck = find_stuck(now);
     m_counts.stuck_tasks = stuck.size();
-    for (std::size_t number = 0; number < std::min(stuck.size(), most_lines); ++number) {
+    for (std::size_t number = 0; number < std::min(stuck.size(), max_lines); ++number) {
         auto line = log_event(log_level::error, "task_stuck");
         add_run(line, stuck[number].run);
         line.add("reason", get_stuck_name(stuck[number].reason));
--- a/poplarpitch/dispatch/dispatcher_copies.cpp
+++ b/poplarpitch/dispatch/dispatcher_copies.cpp
@@ -12,8 +12,8 @@
 
 constexpr duration copy_interval = milliseconds{200}; // lists of workers come each 350 ms to 1 s
 // A run that was there for longer when its worker ceased to answer is hardly the one at fault.
-constexpr duration copied_age = seconds{1};
-constexpr std::size_t most_copies = 1; // beside the first run
+constexpr duration suspicious_age = seconds{1};
+constexpr std::size_t max_copies = 1; // beside the first run
 
 } // namespace
 
@@ -24,10 +24,10 @@
         return false;
     }
     // A second run of what ended its worker would end another one, before the first loss is known.
-    const bool may_crash = m_suspects.get_caution(track.key.task) != caution::none ||
-                           (track.host->hold_failures > 0 && get_age_at_loss(track, now) <= copied_age);
+    const bool may_crash = m_suspects.get_isolation(track.key.task) != isolation_level::none ||
+                           (track.host->hold_failures > 0 && get_age_at_loss(track, now) <= suspicious_age);
     const auto* task = m_book.find_task(track.key.task);
-    return !may_crash && task != nullptr && task->runs.size() <= most_copies &&
+    return !may_crash && task != nullptr && task->runs.size() <= max_copies &&
            needs_copy({now - track.confirmed_at, track.percent, spec.estimate_ms});
 }
 
@@ -73,7 +73,7 @@
             .add("estimate_ms", slow.get_spec().estimate_ms);
     }
     ++m_counts.copies;
-    claim(ready, slow.key.task, *worker, request.get_run_care(), pass.now);
+    claim(ready, slow.key.task, *worker, request.get_run_isolation(), pass.now);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -13,7 +13,7 @@
 
 // A run whose worker crashed this soon after its start has just begun: neighbours of which the same is true
 // twice in a row are rare, since tasks run for seconds. Nor can it have ended well without being listed yet.
-constexpr duration just_begun = milliseconds{250};
+constexpr duration just_begun_age = milliseconds{250};
 constexpr std::int64_t just_begun_part = 4; // of its estimate, which may be off by half
 
 /// Returns true when the run may have been at its worker.
@@ -21,22 +21,22 @@
     if (track.is_ending || track.stage == run_stage::committing) {
         return false;
     }
-    return track.stage != run_stage::starting || track.is_order_out || track.may_come_late;
+    return track.stage != run_stage::starting || track.is_order_pending || track.may_start_late;
 }
 
 bool has_just_begun(duration age, const step_spec& spec) {
     const bool is_long = spec.long_running || milliseconds{spec.estimate_ms} >= just_begun_part * age;
-    return age <= just_begun && is_long;
+    return age <= just_begun_age && is_long;
 }
 
 bool is_other_job(const run_track& left, const run_track& right) {
     return left.key.task.step.job != right.key.task.step.job;
 }
 
-void set_care(run_track& track, caution care) {
-    track.host->add_care(track.care, -1);
-    track.care = care;
-    track.host->add_care(track.care, 1);
+void set_isolation(run_track& track, isolation_level isolation) {
+    track.host->count_isolated(track.isolation, -1);
+    track.isolation = isolation;
+    track.host->count_isolated(track.isolation, 1);
 }
 
 } // namespace
@@ -54,7 +54,7 @@
 /// A worker that said that it leaves has not crashed, whatever became of it. What was cut off may have
 /// crashed, or its runs may have ended, at any time since; only where the last connection broke off, as it
 /// does with a process, a run that was confirmed was surely there.
-run_loss dispatcher::judge_loss(const run_track& track, time_point now) const {
+run_loss dispatcher::assess_loss(const run_track& track, time_point now) const {
     const auto& worker = *track.host;
     const auto age = get_age_at_loss(track, now);
     const bool is_confirmed = track.confirmed_at != time_point{};
@@ -63,7 +63,7 @@
     if (worker.is_leaving || m_book.is_retired(worker.report.life) || !may_have_begun(track)) {
         return loss;
     }
-    const bool was_heard = worker.hold_failures > 0 ? worker.has_broken_off : !worker.is_holding;
+    const bool was_heard = worker.hold_failures > 0 ? worker.has_failed_early : !worker.is_hold_pending;
     loss.crash = is_confirmed && was_heard ? compare_with_neighbours(track, age) : crash_evidence::possible;
     return loss;
 }
@@ -73,11 +73,11 @@
 crash_evidence dispatcher::compare_with_neighbours(const run_track& track,
                                                    std::optional<duration> age) const {
     bool is_alone = true;
-    bool is_only_suspect = track.care != caution::none;
+    bool is_only_suspect = track.isolation != isolation_level::none;
     for (const auto& [key, other] : track.host->runs) {
         if (may_have_begun(*other) && is_other_job(track, *other)) {
             is_alone = false;
-            is_only_suspect = is_only_suspect && other->care == caution::none;
+            is_only_suspect = is_only_suspect && other->isolation == isolation_level::none;
         }
     }
     const auto* task = m_book.find_task(track.key.task);
@@ -92,14 +92,14 @@
 }
 
 /// All are judged before one of them ends: each is a neighbour of the others.
-std::vector<lapsed_run> dispatcher::judge_runs(const worker_state& worker, time_point now) const {
-    std::vector<lapsed_run> judged;
+std::vector<lapsed_run> dispatcher::assess_runs(const worker_state& worker, time_point now) const {
+    std::vector<lapsed_run> assessed;
     for (const auto& [key, run] : worker.runs) {
         if (!run->is_ending) {
-            judged.push_back({key, judge_loss(*run, now)});
+            assessed.push_back({key, assess_loss(*run, now)});
         }
     }
-    return judged;
+    return assessed;
 }
 
 void dispatcher::propose_crash(const lapsed_run& lapsed, const worker_life& worker) {
@@ -116,7 +116,7 @@
 
 void dispatcher::on_task_crashed(const book_event& event, time_point now) {
     ++m_counts.crashes;
-    m_suspects.note(event.run.task, static_cast<std::uint32_t>(event.number), now);
+    m_suspects.record_crashes(event.run.task, static_cast<std::uint32_t>(event.number), now);
     {
         auto line = log_event(log_level::warn, "task_crashed");
         add_run(line, event.run);
@@ -143,12 +143,12 @@
     for (const auto& [key, run] : worker.runs) {
         auto& track = *run;
         const auto* task = m_book.find_task(key.task);
-        const bool is_suspect = track.care != caution::none && track.stage == run_stage::running;
+        const bool is_suspect = track.isolation != isolation_level::none && track.stage == run_stage::running;
         if (!is_suspect || task == nullptr ||
             to_milliseconds(now - track.confirmed_at) < task->crash.get_peace_ms()) {
             continue;
         }
-        set_care(track, caution::none);
+        set_isolation(track, isolation_level::none);
         m_suspects.forget(key.task);
         m_must_place = true;
         auto line = log_event(log_level::info, "task_cleared");
@@ -159,7 +159,7 @@
 
 /// What the former leader kept is not known. Where a suspect runs beside others its worker was not kept.
 void dispatcher::limit_probations() {
-    const auto most = get_most_probations(m_workers.get_all().size());
+    const auto most = get_max_probations(m_workers.get_all().size());
     std::size_t kept = 0;
     for (auto* worker : m_workers.get_all()) {
         if (worker->probations == 0) {
@@ -170,7 +170,7 @@
             continue;
         }
         for (const auto& [key, track] : worker->runs) {
-            set_care(*track, std::min(track->care, caution::apart));
+            set_isolation(*track, std::min(track->isolation, isolation_level::apart));
         }
     }
 }
--- a/poplarpitch/dispatch/dispatcher_lives.cpp
+++ b/poplarpitch/dispatch/dispatcher_lives.cpp
@@ -10,19 +10,19 @@
 namespace poplarpitch {
 namespace {
 
-constexpr auto started_again = end_ground::started_again;
+constexpr auto started_again = end_reason::started_again;
 
 } // namespace
 
-worker_state& dispatcher::know_life(const worker_life& life, time_point now) {
+worker_state& dispatcher::get_or_add_worker(const worker_life& life, time_point now) {
     if (auto* known = find_worker(life); known != nullptr) {
         return *known;
     }
     const auto others = m_workers.find_other_lives(life);
-    const auto gone = m_gone.lower_bound(worker_life::before_all(life.id));
+    const auto lost = m_lost_workers.lower_bound(worker_life::before_all(life.id));
     auto& worker = m_workers.get(life);
     worker.known_since = now;
-    worker.needs_fence = !others.empty() || (gone != m_gone.end() && gone->id == life.id);
+    worker.needs_fence = !others.empty() || (lost != m_lost_workers.end() && lost->id == life.id);
     worker.fence = get_fence();
     if (worker.needs_fence) {
         grant_longest_lease(worker, now); // what was for a former life may have come to this one
@@ -38,8 +38,8 @@
     return worker;
 }
 
-bool dispatcher::is_past(const worker_life& life) const {
-    if (m_gone.contains(life)) {
+bool dispatcher::is_stale(const worker_life& life) const {
+    if (m_lost_workers.contains(life)) {
         return true;
     }
     // It comes from another writer, or by an instance of a version that leaves the start time out.
@@ -71,34 +71,34 @@
         worker->needs_fence = false;
         worker->fence = get_fence();
         worker->next_hold = now;
-        m_workers.look_at(*worker, now);
+        m_workers.schedule_check(*worker, now);
     }
 }
 
 /// Lives follow one another, so the one that answered is later than any that was known before it was asked.
-void dispatcher::on_other_life(worker_state& asked, const worker_life& answered, const hold_answer& answer,
-                               time_point now) {
-    m_gone.erase(answered);
-    auto& worker = know_life(answered, now);
+void dispatcher::on_other_life(worker_state& addressed, const worker_life& answered,
+                               const hold_answer& answer, time_point now) {
+    m_lost_workers.erase(answered);
+    auto& worker = get_or_add_worker(answered, now);
     if (worker.report.address.empty()) {
-        worker.report.address = asked.report.address;
+        worker.report.address = addressed.report.address;
         worker.last_heartbeat = now;
     }
-    if (!worker.has_report && asked.has_report && asked.report.life.born_ms == 0) {
-        worker.report = asked.report; // one that leaves its start time out may be of any life
+    if (!worker.has_report && addressed.has_report && addressed.report.life.born_ms == 0) {
+        worker.report = addressed.report; // one that leaves its start time out may be of any life
         worker.report.life = answered;
         worker.has_report = true;
-        note_room(worker);
+        update_room_expiry(worker);
     }
-    worker.is_gone = false;
-    end_former_lives(worker, asked, answer, now);
+    worker.is_lost = false;
+    end_former_lives(worker, addressed, answer, now);
     if (worker.needs_fence) {
         raise_fence(worker);
     }
 }
 
-void dispatcher::end_former_lives(worker_state& worker, const worker_state& asked, const hold_answer& answer,
-                                  time_point now) {
+void dispatcher::end_former_lives(worker_state& worker, const worker_state& addressed,
+                                  const hold_answer& answer, time_point now) {
     const auto others = m_workers.find_other_lives(worker.report.life);
     if (others.empty()) {
         return;
@@ -106,65 +106,66 @@
     const auto listed = answer.get_listed();
     for (auto* other : others) {
         // The one that was asked was known before, though perhaps only in the same moment.
-        const bool was_known = other == &asked || other->known_since < asked.hold_sent;
-        if (!other->is_gone && was_known) {
-            end_life(*other, worker, {listed, asked.hold_sent}, now);
+        const bool was_known = other == &addressed || other->known_since < addressed.hold_sent;
+        if (!other->is_lost && was_known) {
+            end_former_life(*other, worker, {listed, addressed.hold_sent}, now);
         }
     }
 }
 
-void dispatcher::end_life(worker_state& former, worker_state& heir, const asked_list& list, time_point now) {
+void dispatcher::end_former_life(worker_state& former, worker_state& successor, const requested_list& list,
+                                 time_point now) {
     log_event(log_level::warn, "worker_started_again")
-        .add("worker", heir.report.life.id)
-        .add("born_ms", heir.report.life.born_ms)
+        .add("worker", successor.report.life.id)
+        .add("born_ms", successor.report.life.born_ms)
         .add("former_born_ms", former.report.life.born_ms)
         .add("runs", static_cast<std::uint64_t>(former.runs.size()))
         .add("seen", former.seen)
         .add("acknowledged", former.acknowledged);
-    const auto judged = judge_runs(former, now);
-    mark_gone(former, get_ground_name(started_again), now);
+    const auto assessed = assess_runs(former, now);
+    mark_lost(former, get_end_reason_name(started_again), now);
     const bool is_surely_other = former.report.life.born_ms != 0;
-    for (const auto& run : judged) {
+    for (const auto& run : assessed) {
         auto& track = *former.runs.at(run.run);
         const auto loss = is_surely_other ? run.loss : run_loss{};
         const bool is_listed = std::binary_search(list.runs.begin(), list.runs.end(), run.run);
         // Its start may have come to the heir after the list was written.
-        const bool is_newer = track.confirmed_at >= list.asked;
+        const bool is_newer = track.confirmed_at >= list.requested_at;
         if (track.may_yet_start() || is_listed || is_newer) {
-            follow_at(track, heir, loss, now);
+            move_run(track, successor, loss, now);
         } else {
-            give_up_run(track, started_again, loss, now);
+            mark_run_lost(track, started_again, loss, now);
         }
     }
 }
 
 /// Its start came to the heir, or may yet come there: the heir's list under its own fence says which.
-void dispatcher::follow_at(run_track& track, worker_state& heir, const run_loss& loss, time_point now) {
+void dispatcher::move_run(run_track& track, worker_state& successor, const run_loss& loss, time_point now) {
     auto& former = *track.host;
     add_load(former, track, -1);
-    track.host = &heir;
+    track.host = &successor;
     track.stage = run_stage::adopting;
     track.former_loss = loss;
-    track.is_order_out = false;
+    track.is_order_pending = false;
     track.is_stop_answered = false; // by the former life, if at all
     track.stop_answered_at = {};
     track.next_order = now;
-    await_order(track);
-    add_load(heir, track, 1);
+    schedule_order(track);
+    add_load(successor, track, 1);
     refresh_pressure(former);
-    refresh_pressure(heir);
+    refresh_pressure(successor);
     // The start's lease is of the former life's clock, so the heir bounds it only by the longest that it
     // grants.
-    grant_longest_lease(heir, now);
+    grant_longest_lease(successor, now);
 }
 
-void dispatcher::compare_clock(worker_state& worker, std::int64_t clock_ms, time_point now) {
+void dispatcher::check_clock_reset(worker_state& worker, std::int64_t clock_ms, time_point now) {
     const auto margin = to_milliseconds(m_settings.lease_margin);
     if (clock_ms == 0 || clock_ms + margin >= worker.estimate_clock(now, m_settings.clock_drift)) {
         return;
     }
     grant_longest_lease(worker, now);
-    hold_soon(worker, now);
+    schedule_hold(worker, now);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -10,19 +10,21 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration longest_look = milliseconds{500}; // between looks at a worker of which nothing is heard
-constexpr duration leaving_look = milliseconds{20};  // the same while it leaves and something runs there
-constexpr duration leave_slack = milliseconds{300};  // before a leaving worker's last moment
+constexpr duration max_check_interval =
+    milliseconds{500}; // between looks at a worker of which nothing is heard
+constexpr duration leaving_check_interval =
+    milliseconds{20};                               // the same while it leaves and something runs there
+constexpr duration leave_slack = milliseconds{300}; // before a leaving worker's last moment
 
 } // namespace
 
-void dispatcher::watch_workers(time_point now) {
+void dispatcher::check_workers(time_point now) {
     for (auto* worker : m_workers.take_due(now, time_point::max())) {
-        watch_worker(*worker, now);
+        check_worker(*worker, now);
         if (may_forget(*worker, now)) {
             m_workers.erase(worker_life{worker->report.life}); // a copy: the state goes
         } else {
-            m_workers.look_at(*worker, get_next_look(*worker, now));
+            m_workers.schedule_check(*worker, get_next_check(*worker, now));
         }
     }
 }
@@ -31,7 +33,7 @@
     const bool is_idle = worker.runs.empty() && worker.ends_committing == 0;
     const auto kept = worker.lapsed.empty() ? m_settings.forget_after : m_settings.forget_lapsed_after;
     const bool is_silent = now - worker.last_heartbeat > kept;
-    return is_idle && (worker.is_gone || is_silent) && !worker.is_holding;
+    return is_idle && (worker.is_lost || is_silent) && !worker.is_hold_pending;
 }
 
 /// Adds what tells a task that crashes its worker from its neighbours and from a cut: how long it was there
@@ -45,12 +47,12 @@
     line.add("runs", static_cast<std::uint64_t>(track.host->runs.size()));
 }
 
-void dispatcher::mark_gone(worker_state& worker, const char* reason, time_point now) {
-    worker.is_gone = true;
+void dispatcher::mark_lost(worker_state& worker, const char* reason, time_point now) {
+    worker.is_lost = true;
     worker.awaits_fence = false;
     worker.ends_committing = 0;
-    m_gone.insert(worker.report.life);
-    m_workers.look_at(worker, now);
+    m_lost_workers.insert(worker.report.life);
+    m_workers.schedule_check(worker, now);
     auto line = log_event(log_level::warn, "worker_lost");
     add_worker(line, worker.report.life)
         .add("reason", reason)
@@ -63,22 +65,22 @@
     worker.lapsed.clear();
 }
 
-void dispatcher::give_up_run(run_track& track, end_ground ground, const run_loss& loss, time_point now) {
+void dispatcher::mark_run_lost(run_track& track, end_reason reason, const run_loss& loss, time_point now) {
     ++m_counts.lost_runs;
     auto line = log_event(log_level::warn, "run_lost", log_weight::history);
-    line.add("reason", get_ground_name(ground));
+    line.add("reason", get_end_reason_name(reason));
     add_loss(line, track, now);
-    propose_end(track, run_end::lost, {ground, {}, 0}, now, {}, loss);
+    propose_end(track, run_end::lost, {reason, {}, 0}, now, {}, loss);
 }
 
-void dispatcher::lose_worker(worker_state& worker, end_ground ground, time_point now) {
-    if (worker.is_gone) {
+void dispatcher::on_worker_lost(worker_state& worker, end_reason reason, time_point now) {
+    if (worker.is_lost) {
         return;
     }
-    const auto judged = judge_runs(worker, now);
-    mark_gone(worker, get_ground_name(ground), now);
-    for (const auto& run : judged) {
-        give_up_run(*worker.runs.at(run.run), ground, run.loss, now);
+    const auto assessed = assess_runs(worker, now);
+    mark_lost(worker, get_end_reason_name(reason), now);
+    for (const auto& run : assessed) {
+        mark_run_lost(*worker.runs.at(run.run), reason, run.loss, now);
     }
 }
 
@@ -96,18 +98,18 @@
     return std::max(worker.lease_end, worker.granted_at + get_lease_span(m_settings.longest_lease));
 }
 
-void dispatcher::watch_worker(worker_state& worker, time_point now) {
+void dispatcher::check_worker(worker_state& worker, time_point now) {
     if (needs_hold(worker) && worker.next_hold <= now) {
         send_hold(worker, now);
     }
-    if (worker.is_leaving && !worker.is_gone) {
+    if (worker.is_leaving && !worker.is_lost) {
         evacuate(worker, now);
     }
     const bool is_out_of_reach = !worker.has_report || worker.is_silent();
     if (!is_out_of_reach || worker.runs.empty() || now <= worker.lease_end) {
         return;
     }
-    for (const auto& run : judge_runs(worker, now)) {
+    for (const auto& run : assess_runs(worker, now)) {
         auto& track = *worker.runs.at(run.run);
         if (track.stage == run_stage::committing || now <= get_lease_end(track)) {
             continue;
@@ -118,20 +120,20 @@
         if (worker.listed_at != time_point{}) {
             line.add("listed_ms", to_milliseconds(now - worker.listed_at));
         }
-        propose_end(track, run_end::lost, {end_ground::lease_lapsed, {}, 0}, now, {},
+        propose_end(track, run_end::lost, {end_reason::lease_lapsed, {}, 0}, now, {},
                     {crash_evidence::none, run.loss.age_ms});
         const auto crash = std::min(run.loss.crash, crash_evidence::possible);
         worker.lapsed.push_back({run.run, {crash, run.loss.age_ms}});
     }
 }
 
-time_point dispatcher::get_next_look(const worker_state& worker, time_point now) const {
-    auto next = now + longest_look;
+time_point dispatcher::get_next_check(const worker_state& worker, time_point now) const {
+    auto next = now + max_check_interval;
     if (needs_hold(worker)) {
         next = std::min(next, worker.next_hold);
     }
-    if (worker.is_leaving && !worker.is_gone && !worker.runs.empty()) {
-        next = std::min(next, now + leaving_look);
+    if (worker.is_leaving && !worker.is_lost && !worker.runs.empty()) {
+        next = std::min(next, now + leaving_check_interval);
     }
     if (!worker.runs.empty() && worker.lease_end > now) {
         next = std::min(next, worker.lease_end);
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -13,37 +13,40 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::int64_t priority_weight = 10'000'000;      // ms: a better priority goes before any deadline
-constexpr double demand_smoothing = 8;                    // s; bursts last 4 to 6
+constexpr std::int64_t priority_weight_ms = 10'000'000;   // ms: a better priority goes before any deadline
+constexpr double demand_smoothing_s = 8;                  // s; bursts last 4 to 6
 constexpr double demand_peak = 1.5;                       // of the smoothed demand: it varies by half
 constexpr double least_open = 0.05;                       // of all processor time, before anything is known
-constexpr duration serving_patience = milliseconds{1800}; // a serving task that could run waits no longer
-constexpr std::int64_t retry_lead = 4000; // ms: a task that failed holds up all that its job has done so far
-constexpr std::int64_t started_lead =
+constexpr duration max_serving_wait = milliseconds{1800}; // a serving task that could run waits no longer
+constexpr std::int64_t retry_bonus_ms =
+    4000; // ms: a task that failed holds up all that its job has done so far
+constexpr std::int64_t started_bonus_ms =
     3000; // ms: a job that has begun goes before new ones with as much slack
-constexpr std::int64_t lasting_lead = 100'000; // ms: tasks that last go before all others of their priority
-constexpr std::int64_t starving_lead =
+constexpr std::int64_t lasting_bonus_ms =
+    100'000; // ms: tasks that last go before all others of their priority
+constexpr std::int64_t starving_bonus_ms =
     5'000'000; // ms: a job that starves goes before all others of its priority
 // Nothing of a job runs and less than half of its pool is reserved: longer than 3 s it may not be left so.
 constexpr duration starving_after = milliseconds{1500};
-constexpr std::int64_t lasting_slack = 2000; // ms: the rank of a task that lasts among others of its priority
-constexpr duration lasting_patience = milliseconds{1800}; // a task that lasts and could run may wait 3 s
-constexpr std::size_t many_ready = 50;                    // steps; a pass over fewer costs under 0.2 ms
-constexpr duration long_interval =
+constexpr std::int64_t lasting_rank_ms =
+    2000; // ms: the rank of a task that lasts among others of its priority
+constexpr duration max_lasting_wait = milliseconds{1800}; // a task that lasts and could run may wait 3 s
+constexpr std::size_t many_ready_steps = 50;              // steps; a pass over fewer costs under 0.2 ms
+constexpr duration busy_pass_interval =
     milliseconds{15}; // between passes over many: a tenth of a small instance's core
-constexpr duration idle_interval = milliseconds{100}; // while nothing waits: only the demand is measured
-constexpr std::int64_t late_weight = 1'000'000;       // ms: a job that is late goes behind all that are not
+constexpr duration idle_pass_interval = milliseconds{100}; // while nothing waits: only the demand is measured
+constexpr std::int64_t late_penalty_ms = 1'000'000; // ms: a job that is late goes behind all that are not
 constexpr std::int64_t late_multiple = 3; // a job later than this multiple of its objective earns nothing
 
 /// Least slack first, but a job that can meet its objective no more waits for those that still can. Load
 /// pattern: a burst of 2.6 times the usual for seconds; by deadlines alone every job behind it is late.
-std::int64_t rank_by_time(std::int64_t allowed_ms, std::int64_t age_ms, std::int64_t rest_ms) {
-    const auto slack = allowed_ms - age_ms - rest_ms;
+std::int64_t rank_by_time(std::int64_t allowed_ms, std::int64_t age_ms, std::int64_t remaining_ms) {
+    const auto slack = allowed_ms - age_ms - remaining_ms;
     if (slack >= 0) {
         return slack;
     }
-    const bool is_worthless = age_ms + rest_ms > late_multiple * allowed_ms;
-    return (is_worthless ? 2 : 1) * late_weight + slack;
+    const bool is_worthless = age_ms + remaining_ms > late_multiple * allowed_ms;
+    return (is_worthless ? 2 : 1) * late_penalty_ms + slack;
 }
 
 } // namespace
@@ -59,19 +62,20 @@
         const auto& queue = ready.job->queue;
         if (ready.job->steps[key.step].long_running) {
             // It has no end to be late for; one that has waited goes first.
-            const bool is_urgent = now - ready.since > lasting_patience;
+            const bool is_urgent = now - ready.since > max_lasting_wait;
             ranked.emplace_back(
-                queue.priority * priority_weight + (is_urgent ? -lasting_lead : lasting_slack), key);
+                queue.priority * priority_weight_ms + (is_urgent ? -lasting_bonus_ms : lasting_rank_ms), key);
             continue;
         }
         const auto due = job->second.due.find(key.occurrence);
         const auto since = due == job->second.due.end() ? job->second.accepted : due->second;
         const auto age = to_milliseconds(now - since);
-        const auto lead = is_starving(job->second, queue.pool, now) ? starving_lead : 0;
+        const auto bonus = is_starving(job->second, queue.pool, now) ? starving_bonus_ms : 0;
         ranked.emplace_back(
-            queue.priority * priority_weight - lead + rank_by_time(ready.objective_ms, age, ready.rest_ms) -
-                (job->second.has_started ? started_lead : 0) -
-                (m_failed_on.contains(task_key{key, *ready.waiting.begin()}) ? retry_lead : 0),
+            queue.priority * priority_weight_ms - bonus +
+                rank_by_time(ready.objective_ms, age, ready.remaining_ms) -
+                (job->second.has_started ? started_bonus_ms : 0) -
+                (m_failed_on.contains(task_key{key, *ready.waiting.begin()}) ? retry_bonus_ms : 0),
             key);
     }
     std::sort(ranked.begin(), ranked.end());
@@ -81,7 +85,7 @@
 /// Load pattern: what is left of an overload when its callers have gone: hundreds of tasks wait that are all
 /// too late to matter, the least late ones take each gap, and some jobs get nothing for minutes.
 bool dispatcher::is_starving(const open_job& job, const std::string& pool, time_point now) const {
-    return job.runs.empty() && now - job.idle_since > starving_after && m_roomy.contains(pool);
+    return job.runs.empty() && now - job.idle_since > starving_after && m_underused_pools.contains(pool);
 }
 
 void dispatcher::place(time_point now) {
@@ -105,14 +109,14 @@
             m_ready.erase(found);
         }
     }
-    ask_advice(ranked, now);
+    request_advice(ranked, now);
 }
 
 duration dispatcher::get_pass_interval() const {
     if (m_ready.empty()) {
-        return idle_interval;
+        return idle_pass_interval;
     }
-    return m_ready.size() > many_ready ? long_interval : duration{0};
+    return m_ready.size() > many_ready_steps ? busy_pass_interval : duration{0};
 }
 
 dispatcher::placing_pass dispatcher::begin_pass(time_point now) {
@@ -127,7 +131,7 @@
             probations += worker->probations > 0 ? 1 : 0; // one that has ceased to answer is lost anyway
         }
     }
-    const auto most = get_most_probations(usable);
+    const auto most = get_max_probations(usable);
     pass.probations_left = most > probations ? most - probations : 0;
     return pass;
 }
@@ -150,21 +154,21 @@
         place_each(pass, ready, key, {ready.waiting.begin(), ready.waiting.end()});
         return;
     }
-    place_alike(pass, ready, key, find_waiting(ready, key, caution::none));
+    place_identical(pass, ready, key, find_waiting(ready, key, isolation_level::none));
     if (m_suspects.has_any(key)) {
-        place_alike(pass, ready, key, find_waiting(ready, key, caution::apart));
-        place_each(pass, ready, key, find_waiting(ready, key, caution::alone));
+        place_identical(pass, ready, key, find_waiting(ready, key, isolation_level::apart));
+        place_each(pass, ready, key, find_waiting(ready, key, isolation_level::alone));
     }
 }
 
 std::vector<std::uint32_t> dispatcher::find_waiting(const ready_step& ready, const step_key& key,
-                                                    caution care) const {
-    if (care == caution::none && !m_suspects.has_any(key)) {
+                                                    isolation_level isolation) const {
+    if (isolation == isolation_level::none && !m_suspects.has_any(key)) {
         return {ready.waiting.begin(), ready.waiting.end()};
     }
     std::vector<std::uint32_t> found;
     for (const auto index : ready.waiting) {
-        if (m_suspects.get_caution({key, index}) == care) {
+        if (m_suspects.get_isolation({key, index}) == isolation) {
             found.push_back(index);
         }
     }
@@ -174,7 +178,7 @@
 void dispatcher::place_each(placing_pass& pass, ready_step& ready, const step_key& key,
                             const std::vector<std::uint32_t>& indexes) {
     for (const auto index : indexes) {
-        if (place_task(pass, ready, {key, index}, false) == placing::no_room) {
+        if (place_task(pass, ready, {key, index}, false) == placement_result::no_room) {
             return;
         }
     }
@@ -182,36 +186,36 @@
 
 void dispatcher::place_starving(placing_pass& pass, ready_step& ready, const step_key& key) {
     for (const auto index : std::vector(ready.waiting.begin(), ready.waiting.end())) {
-        if (place_task(pass, ready, {key, index}, true) != placing::held) {
+        if (place_task(pass, ready, {key, index}, true) != placement_result::deferred) {
             return;
         }
     }
 }
 
-dispatcher::placing dispatcher::place_task(placing_pass& pass, ready_step& ready, const task_key& task,
-                                           bool starves) {
+dispatcher::placement_result dispatcher::place_task(placing_pass& pass, ready_step& ready,
+                                                    const task_key& task, bool starves) {
     auto request = make_request(ready, task, pass.now);
     request.is_starving = starves;
     request.is_overdue = request.is_overdue || starves;
     const bool wants_own = request.wants_own_worker();
     if (!m_suspects.may_start(task, pass.now) || (wants_own && pass.probations_left == 0)) {
-        return placing::held;
+        return placement_result::deferred;
     }
     auto* worker = choose(pass, ready, request);
     if (worker == nullptr) {
-        return wants_own ? placing::held : placing::no_room;
+        return wants_own ? placement_result::deferred : placement_result::no_room;
     }
     pass.probations_left -= wants_own ? 1 : 0;
-    claim(ready, task, *worker, request.get_run_care(), pass.now);
+    claim(ready, task, *worker, request.get_run_isolation(), pass.now);
     ready.waiting.erase(task.index);
-    return placing::placed;
+    return placement_result::placed;
 }
 
 /// Tasks between which nothing but their number differs are placed by one look at all workers: what a task
 /// takes changes the cost of its own worker alone. Load pattern: jobs of 20 to 30 tasks a step, 1,400 starts
 /// a second on 490 workers; a look for each task took a quarter of the leader's time.
-void dispatcher::place_alike(placing_pass& pass, ready_step& ready, const step_key& key,
-                             const std::vector<std::uint32_t>& indexes) {
+void dispatcher::place_identical(placing_pass& pass, ready_step& ready, const step_key& key,
+                                 const std::vector<std::uint32_t>& indexes) {
     if (indexes.empty()) {
         return;
     }
@@ -236,7 +240,7 @@
         auto best = candidates.top();
         candidates.pop();
         const task_key task{key, *next++};
-        claim(ready, task, *best.worker, request.get_run_care(), pass.now);
+        claim(ready, task, *best.worker, request.get_run_isolation(), pass.now);
         ready.waiting.erase(task.index);
         if (const auto cost = get_placement_cost(*best.worker, request); cost.has_value()) {
             best.cost = *cost;
@@ -252,14 +256,14 @@
 /// thin to be of use. Load pattern: serving tasks that last reserve nine tenths of a pool before the first
 /// short task comes.
 void dispatcher::measure_short_demand(const placing_pass& pass) {
-    m_open_cores = 0;
-    m_total_cores = 0;
+    m_open_millicores = 0;
+    m_total_millicores = 0;
     double wanted = 0;
     for (const auto& [pool, workers] : pass.usable) {
         for (const auto* worker : workers) {
-            m_total_cores += worker->report.capacity.millicores;
-            m_open_cores += worker->servings == 0 ? worker->report.capacity.millicores : 0;
-            wanted += static_cast<double>(worker->short_cores);
+            m_total_millicores += worker->report.capacity.millicores;
+            m_open_millicores += worker->servings == 0 ? worker->report.capacity.millicores : 0;
+            wanted += static_cast<double>(worker->short_millicores);
         }
     }
     for (const auto& [key, ready] : m_ready) {
@@ -268,15 +272,15 @@
             wanted += static_cast<double>(ready.get_wanted(key));
         }
     }
-    const auto kept = std::exp(-to_seconds(pass.now - m_measured_at) / demand_smoothing);
+    const auto kept = std::exp(-to_seconds(pass.now - m_measured_at) / demand_smoothing_s);
     m_measured_at = pass.now;
-    m_short_cores = kept * m_short_cores + (1 - kept) * wanted;
+    m_short_millicores = kept * m_short_millicores + (1 - kept) * wanted;
 }
 
 bool dispatcher::may_open(const worker_state& worker) const {
     const auto kept_free =
-        std::max(m_short_cores * demand_peak, least_open * static_cast<double>(m_total_cores));
-    return static_cast<double>(m_open_cores - worker.report.capacity.millicores) >= kept_free;
+        std::max(m_short_millicores * demand_peak, least_open * static_cast<double>(m_total_millicores));
+    return static_cast<double>(m_open_millicores - worker.report.capacity.millicores) >= kept_free;
 }
 
 placement_request dispatcher::make_request(const ready_step& ready, const task_key& key, time_point now) {
@@ -284,9 +288,9 @@
     placement_request request;
     request.spec = &ready.job->steps[key.step.step];
     request.step = key.step;
-    request.care = m_suspects.get_caution(key);
-    request.is_patient = m_suspects.is_patient(key, now);
-    request.is_overdue = request.spec->long_running && now - ready.since > lasting_patience;
+    request.isolation = m_suspects.get_isolation(key);
+    request.may_wait = m_suspects.may_wait(key, now);
+    request.is_overdue = request.spec->long_running && now - ready.since > max_lasting_wait;
     request.avoided = failed == m_failed_on.end() ? nullptr : &failed->second;
     request.is_last_attempt = failed != m_failed_on.end() && !request.spec->long_running &&
                               failed->second.size() + 1 >= ready.job->queue.max_attempts;
@@ -294,15 +298,15 @@
         request.image = m_pressure.get_number(request.spec->image);
     }
     if (request.spec->fills) {
-        request.factors = m_pressure.get_careful_factors(request.image);
+        request.factors = m_pressure.get_conservative_factors(request.image);
     }
     return request;
 }
 
 placement_obstacle dispatcher::find_policy_obstacle(const worker_state& worker, const ready_step& ready,
                                                     const placement_request& request, time_point now) const {
-    const bool is_patient = request.spec->is_serving() && now - ready.since < serving_patience;
-    if (is_patient && worker.servings == 0 && !may_open(worker)) {
+    const bool may_wait = request.spec->is_serving() && now - ready.since < max_serving_wait;
+    if (may_wait && worker.servings == 0 && !may_open(worker)) {
         return placement_obstacle::kept_open;
     }
     const bool needs_ticket = ready.job->queue.advice.has_value();
@@ -373,8 +377,8 @@
                 break;
             }
             const run_key member{{key, index}, run};
-            add_track(member, ready.job, chosen->report.life, run_stage::committing, request.get_run_care(),
-                      pass.now);
+            add_track(member, ready.job, chosen->report.life, run_stage::committing,
+                      request.get_run_isolation(), pass.now);
             placed.emplace_back(member, chosen);
         }
         if (placed.size() == spec.count) {
@@ -399,14 +403,14 @@
     return count;
 }
 
-void dispatcher::claim(const ready_step& ready, const task_key& key, worker_state& worker, caution care,
-                       time_point now) {
+void dispatcher::claim(const ready_step& ready, const task_key& key, worker_state& worker,
+                       isolation_level isolation, time_point now) {
     const auto* task = m_book.find_task(key);
     const run_key run{key, task == nullptr ? 1 : task->last_run + 1};
     if (ready.job->steps[key.step.step].is_serving() && worker.servings == 0) {
-        m_open_cores -= worker.report.capacity.millicores;
+        m_open_millicores -= worker.report.capacity.millicores;
     }
-    add_track(run, ready.job, worker.report.life, run_stage::committing, care, now);
+    add_track(run, ready.job, worker.report.life, run_stage::committing, isolation, now);
     propose_assignment(run, worker);
 }
 
--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -14,32 +14,35 @@
 // as many cores of filling tasks wait as run. A tail that is over its target now and then costs less than
 // jobs that are never done; on calm days it is the other way round (a quiet day loses 0.012 with 1.1, days
 // with trouble gain 0.012).
-constexpr double calm_share = 0.9;
-constexpr double crowded_share = 1.1;
-constexpr double placing_ahead = 0.5; // s; filling tasks take 1 to 4
+constexpr double share_without_backlog = 0.9;
+constexpr double share_with_backlog = 1.1;
+constexpr double prediction_time_s = 0.5; // s; filling tasks take 1 to 4
 constexpr double load_margin =
     0.05; // own load that filling tasks leave to serving ones on top of what is seen
-constexpr double pacing_share = 1.0;    // of a target: paced from here on
-constexpr double tail_smoothing = 0.35; // s; a tail told after a change moves by two thirds in this time
-constexpr double unknown_phase = 0.5;   // of a filling task that has not told its use yet
+constexpr double pacing_share = 1.0;      // of a target: paced from here on
+constexpr double tail_smoothing_s = 0.35; // s; a tail told after a change moves by two thirds in this time
+constexpr double default_phase = 0.5;     // of a filling task that has not told its use yet
 constexpr double negligible_share = 0.003;
-constexpr duration first_figure = milliseconds{500}; // the time that the first figure of a task stands for
-constexpr duration figure_life = milliseconds{600};  // a figure that stays the same for longer is a new one
+constexpr duration first_sample_span =
+    milliseconds{500}; // the time that the first figure of a task stands for
+constexpr duration repeated_sample_limit =
+    milliseconds{600};                        // a figure that stays the same for longer is a new one
 constexpr std::int64_t unsound_multiple = 14; // of a target: filling tasks lengthen tails to 12 times at most
-constexpr std::int64_t nearly_done =
-    85;                            // percent; at a sixth of the speed the rest takes as long as a new run
-constexpr int pace_step = 20;      // percent; smaller changes are not worth an order
-constexpr int slowest_useful = 30; // percent; a task slower than this is moved
+constexpr std::int64_t nearly_done_percent =
+    85; // percent; at a sixth of the speed the rest takes as long as a new run
+constexpr int min_pace_change_percent = 20;        // percent; smaller changes are not worth an order
+constexpr int min_useful_pace_percent = 30;        // percent; a task slower than this is moved
 constexpr duration move_after = milliseconds{500}; // paced that low for this long
-constexpr std::int64_t lost_percent = 25;          // of a task without checkpoints that a move may throw away
+constexpr std::int64_t max_lost_percent = 25;      // of a task without checkpoints that a move may throw away
 
 } // namespace
 
 void dispatcher::refresh_pressure(worker_state& worker) {
-    const auto placing_share = calm_share + (crowded_share - calm_share) * m_crowding;
+    const auto placing_share =
+        share_without_backlog + (share_with_backlog - share_without_backlog) * m_filling_backlog;
     auto& groups = worker.pressure.groups;
     groups.clear();
-    worker.serving_unused = 0;
+    worker.serving_unused_millicores = 0;
     if (worker.servings == 0) {
         return;
     }
@@ -50,10 +53,11 @@
             continue;
         }
         const auto room = m_pressure.get_room(track.image, static_cast<double>(spec.target_ms), placing_share,
-                                              track.calm.load + placing_ahead * track.calm.trend);
-        const auto load = std::min(track.calm.load + load_margin, 1.0);
-        worker.serving_unused += static_cast<std::int64_t>(static_cast<double>(spec.millicores) * (1 - load));
-        const auto group = std::find_if(groups.begin(), groups.end(), [&](const pressed_group& item) {
+                                              track.own_load.load + prediction_time_s * track.own_load.trend);
+        const auto load = std::min(track.own_load.load + load_margin, 1.0);
+        worker.serving_unused_millicores +=
+            static_cast<std::int64_t>(static_cast<double>(spec.millicores) * (1 - load));
+        const auto group = std::find_if(groups.begin(), groups.end(), [&](const serving_group& item) {
             return item.job == track.key.task.step.job;
         });
         if (group == groups.end()) {
@@ -69,8 +73,8 @@
             continue;
         }
         for (auto& group : groups) {
-            group.press +=
-                m_pressure.get_careful_factor(group.image, track.image) * worker.get_share(spec.millicores);
+            group.slowdown += m_pressure.get_conservative_factor(group.image, track.image) *
+                              worker.get_share(spec.millicores);
         }
     }
 }
@@ -78,7 +82,7 @@
 /// Tails are smoothed over a moment; the pressure beside them is smoothed alike, so that the two fit.
 void dispatcher::smooth_fill_shares(worker_state& worker, time_point now) {
     const auto passed = std::min(to_seconds(now - worker.fill_shares_at), 10.0);
-    const auto kept = std::exp(-passed / tail_smoothing);
+    const auto kept = std::exp(-passed / tail_smoothing_s);
     worker.fill_shares_at = now;
     for (auto& item : worker.fill_shares) {
         item.share *= kept;
@@ -89,10 +93,10 @@
         if (!spec.fills || track.stage != run_stage::running) {
             continue;
         }
-        const auto asked = static_cast<double>(spec.millicores) * track.pace / 100;
+        const auto requested = static_cast<double>(spec.millicores) * track.pace / 100;
         const auto phase = track.level > 0
-                               ? pressure_model::get_phase(static_cast<double>(track.level), asked)
-                               : unknown_phase;
+                               ? pressure_model::get_phase(static_cast<double>(track.level), requested)
+                               : default_phase;
         const auto share = worker.get_share(spec.millicores) * phase * track.pace / 100;
         auto item = std::find_if(worker.fill_shares.begin(), worker.fill_shares.end(),
                                  [&](const image_share& other) { return other.image == track.image; });
@@ -128,7 +132,7 @@
         auto& track = *run;
         const auto& spec = track.get_spec();
         const bool is_movable = !spec.long_running && track.stage == run_stage::running && !track.is_ending;
-        if (is_movable && track.percent < nearly_done) {
+        if (is_movable && track.percent < nearly_done_percent) {
             stop_run(track, now);
         }
     }
@@ -149,18 +153,19 @@
         if (!spec.is_serving() || track.level <= 0 || track.percent < 100) {
             continue;
         }
-        const bool is_repeated = track.level == track.observed_level && now - track.observed_at < figure_life;
+        const bool is_repeated =
+            track.level == track.observed_level && now - track.observed_at < repeated_sample_limit;
         if (is_repeated) {
             continue; // the worker makes the figure anew only a few times a second
         }
         const bool is_first = track.observed_at == time_point{};
         const auto since = is_first ? 1.0 : to_seconds(now - track.observed_at);
-        const auto passed = is_first ? first_figure : now - track.observed_at;
+        const auto passed = is_first ? first_sample_span : now - track.observed_at;
         track.watch.observe(static_cast<double>(track.level), static_cast<double>(spec.target_ms), passed);
         track.observed_at = now;
         track.observed_level = track.level;
         m_pressure.observe(track.image, static_cast<double>(track.level), static_cast<double>(spec.target_ms),
-                           worker.fill_shares, since, track.calm);
+                           worker.fill_shares, since, track.own_load);
     }
     plan_paces(worker, now);
     refresh_pressure(worker);
@@ -196,59 +201,60 @@
                                 const std::vector<run_track*>& fills) {
     const auto& spec = serving.get_spec();
     const auto target = static_cast<double>(spec.target_ms);
-    struct pressing {
+    struct fill_slowdown {
         run_track* fill;
-        double press; ///< at full speed
+        double slowdown; ///< at full speed
     };
-    std::vector<pressing> pressed;
-    pressed.reserve(fills.size());
+    std::vector<fill_slowdown> slowdowns;
+    slowdowns.reserve(fills.size());
     double total = 0;
     for (auto* fill : fills) {
         const auto& filling = fill->get_spec();
-        const double press =
+        const double slowdown =
             m_pressure.get_factor(serving.image, fill->image) * worker.get_share(filling.millicores);
-        pressed.push_back({fill, press});
-        total += press * fill->planned_pace / 100;
+        slowdowns.push_back({fill, slowdown});
+        total += slowdown * fill->planned_pace / 100;
     }
-    const double room = m_pressure.get_room(serving.image, target, pacing_share, serving.calm.load);
-    double excess = std::max(total - room, total * serving.watch.get_cut()); // whatever is expected
+    const double room = m_pressure.get_room(serving.image, target, pacing_share, serving.own_load.load);
+    double excess = std::max(total - room, total * serving.watch.get_reduction()); // whatever is expected
     if (excess <= 0) {
         return;
     }
-    std::sort(pressed.begin(), pressed.end(),
-              [](const pressing& left, const pressing& right) { return left.press > right.press; });
-    for (const auto& [fill, full_press] : pressed) {
-        const double press = full_press * fill->planned_pace / 100;
+    std::sort(slowdowns.begin(), slowdowns.end(), [](const fill_slowdown& left, const fill_slowdown& right) {
+        return left.slowdown > right.slowdown;
+    });
+    for (const auto& [fill, full_slowdown] : slowdowns) {
+        const double slowdown = full_slowdown * fill->planned_pace / 100;
         if (excess <= 0) {
             return;
         }
-        if (press <= 0) {
+        if (slowdown <= 0) {
             continue; // stopped already for another serving task; the ones behind it may press all the same
         }
-        const double left = std::max(0.0, 1 - excess / press);
+        const double left = std::max(0.0, 1 - excess / slowdown);
         fill->planned_pace = static_cast<int>(left * fill->planned_pace);
-        excess -= press * (1 - left);
+        excess -= slowdown * (1 - left);
     }
 }
 
 void dispatcher::order_pace(worker_state& worker, run_track& fill, time_point now) {
-    if (fill.planned_pace >= slowest_useful) {
+    if (fill.planned_pace >= min_useful_pace_percent) {
         fill.slow_since = time_point{};
     } else if (fill.slow_since == time_point{}) {
         fill.slow_since = now;
     }
     const auto& spec = fill.get_spec();
-    const bool may_move = spec.checkpointing || fill.percent < lost_percent;
+    const bool may_move = spec.checkpointing || fill.percent < max_lost_percent;
     if (may_move && fill.slow_since != time_point{} && now - fill.slow_since > move_after) {
         stop_run(fill, now);
         return;
     }
     const bool is_end = fill.planned_pace == 0 || fill.planned_pace == 100;
     const int change = std::abs(fill.planned_pace - fill.pace);
-    if (fill.is_pacing || change == 0 || (change < pace_step && !is_end)) {
+    if (fill.is_pace_pending || change == 0 || (change < min_pace_change_percent && !is_end)) {
         return;
     }
-    fill.is_pacing = true;
+    fill.is_pace_pending = true;
     ++m_counts.paces;
     pace_order order;
     order.target = make_target(worker, m_settings.order_timeout);
@@ -263,7 +269,7 @@
         return;
     }
     static_cast<void>(now);
-    track->is_pacing = false;
+    track->is_pace_pending = false;
     if (!answer.failure.has_value()) {
         track->pace = percent;
     }
--- a/poplarpitch/dispatch/dispatcher_reports.cpp
+++ b/poplarpitch/dispatch/dispatcher_reports.cpp
@@ -9,12 +9,12 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration note_interval = seconds{2};   // 45 pairs are 2 KB of log
-constexpr duration report_interval = seconds{2}; // of the line that tells the load as a whole
+constexpr duration pressure_save_interval = seconds{2}; // 45 pairs are 2 KB of log
+constexpr duration report_interval = seconds{2};        // of the line that tells the load as a whole
 
 } // namespace
 
-void dispatcher::note_started(job_id id, time_point now) {
+void dispatcher::record_first_start(job_id id, time_point now) {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end() || found->second.has_started) {
         return;
@@ -24,7 +24,7 @@
     m_timings.push_back({job_timing::kind::first_start, queue, now - found->second.accepted, true});
 }
 
-void dispatcher::note_ended(job_id id, time_point now) {
+void dispatcher::record_job_end(job_id id, time_point now) {
     const auto found = m_jobs.find(id);
     const auto* record = m_book.find_job(id);
     if (found == m_jobs.end() || record == nullptr) {
@@ -46,11 +46,11 @@
 }
 
 /// What is learned takes ten seconds of disturbed tails; a new leader is not to learn it again.
-void dispatcher::note_pressure(time_point now) {
-    if (now < m_next_note) {
+void dispatcher::save_pressure(time_point now) {
+    if (now < m_next_pressure_save) {
         return;
     }
-    m_next_note = now + note_interval;
+    m_next_pressure_save = now + pressure_save_interval;
     const auto factors = m_pressure.save();
     if (factors == m_book.get_pressure()) {
         return;
@@ -77,7 +77,7 @@
         mixed += worker->servings > 0 && worker->fills > 0 ? 1 : 0;
         capacity += worker->report.capacity;
         reserved += worker->reserved;
-        filling += worker->fill_cores;
+        filling += worker->fill_millicores;
     }
     log_event(log_level::info, "load")
         .add("workers", static_cast<std::uint64_t>(m_workers.get_all().size()))
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -19,15 +19,16 @@
 } // namespace
 
 run_track& dispatcher::add_track(const run_key& key, std::shared_ptr<const step_job> job,
-                                 const worker_life& worker, run_stage stage, caution care, time_point now) {
+                                 const worker_life& worker, run_stage stage, isolation_level isolation,
+                                 time_point now) {
     auto& track = m_tracks[key];
     track.key = key;
     track.job = std::move(job);
     track.assigned_to = worker;
     track.stage = stage;
     track.claimed_at = now;
-    track.care = care;
-    auto& state = know_life(worker, now);
+    track.isolation = isolation;
+    auto& state = get_or_add_worker(worker, now);
     track.host = &state;
     add_load(state, track, 1);
     if (const auto job = m_jobs.find(key.task.step.job); job != m_jobs.end()) {
@@ -68,15 +69,15 @@
     return found == m_tracks.end() ? nullptr : &found->second;
 }
 
-void dispatcher::propose_end(run_track& track, run_end end, const end_word& word, time_point now,
+void dispatcher::propose_end(run_track& track, run_end end, const end_evidence& evidence, time_point now,
                              const std::string& saved, const run_loss& loss) {
     if (track.is_ending) {
         return;
     }
     if (track.stage == run_stage::adopting) {
-        tell_taken_over(track, get_ground_name(word.ground), m_term);
+        log_run_taken_over(track, get_end_reason_name(evidence.reason), m_term);
     }
-    track.word = word;
+    track.evidence = evidence;
     track.is_ending = true;
     track.ending_since = now;
     job_wire::job_command command;
@@ -87,7 +88,7 @@
     message.set_born_ms(track.assigned_to.born_ms);
     message.set_kind(static_cast<std::uint32_t>(end));
     message.set_saved(saved);
-    message.set_number(word.number);
+    message.set_number(evidence.number);
     message.set_crash(static_cast<std::uint32_t>(loss.crash));
     message.set_age_ms(loss.age_ms);
     m_commands.push_back(std::move(command));
@@ -100,10 +101,10 @@
     return {worker.report.life, worker.report.address, worker.fence, is_fresh, timeout};
 }
 
-void dispatcher::push_track(run_track& track, time_point now) {
+void dispatcher::send_due_order(run_track& track, time_point now) {
     const bool has_stop = track.is_stop_wanted && !track.is_stop_answered;
     const bool has_start = track.stage == run_stage::starting && !track.is_stop_wanted;
-    if (track.is_ending || track.is_order_out || (!has_stop && !has_start)) {
+    if (track.is_ending || track.is_order_pending || (!has_stop && !has_start)) {
         return;
     }
     if (track.host->backoff.is_closed(now)) {
@@ -112,23 +113,23 @@
         track.next_order = now + unsent_pause;
         has_stop ? send_stop(track, now) : send_start(track, now);
     }
-    if (!track.is_order_out) {
-        await_order(track);
+    if (!track.is_order_pending) {
+        schedule_order(track);
     }
 }
 
-void dispatcher::await_order(const run_track& track) {
-    m_awaited.push({track.next_order, track.key});
+void dispatcher::schedule_order(const run_track& track) {
+    m_scheduled_orders.push({track.next_order, track.key});
 }
 
-void dispatcher::repeat_orders(time_point now) {
-    while (!m_awaited.empty() && m_awaited.top().when <= now) {
-        auto* track = find(m_awaited.top().run);
-        m_awaited.pop();
+void dispatcher::send_scheduled_orders(time_point now) {
+    while (!m_scheduled_orders.empty() && m_scheduled_orders.top().when <= now) {
+        auto* track = find(m_scheduled_orders.top().run);
+        m_scheduled_orders.pop();
         if (track == nullptr || track->next_order > now) {
             continue; // it has ended, or waits for a later time
         }
-        push_track(*track, now);
+        send_due_order(*track, now);
     }
 }
 
@@ -138,7 +139,7 @@
         return; // its lease decides
     }
     if (worker.is_leaving) { // it said so after it was chosen
-        give_back(track, now);
+        return_to_queue(track, now);
         return;
     }
     // Its room may have shrunk since it was chosen, or since a start without an answer was sent.
@@ -146,7 +147,7 @@
         return;
     }
     if (!worker.report.capacity.holds(worker.reserved)) {
-        give_back(track, now);
+        return_to_queue(track, now);
         return;
     }
     if (worker.is_silent()) {
@@ -169,7 +170,7 @@
     order.until_ms = worker.estimate_clock(now, m_settings.clock_drift) + to_milliseconds(m_settings.lease);
     order.saved = task == nullptr ? std::string{} : task->saved;
     grant_lease(worker, now);
-    track.is_order_out = true;
+    track.is_order_pending = true;
     track.start_sent = now;
     track.start_fence = worker.fence;
     ++track.starts;
@@ -186,7 +187,7 @@
     stop_order order;
     order.target = make_target(worker, m_settings.order_timeout);
     order.run = track.key;
-    track.is_order_out = true;
+    track.is_order_pending = true;
     worker.backoff.on_sent(now, m_settings.order_timeout);
     m_orders.emplace_back(std::move(order));
 }
@@ -198,41 +199,41 @@
     track.is_stop_wanted = true;
     if (track.stage != run_stage::committing) {
         // A start under way does not matter: a run that is stopped before it is there never starts.
-        track.is_order_out = false;
-        push_track(track, now);
+        track.is_order_pending = false;
+        send_due_order(track, now);
     }
 }
 
-void dispatcher::note_heard(worker_state& worker, time_point now) {
+void dispatcher::release_orders(worker_state& worker, time_point now) {
     if (!worker.backoff.on_answer()) {
         return;
     }
     for (const auto& [key, track] : worker.runs) { // orders that waited for this answer
         track->next_order = std::min(track->next_order, now);
-        await_order(*track);
+        schedule_order(*track);
     }
 }
 
-void dispatcher::note_order_answer(run_track& track, const order_answer& answer, time_point now) {
-    track.is_order_out = false;
+void dispatcher::handle_order_answer(run_track& track, const order_answer& answer, time_point now) {
+    track.is_order_pending = false;
     auto& worker = *track.host;
     if (answer.failure == order_failure::not_sent) {
         ++m_counts.not_sent;
         track.next_order = now + get_backoff(1, m_settings.retry_pause, worker.spread);
-        await_order(track);
+        schedule_order(track);
         return;
     }
     const bool has_answered = !answer.failure.has_value() || (answer.failure != order_failure::unanswered &&
                                                               answer.failure != order_failure::unreachable);
     if (has_answered) {
-        note_heard(worker, now);
+        release_orders(worker, now);
         return;
     }
     ++m_counts.unanswered;
     worker.backoff.on_failure(now, m_settings.retry_pause, worker.spread);
     track.next_order = worker.backoff.get_next();
-    await_order(track);
-    hold_soon(worker, now);
+    schedule_order(track);
+    schedule_hold(worker, now);
 }
 
 void dispatcher::on_start(const run_key& key, const order_answer& answer, time_point now) {
@@ -243,16 +244,16 @@
     if (track->is_stop_wanted) {
         return; // the stop under way decides
     }
-    note_order_answer(*track, answer, now);
-    compare_clock(*track->host, answer.clock_ms, now);
+    handle_order_answer(*track, answer, now);
+    check_clock_reset(*track->host, answer.clock_ms, now);
     if (!answer.failure.has_value()) {
         ++m_counts.started;
         track->stage = run_stage::running;
         track->confirmed_at = now;
         track->listed_at = now;
         track->has_known_start = true;
-        note_started(key.task.step.job, now);
-        tell_started(*track, "answered", m_term, now);
+        record_first_start(key.task.step.job, now);
+        log_run_started(*track, "answered", m_term, now);
         return;
     }
     on_start_refused(*track, *answer.failure, now);
@@ -270,25 +271,25 @@
     }
     switch (failure) {
     case order_failure::unanswered:
-        track.may_come_late = true;
+        track.may_start_late = true;
         return; // repeated: the same start twice starts once
     case order_failure::unreachable:
     case order_failure::not_sent:
         return; // repeated
     case order_failure::late_lease:
         track.next_order = now + unsent_pause;
-        await_order(track);
+        schedule_order(track);
         return;
     case order_failure::old_run:
         // An earlier start of this run was carried out, and the run has ended: the list says how.
-        tell_started(track, "old_run", m_term, now);
+        log_run_started(track, "old_run", m_term, now);
         track.stage = run_stage::running;
         track.confirmed_at = now;
         track.listed_at = now;
-        hold_soon(worker, now);
+        schedule_hold(worker, now);
         return;
     case order_failure::other_life:
-        lose_worker(worker, end_ground::another_life_answers, now);
+        on_worker_lost(worker, end_reason::another_life_answers, now);
         return;
     case order_failure::no_room:
         ++m_counts.refused_room;
@@ -307,19 +308,19 @@
         ++m_counts.refused_other;
         break;
     }
-    hold_soon(worker, now); // its list tells what it thinks it runs
+    schedule_hold(worker, now); // its list tells what it thinks it runs
     if (failure == order_failure::no_room) {
         worker.trust.on_refusal(now);
     }
-    give_back(track, now);
+    return_to_queue(track, now);
 }
 
-void dispatcher::give_back(run_track& track, time_point now) {
-    if (track.may_come_late) {
+void dispatcher::return_to_queue(run_track& track, time_point now) {
+    if (track.may_start_late) {
         stop_run(track, now); // once the worker has answered that, no earlier start is carried out
         return;
     }
-    propose_end(track, run_end::not_started, {end_ground::given_back, track.start_sent, 0}, now);
+    propose_end(track, run_end::not_started, {end_reason::given_back, track.start_sent, 0}, now);
 }
 
 void dispatcher::on_stop(const run_key& key, const worker_life& worker, const order_answer& answer,
@@ -328,18 +329,18 @@
     if (track == nullptr || !is_leading() || track->host->report.life != worker) {
         return;
     }
-    note_order_answer(*track, answer, now);
+    handle_order_answer(*track, answer, now);
     if (!answer.failure.has_value() || answer.failure == order_failure::old_run) {
         track->is_stop_answered = true;
         track->stop_answered_at = now;
-        if (!track->host->is_holding) {
-            hold_soon(*track->host, now); // the list says whether it was there
+        if (!track->host->is_hold_pending) {
+            schedule_hold(*track->host, now); // the list says whether it was there
         }
     } else if (answer.failure == order_failure::other_life) {
-        lose_worker(*track->host, end_ground::another_life_answers, now);
+        on_worker_lost(*track->host, end_reason::another_life_answers, now);
     } else {
         track->next_order = std::max(track->next_order, now + m_settings.retry_pause);
-        await_order(*track);
+        schedule_order(*track);
     }
 }
 
--- a/poplarpitch/dispatch/dispatcher_waits.cpp
+++ b/poplarpitch/dispatch/dispatcher_waits.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr duration waits_interval = seconds{1};
-constexpr duration too_long = seconds{3};        // a task that finds room has no cause to wait for longer
-constexpr std::size_t most_told = 5;             // a pass: what holds up one task mostly holds up many
-constexpr std::size_t most_steps_looked_at = 20; // a pass; a look at 490 workers takes some 20 us
+constexpr duration long_wait_threshold = seconds{3}; // a task that finds room has no cause to wait for longer
+constexpr std::size_t max_reported_waits = 5;        // a pass: what holds up one task mostly holds up many
+constexpr std::size_t max_examined_steps = 20;       // a pass; a look at 490 workers takes some 20 us
 
 /// Returns how many workers each obstacle stands for, as `name:count` with commas between.
 std::string format_counts(const long_wait& wait) {
@@ -36,12 +36,12 @@
 std::vector<step_key> dispatcher::rank_by_wait(time_point now) const {
     std::vector<std::tuple<bool, time_point, step_key>> waits;
     for (const auto& [key, ready] : m_ready) {
-        if (!ready.waiting.empty() && now - ready.since > too_long) {
+        if (!ready.waiting.empty() && now - ready.since > long_wait_threshold) {
             waits.emplace_back(!ready.job->steps[key.step].long_running, ready.since, key);
         }
     }
     std::sort(waits.begin(), waits.end());
-    waits.resize(std::min(waits.size(), most_steps_looked_at));
+    waits.resize(std::min(waits.size(), max_examined_steps));
     std::vector<step_key> keys;
     keys.reserve(waits.size());
     for (const auto& wait : waits) {
@@ -85,7 +85,7 @@
         if (wait.with_room > 0) {
             found.push_back(wait);
         }
-        if (found.size() == most_told) {
+        if (found.size() == max_reported_waits) {
             break;
         }
     }
@@ -110,7 +110,7 @@
             .add("millicores", spec.millicores)
             .add("memory_mb", spec.memory_mb)
             .add("lasts", spec.long_running ? "yes" : "no")
-            .add("care", get_caution_name(m_suspects.get_caution(wait.task)))
+            .add("isolation", get_isolation_name(m_suspects.get_isolation(wait.task)))
             .add("paused", is_paused ? "yes" : "no")
             .add("workers", wait.workers)
             .add("with_room", wait.with_room)
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -14,14 +14,15 @@
 
 // A list that is asked for before its ends are committed comes back at once with the same ends. Leases run on
 // meanwhile, so they are prolonged all the same where the log stands still.
-constexpr duration commit_patience = milliseconds{500};
-constexpr double strained_pauses = 5; // by how much the pause before a hold grows at most: ends come together
+constexpr duration commit_hold_pause = milliseconds{500};
+constexpr double max_strain_pauses =
+    5; // by how much the pause before a hold grows at most: ends come together
 constexpr duration hold_slack = milliseconds{800}; // over the wait that was asked for
 
 /// Returns why a hold has no list that its worker can be known by.
 std::optional<order_failure> get_hold_failure(const worker_state& worker, const hold_outcome& outcome) {
-    const bool hides_life = outcome.answer.born_ms == 0 && worker.report.life.born_ms != 0;
-    if (!outcome.failure.has_value() && hides_life) {
+    const bool omits_birth_time = outcome.answer.born_ms == 0 && worker.report.life.born_ms != 0;
+    if (!outcome.failure.has_value() && omits_birth_time) {
         return order_failure::unanswered;
     }
     return outcome.failure;
@@ -29,9 +30,9 @@
 
 } // namespace
 
-void dispatcher::hold_soon(worker_state& worker, time_point when) {
+void dispatcher::schedule_hold(worker_state& worker, time_point when) {
     worker.next_hold = std::min(worker.next_hold, when);
-    m_workers.look_at(worker, worker.next_hold);
+    m_workers.schedule_check(worker, worker.next_hold);
 }
 
 void dispatcher::add_load(worker_state& worker, run_track& track, int sign) {
@@ -39,7 +40,7 @@
     const auto need = get_need(spec);
     if (sign > 0) {
         worker.runs.emplace(track.key, &track);
-        m_workers.look_at(worker, worker.next_hold);
+        m_workers.schedule_check(worker, worker.next_hold);
         worker.reserved += need;
         ++worker.step_counts[track.key.task.step];
     } else {
@@ -50,13 +51,13 @@
             worker.step_counts.erase(track.key.task.step);
         }
     }
-    worker.add_care(track.care, sign);
+    worker.count_isolated(track.isolation, sign);
     if (spec.fills) {
-        worker.fill_cores += sign * spec.millicores;
+        worker.fill_millicores += sign * spec.millicores;
         worker.fills += static_cast<std::uint32_t>(sign);
     }
     if (!spec.fills && !spec.is_serving()) {
-        worker.short_cores += sign * spec.millicores;
+        worker.short_millicores += sign * spec.millicores;
     }
     if (spec.is_serving()) {
         worker.servings += static_cast<std::uint32_t>(sign);
@@ -66,10 +67,10 @@
 // ---- heartbeats
 
 bool dispatcher::on_heartbeat(const worker_report& report, time_point now) {
-    if (!is_leading() || is_past(report.life)) {
+    if (!is_leading() || is_stale(report.life)) {
         return false;
     }
-    auto& worker = know_life(report.life, now);
+    auto& worker = get_or_add_worker(report.life, now);
     if (worker.has_report && report.sequence <= worker.report.sequence) {
         return worker.is_leaving && !m_book.is_retired(report.life); // late; only what it asks for counts
     }
@@ -78,11 +79,11 @@
     worker.report_sequence = report.sequence;
     worker.has_report = true;
     worker.last_heartbeat = now;
-    note_room(worker);
-    note_clock(worker, report.clock_ms, now);
+    update_room_expiry(worker);
+    update_clock(worker, report.clock_ms, now);
     if (is_new) {
         worker.next_hold = now;
-        m_workers.look_at(worker, now);
+        m_workers.schedule_check(worker, now);
         auto line = log_event(log_level::info, "worker_seen");
         add_worker(line, report.life)
             .add("address", report.address)
@@ -90,9 +91,9 @@
             .add("rack", report.rack)
             .add("millicores", report.capacity.millicores)
             .add("memory_mb", report.capacity.memory_mb);
-        for (const auto& life : m_workers.note_address(worker)) {
+        for (const auto& life : m_workers.add_address(worker)) {
             if (auto* other = find_worker(life); other != nullptr && other != &worker) {
-                hold_soon(*other, now); // its answer tells which of the two lives
+                schedule_hold(*other, now); // its answer tells which of the two lives
             }
         }
     }
@@ -105,7 +106,7 @@
             .add("remaining_ms", report.remaining_ms)
             .add("runs", static_cast<std::uint64_t>(worker.runs.size()));
         evacuate(worker, now);
-        m_workers.look_at(worker, now);
+        m_workers.schedule_check(worker, now);
     }
     return is_leaving && !m_book.is_retired(report.life);
 }
@@ -113,7 +114,7 @@
 /// Heartbeats of one worker may come by several relays, each of which compares them with what it told itself;
 /// and what it told may have been lost. So each names the report that it repeats.
 bool dispatcher::on_sign_of_life(const sign_of_life& sign, time_point now) {
-    if (!is_leading() || is_past(sign.worker)) {
+    if (!is_leading() || is_stale(sign.worker)) {
         return true;
     }
     auto* worker = find_worker(sign.worker);
@@ -128,18 +129,18 @@
     }
     worker->report.sequence = sign.sequence;
     worker->last_heartbeat = now;
-    note_room(*worker);
-    note_clock(*worker, sign.clock_ms, now);
+    update_room_expiry(*worker);
+    update_clock(*worker, sign.clock_ms, now);
     return true;
 }
 
-void dispatcher::note_room(worker_state& worker) const {
+void dispatcher::update_room_expiry(worker_state& worker) const {
     const auto* pool = m_book.get_configuration().find_pool(worker.report.pool);
     const bool guards_room = pool == nullptr || pool->enforces_capacity;
     worker.room_known_until = guards_room ? time_point::max() : worker.last_heartbeat + m_settings.room_age;
 }
 
-void dispatcher::note_clock(worker_state& worker, std::int64_t clock_ms, time_point now) const {
+void dispatcher::update_clock(worker_state& worker, std::int64_t clock_ms, time_point now) const {
     if (worker.clock_ms == 0 || clock_ms > worker.estimate_clock(now, m_settings.clock_drift)) {
         worker.clock_ms = clock_ms;
         worker.clock_at = now;
@@ -147,7 +148,7 @@
 }
 
 void dispatcher::on_goodbye(const worker_life& life, time_point now) {
-    if (!is_leading() || is_past(life)) {
+    if (!is_leading() || is_stale(life)) {
         return;
     }
     auto* worker = find_worker(life);
@@ -159,17 +160,17 @@
     worker->is_leaving = true;
     worker->leaves_at = now;
     worker->next_hold = now; // its answer, or none, says when it has ended
-    m_workers.look_at(*worker, now);
+    m_workers.schedule_check(*worker, now);
 }
 
 // ---- holds
 
 bool dispatcher::needs_hold(const worker_state& worker) const {
-    if (worker.report.address.empty() || worker.is_gone || worker.is_holding || worker.awaits_fence) {
+    if (worker.report.address.empty() || worker.is_lost || worker.is_hold_pending || worker.awaits_fence) {
         return false;
     }
-    return !worker.is_confirmed || !worker.runs.empty() || worker.has_strays ||
-           worker.acknowledged > worker.told || worker.hold_failures > 0;
+    return !worker.is_confirmed || !worker.runs.empty() || worker.has_stray_runs ||
+           worker.acknowledged > worker.acknowledged_sent || worker.hold_failures > 0;
 }
 
 void dispatcher::grant_lease(worker_state& worker, time_point now) {
@@ -211,38 +212,38 @@
     order.acknowledged = worker.acknowledged;
     // A worker that hears us while we do not hear it must not keep its lease: its runs could never be given
     // up. Nor is one prolonged for runs that are not to be there.
-    const bool has_only_strays = worker.has_strays && worker.runs.empty();
+    const bool has_only_strays = worker.has_stray_runs && worker.runs.empty();
     if (!worker.is_silent() && worker.clock_ms != 0 && !has_only_strays) {
         order.until_ms =
             worker.estimate_clock(now, m_settings.clock_drift) + to_milliseconds(m_settings.lease);
         grant_lease(worker, now);
     }
-    worker.is_holding = true;
+    worker.is_hold_pending = true;
     worker.hold_sent = now;
     worker.hold_fence = worker.fence;
-    worker.hold_due = now + order.target.timeout;
-    worker.told = std::max(worker.told, worker.acknowledged);
+    worker.hold_expires_at = now + order.target.timeout;
+    worker.acknowledged_sent = std::max(worker.acknowledged_sent, worker.acknowledged);
     ++m_counts.holds;
     m_orders.emplace_back(std::move(order));
 }
 
 void dispatcher::on_hold(const worker_life& life, const hold_outcome& outcome, time_point now) {
     auto* worker = find_worker(life);
-    if (worker == nullptr || !is_leading() || !worker->is_holding) {
+    if (worker == nullptr || !is_leading() || !worker->is_hold_pending) {
         return;
     }
-    worker->is_holding = false;
-    m_workers.look_at(*worker, now); // a turn later: what it asks for is known then
-    if (worker->is_gone) {
+    worker->is_hold_pending = false;
+    m_workers.schedule_check(*worker, now); // a turn later: what it asks for is known then
+    if (worker->is_lost) {
         return;
     }
     const auto failure = get_hold_failure(*worker, outcome);
     if (failure.has_value()) {
         if (failure == order_failure::other_life) {
-            lose_worker(*worker, end_ground::another_life_answers, now);
+            on_worker_lost(*worker, end_reason::another_life_answers, now);
             return;
         }
-        worker->told = 0;                         // what it was told may not have arrived
+        worker->acknowledged_sent = 0;            // what it was told may not have arrived
         if (failure == order_failure::not_sent) { // says nothing of the worker
             ++m_counts.not_sent;
             worker->next_hold = now + get_backoff(1, m_settings.retry_pause, worker->spread);
@@ -251,10 +252,10 @@
         if (failure == order_failure::lower_fence) {
             worker->fence = get_fence();
         }
-        worker->note_hold_failure(now);
+        worker->record_hold_failure(now);
         worker->next_hold = now + get_backoff(static_cast<std::uint32_t>(worker->hold_failures),
                                               m_settings.retry_pause, worker->spread);
-        if (worker->hold_failures == silent_after) {
+        if (worker->hold_failures == silent_after_failures) {
             auto line = log_event(log_level::warn, "worker_silent");
             add_worker(line, life)
                 .add("reason", get_failure_name(*failure))
@@ -274,7 +275,7 @@
     }
     worker->lapsed.clear(); // it was out of reach and has not crashed
     worker->hold_failures = 0;
-    note_heard(*worker, now);
+    release_orders(*worker, now);
     if (outcome.answer.clock_ms > 0) {
         worker->clock_ms = outcome.answer.clock_ms;
         worker->clock_at = now;
@@ -285,31 +286,31 @@
         return;
     }
     if (worker->hold_fence < worker->fence) { // orders under the lower fence may yet follow
-        hold_soon(*worker, now);
+        schedule_hold(*worker, now);
         return;
     }
-    take_rows(*worker, outcome.answer, now);
+    process_list(*worker, outcome.answer, now);
     const bool was_confirmed = worker->is_confirmed;
     worker->is_confirmed = true;
     if (!was_confirmed) {
         m_must_place = true;
     }
-    const auto rest = std::chrono::duration_cast<duration>(m_settings.hold_pause *
-                                                           (1 + strained_pauses * m_load.get_strain()));
-    const auto pause = worker->ends_committing > 0 ? commit_patience
-                       : worker->has_strays        ? m_settings.retry_pause
-                                                   : rest;
+    const auto regular_pause = std::chrono::duration_cast<duration>(
+        m_settings.hold_pause * (1 + max_strain_pauses * m_load.get_strain()));
+    const auto pause = worker->ends_committing > 0 ? commit_hold_pause
+                       : worker->has_stray_runs    ? m_settings.retry_pause
+                                                   : regular_pause;
     worker->next_hold = std::max(worker->next_hold, now + pause);
 }
 
-void dispatcher::take_rows(worker_state& worker, const hold_answer& answer, time_point now) {
+void dispatcher::process_list(worker_state& worker, const hold_answer& answer, time_point now) {
     worker.listed_at = now;
-    worker.has_strays = false;
+    worker.has_stray_runs = false;
     for (const auto& row : answer.running) {
         auto* track = find(row.run);
         if (track == nullptr || track->host != &worker) {
-            worker.has_strays = true; // until a list shows that the stop came
-            stop_stray(worker, row.run);
+            worker.has_stray_runs = true; // until a list shows that the stop came
+            stop_stray_run(worker, row.run);
             continue;
         }
         if (track->stage == run_stage::committing) {
@@ -317,13 +318,13 @@
         }
         if (track->stage != run_stage::running) {
             if (track->stage == run_stage::adopting) {
-                tell_taken_over(*track, "running", m_term);
+                log_run_taken_over(*track, "running", m_term);
             } else {
-                tell_started(*track, "listed", m_term, now);
+                log_run_started(*track, "listed", m_term, now);
             }
             track->stage = run_stage::running;
             track->confirmed_at = now;
-            note_started(row.run.task.step.job, now);
+            record_first_start(row.run.task.step.job, now);
         }
         track->listed_at = now;
         track->former_loss.reset();
@@ -334,20 +335,20 @@
     auto ended = answer.ended;
     std::sort(ended.begin(), ended.end());
     for (const auto& row : ended) {
-        take_end(worker, row, now);
+        process_end(worker, row, now);
     }
     if (answer.ended.size() < max_ended_rows) {
-        find_vanished(worker, answer.get_listed(), now);
+        end_missing_runs(worker, answer.get_listed(), now);
     }
     update_acknowledged(worker);
     clear_suspects(worker, now);
     observe_pressure(worker, now);
 }
 
-void dispatcher::take_end(worker_state& worker, const end_row& row, time_point now) {
+void dispatcher::process_end(worker_state& worker, const end_row& row, time_point now) {
     auto* track = find(row.run);
     if (row.number <= worker.acknowledged) {
-        worker.told = 0; // it has not heard of that yet
+        worker.acknowledged_sent = 0; // it has not heard of that yet
     }
     if (row.number <= worker.seen) {
         if (track != nullptr && !track->is_ending) {
@@ -362,7 +363,7 @@
     }
     worker.seen = row.number;
     if (track == nullptr || track->host != &worker || track->is_ending) {
-        tell_unknown_end(worker, track, row);
+        log_unknown_end(worker, track, row);
         return; // an earlier leader's, or given up before
     }
     if (row.end == run_end::done) {
@@ -373,11 +374,11 @@
     }
     ++worker.ends_committing;
     const bool has_known_age = track->confirmed_at != time_point{};
-    propose_end(*track, row.end, {end_ground::listed_end, worker.hold_sent, row.number}, now, row.saved,
+    propose_end(*track, row.end, {end_reason::listed_end, worker.hold_sent, row.number}, now, row.saved,
                 {crash_evidence::none, has_known_age ? to_milliseconds(now - track->confirmed_at) : 0});
 }
 
-void dispatcher::find_vanished(worker_state& worker, const std::vector<run_key>& listed, time_point now) {
+void dispatcher::end_missing_runs(worker_state& worker, const std::vector<run_key>& listed, time_point now) {
     for (const auto& [key, run] : worker.runs) {
         auto& track = *run;
         if (track.is_ending || std::binary_search(listed.begin(), listed.end(), key)) {
@@ -393,20 +394,21 @@
             add_run(line, key);
             add_worker(line, worker.report.life)
                 .add("seen", worker.seen)
-                .add("told", worker.told)
+                .add("told", worker.acknowledged_sent)
                 .add("was_there", was_there ? "yes" : "no");
-            const auto there_or_stopped = was_there ? end_ground::not_listed : end_ground::stop_answered;
-            const end_word word{never_came ? end_ground::never_came : there_or_stopped, worker.hold_sent, 0};
+            const auto there_or_stopped = was_there ? end_reason::not_listed : end_reason::stop_answered;
+            const end_evidence evidence{never_came ? end_reason::never_came : there_or_stopped,
+                                        worker.hold_sent, 0};
             if (track.former_loss.has_value()) {
-                propose_end(track, run_end::lost, word, now, {}, *track.former_loss);
+                propose_end(track, run_end::lost, evidence, now, {}, *track.former_loss);
             } else {
-                propose_end(track, run_end::not_started, word, now);
+                propose_end(track, run_end::not_started, evidence, now);
             }
         }
     }
 }
 
-void dispatcher::stop_stray(worker_state& worker, const run_key& key) {
+void dispatcher::stop_stray_run(worker_state& worker, const run_key& key) {
     log_event(log_level::warn, "stray_run_stopped")
         .add("job", format_job_id(key.task.step.job))
         .add("task", static_cast<std::uint64_t>(key.task.index))
@@ -422,7 +424,7 @@
 void dispatcher::update_acknowledged(worker_state& worker) {
     if (worker.ends_committing == 0) {
         worker.acknowledged = std::max(worker.acknowledged, worker.seen);
-        m_workers.look_at(worker, worker.next_hold);
+        m_workers.schedule_check(worker, worker.next_hold);
     }
 }
 
--- a/poplarpitch/dispatch/history_log.cpp
+++ b/poplarpitch/dispatch/history_log.cpp
@@ -8,12 +8,12 @@
 
 namespace poplarpitch {
 
-void tell_started(const run_track& track, const char* ground, log_term term, time_point now) {
+void log_run_started(const run_track& track, const char* reason, log_term term, time_point now) {
     auto line = log_event(log_level::info, "run_started", log_weight::history);
     add_run(line, track.key);
     add_worker(line, track.host->report.life)
         .add("wait_ms", to_milliseconds(now - track.claimed_at))
-        .add("ground", ground)
+        .add("ground", reason)
         .add("term", term)
         .add("fence", track.start_fence)
         .add("starts", static_cast<std::uint64_t>(track.starts));
@@ -22,7 +22,7 @@
     }
 }
 
-void tell_taken_over(const run_track& track, const char* found, log_term term) {
+void log_run_taken_over(const run_track& track, const char* found, log_term term) {
     auto line = log_event(log_level::info, "run_taken_over", log_weight::history);
     add_run(line, track.key);
     add_worker(line, track.host->report.life)
@@ -32,22 +32,22 @@
         .add("fence", track.host->fence);
 }
 
-void tell_ended(const run_track& track, run_end end, log_term term, time_point now) {
+void log_run_ended(const run_track& track, run_end end, log_term term, time_point now) {
     auto line = log_event(log_level::info, "run_ended", log_weight::history);
     add_run(line, track.key);
     add_worker(line, track.assigned_to)
         .add("end", get_end_name(end))
-        .add("ground", get_ground_name(track.word.ground));
-    if (track.word.asked != time_point{}) {
-        line.add("asked_ms", to_milliseconds(now - track.word.asked));
+        .add("ground", get_end_reason_name(track.evidence.reason));
+    if (track.evidence.requested_at != time_point{}) {
+        line.add("asked_ms", to_milliseconds(now - track.evidence.requested_at));
     }
-    if (track.word.number != 0) {
-        line.add("number", track.word.number);
+    if (track.evidence.number != 0) {
+        line.add("number", track.evidence.number);
     }
     line.add("term", term).add("fence", track.host->fence);
 }
 
-void tell_unknown_end(const worker_state& worker, const run_track* track, const end_row& row) {
+void log_unknown_end(const worker_state& worker, const run_track* track, const end_row& row) {
     const auto* why = track == nullptr ? "not_known" : "ending";
     if (track != nullptr && track->host != &worker) {
         why = "other_worker";
@@ -62,7 +62,7 @@
         .add("fence", worker.fence);
 }
 
-void tell_took_over(const takeover& taken) {
+void log_takeover(const takeover& taken) {
     log_event(log_level::info, "took_over", log_weight::history)
         .add("term", taken.term)
         .add("fence", taken.fence)
--- a/poplarpitch/dispatch/history_log.h
+++ b/poplarpitch/dispatch/history_log.h
@@ -29,14 +29,14 @@
 /// instances that are left. Thread safety: any thread while nobody changes what is passed, for all.
 
 /// Tells that a run is there, and on what ground the leader of `term` takes it for that.
-void tell_started(const run_track& track, const char* ground, log_term term, time_point now);
+void log_run_started(const run_track& track, const char* reason, log_term term, time_point now);
 /// Tells what became of a run that a former leader assigned, or that was given to a former life.
-void tell_taken_over(const run_track& track, const char* found, log_term term);
+void log_run_taken_over(const run_track& track, const char* found, log_term term);
 /// Tells how a run ended, and on whose word.
-void tell_ended(const run_track& track, run_end end, log_term term, time_point now);
+void log_run_ended(const run_track& track, run_end end, log_term term, time_point now);
 /// Tells that a worker lists an end that changes nothing. `track`: of that run; null where it is not known.
-void tell_unknown_end(const worker_state& worker, const run_track* track, const end_row& row);
+void log_unknown_end(const worker_state& worker, const run_track* track, const end_row& row);
 /// Tells what a new leader took over.
-void tell_took_over(const takeover& taken);
+void log_takeover(const takeover& taken);
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/lasting_quota.cpp
+++ b/poplarpitch/dispatch/lasting_quota.cpp
@@ -6,16 +6,16 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration settle = seconds{3};    // workers send heartbeats each 1 to 1.5 s; two of them
-constexpr duration learning = seconds{30}; // before what others want is believed to be all they want
-constexpr double peak_memory = 60;  // s: others' demand varies by half within 20 s, daily peaks are longer
+constexpr duration settle_time = seconds{3};    // workers send heartbeats each 1 to 1.5 s; two of them
+constexpr duration learning_time = seconds{30}; // before what others want is believed to be all they want
+constexpr double peak_decay_s = 60; // s: others' demand varies by half within 20 s, daily peaks are longer
 constexpr double peak_margin = 1.5; // of others' peak: their demand is half again as high in a burst
-constexpr duration soonest = seconds{5};        // a job that lasts a minute does not make room sooner
-constexpr duration latest = seconds{60};        // the caller may ask again then, whatever is known
-constexpr duration while_unknown = seconds{30}; // no job has ended yet
-constexpr duration unsettled_wait = seconds{1}; // workers are still being heard of
-constexpr job_id spread_steps = 16;             // of the times at which refused callers come back
-constexpr double spread_share = 0.5;            // the last come back after half as long again
+constexpr duration min_retry_after = seconds{5};       // a job that lasts a minute does not make room sooner
+constexpr duration max_retry_after = seconds{60};      // the caller may ask again then, whatever is known
+constexpr duration default_retry_after = seconds{30};  // no job has ended yet
+constexpr duration unsettled_retry_after = seconds{1}; // workers are still being heard of
+constexpr job_id spread_steps = 16;                    // of the times at which refused callers come back
+constexpr double spread_share = 0.5;                   // the last come back after half as long again
 
 } // namespace
 
@@ -49,14 +49,14 @@
         state.first_observed = now;
         state.observed_at = now;
     }
-    const double kept = std::exp(-to_seconds(now - state.observed_at) / peak_memory);
+    const double kept = std::exp(-to_seconds(now - state.observed_at) / peak_decay_s);
     state.observed_at = now;
     state.peak_demand = std::max(static_cast<double>(use.other_demand), kept * state.peak_demand);
     state.use = use;
 }
 
 bool lasting_quota::is_settled(time_point now) const {
-    return now - m_cleared_at >= settle;
+    return now - m_cleared_at >= settle_time;
 }
 
 std::int64_t lasting_quota::get_allowed(const std::string& pool, time_point now) const {
@@ -67,7 +67,7 @@
     const auto& state = found->second;
     const auto capacity = static_cast<double>(state.use.capacity);
     double allowed = m_share * capacity;
-    if (now - state.first_observed >= learning) {
+    if (now - state.first_observed >= learning_time) {
         allowed = std::max(allowed, capacity - peak_margin * state.peak_demand);
     }
     return static_cast<std::int64_t>(allowed);
@@ -89,15 +89,15 @@
 duration lasting_quota::get_retry_after(job_id job, const std::string& pool, std::int64_t millicores,
                                         time_point now) const {
     if (!is_settled(now)) {
-        return unsettled_wait;
+        return unsettled_retry_after;
     }
-    double wait = to_seconds(while_unknown);
+    double wait = to_seconds(default_retry_after);
     const auto found = m_pools.find(pool);
     if (found != m_pools.end() && found->second.released > 0) {
         const auto missing =
             static_cast<double>(found->second.reserved + millicores - get_allowed(pool, now));
         const double rate = static_cast<double>(found->second.released) / to_seconds(now - m_cleared_at);
-        wait = std::clamp(missing / rate, to_seconds(soonest), to_seconds(latest));
+        wait = std::clamp(missing / rate, to_seconds(min_retry_after), to_seconds(max_retry_after));
     }
     const double step = static_cast<double>(job % spread_steps) / static_cast<double>(spread_steps);
     wait *= 1 + spread_share * step;
--- a/poplarpitch/dispatch/order_backoff.cpp
+++ b/poplarpitch/dispatch/order_backoff.cpp
@@ -9,18 +9,18 @@
 
 // Doublings of the pause: at 120 ms it grows to a second, a seventh of a lease, so that a worker that can be
 // reached again is found while what runs there still holds it.
-constexpr std::uint32_t most_doublings = 3;
+constexpr std::uint32_t max_doublings = 3;
 constexpr double jitter_width = 0.5; // of the pause, half of it on either side
 
 } // namespace
 
 duration get_backoff(std::uint32_t failures, duration shortest, std::uint64_t spread) {
-    const auto doublings = std::min(failures - 1, most_doublings);
+    const auto doublings = std::min(failures - 1, max_doublings);
     std::minstd_rand random(static_cast<std::uint32_t>(spread + failures));
     random.discard(1); // the first number follows the seed too closely
-    const auto place = static_cast<double>(random()) / static_cast<double>(std::minstd_rand::max());
+    const auto fraction = static_cast<double>(random()) / static_cast<double>(std::minstd_rand::max());
     const auto pause = shortest * (1U << doublings);
-    return std::chrono::duration_cast<duration>(pause * (1 + jitter_width * (place - 0.5)));
+    return std::chrono::duration_cast<duration>(pause * (1 + jitter_width * (fraction - 0.5)));
 }
 
 void order_backoff::on_sent(time_point now, duration timeout) {
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -9,38 +9,38 @@
 namespace {
 
 // Costs are compared only with each other. One unit is the difference between an empty and a full worker.
-constexpr double far_from_data = 4;     // remote work takes a multiple of the time
-constexpr double failed_there = 3;      // another worker may do better, this one may do too
-constexpr double doubtful = 1.5;        // its last run failed
-constexpr double apart = 0.3;           // a serving task on a worker that holds filling ones
-constexpr double no_servings = 0.8;     // a filling task where nothing serves: kept for those that press hard
+constexpr double remote_data_cost = 4;      // remote work takes a multiple of the time
+constexpr double failed_there_cost = 3;     // another worker may do better, this one may do too
+constexpr double doubtful_cost = 1.5;       // its last run failed
+constexpr double beside_filling_cost = 0.3; // a serving task on a worker that holds filling ones
+constexpr double no_serving_cost = 0.8; // a filling task where nothing serves: kept for those that press hard
 constexpr double fullness_weight = 0.3; // of how much of the unused processor time is taken
-constexpr double untouched = 1.0;       // the first serving task of a worker
-constexpr double other_image = 1.5;     // each other job of another image that serves on the worker
-constexpr double other_job = 0.3;       // each other job that serves on the worker
-constexpr std::int64_t no_room = -1;    // millicores: not even for a task that asks for none
-constexpr std::int64_t starving_part = 2; // of what it asks for: at half its speed it still gets on
-constexpr double neighbour = 1.0;         // each run that a suspect may take along
-constexpr double serving_neighbour = 2.0; // the same of one whose callers wait for its answers
-constexpr double other_suspect = 20.0;    // two suspects of one crash would never be told apart
-constexpr double beside_suspect = 2.0;    // a task that is none itself
-constexpr double beside_kept = 10.0;      // a worker that is kept for a suspect is taken last
-constexpr double between = 0.5;           // a task of neither kind on a worker that fills
+constexpr double first_serving_cost = 1.0;        // the first serving task of a worker
+constexpr double other_image_cost = 1.5;          // each other job of another image that serves on the worker
+constexpr double other_job_cost = 0.3;            // each other job that serves on the worker
+constexpr std::int64_t no_room = -1;              // millicores: not even for a task that asks for none
+constexpr std::int64_t starving_divisor = 2;      // of what it asks for: at half its speed it still gets on
+constexpr double neighbour_cost = 1.0;            // each run that a suspect may take along
+constexpr double serving_neighbour_cost = 2.0;    // the same of one whose callers wait for its answers
+constexpr double other_suspect_cost = 20.0;       // two suspects of one crash would never be told apart
+constexpr double beside_suspect_cost = 2.0;       // a task that is none itself
+constexpr double beside_kept_cost = 10.0;         // a worker that is kept for a suspect is taken last
+constexpr double short_beside_filling_cost = 0.5; // a task of neither kind on a worker that fills
 
 double get_fill_cost(const worker_state& worker) {
-    return 1.0 - worker.get_share(worker.get_leftover());
+    return 1.0 - worker.get_share(worker.get_spare_millicores());
 }
 
 /// Returns how near a filling task would bring the worker's serving tasks to their limit: 1 is there.
-double get_press_cost(const worker_state& worker, const placement_request& request) {
+double get_slowdown_cost(const worker_state& worker, const placement_request& request) {
     if (worker.pressure.groups.empty()) {
-        return no_servings;
+        return no_serving_cost;
     }
     const auto share = worker.get_share(request.spec->millicores);
     double highest = 0;
     for (const auto& group : worker.pressure.groups) {
-        const auto press = request.factors[group.image] * share;
-        highest = std::max(highest, (group.press + press) / group.room);
+        const auto slowdown = request.factors[group.image] * share;
+        highest = std::max(highest, (group.slowdown + slowdown) / group.room);
     }
     return highest;
 }
@@ -48,11 +48,11 @@
 /// Returns a cost for what else serves on the worker. The fewer images, the more kinds of filling tasks fit;
 /// and the tasks of one job rise and fall together, so that a worker of one job has time for those that press
 /// hard.
-double get_strangeness(const worker_state& worker, const placement_request& request) {
+double get_mixing_cost(const worker_state& worker, const placement_request& request) {
     double cost = 0;
     for (const auto& group : worker.pressure.groups) {
-        cost += (group.job != request.step.job ? other_job : 0) +
-                (group.image != request.image ? other_image : 0);
+        cost += (group.job != request.step.job ? other_job_cost : 0) +
+                (group.image != request.image ? other_image_cost : 0);
     }
     return cost;
 }
@@ -64,17 +64,17 @@
     if (!request.is_starving) {
         return wanted;
     }
-    return worker.servings == 0 ? std::numeric_limits<std::int64_t>::min() : wanted / starving_part;
+    return worker.servings == 0 ? std::numeric_limits<std::int64_t>::min() : wanted / starving_divisor;
 }
 
 /// Returns a cost for what the next crash would take along, and for what would then be known less surely.
-double get_risk_cost(const worker_state& worker, caution care) {
-    if (care == caution::none) {
-        return worker.probations > 0 ? beside_kept : worker.suspects > 0 ? beside_suspect : 0;
+double get_risk_cost(const worker_state& worker, isolation_level isolation) {
+    if (isolation == isolation_level::none) {
+        return worker.probations > 0 ? beside_kept_cost : worker.suspects > 0 ? beside_suspect_cost : 0;
     }
-    return neighbour * static_cast<double>(worker.runs.size()) +
-           serving_neighbour * static_cast<double>(worker.servings) +
-           other_suspect * static_cast<double>(worker.suspects);
+    return neighbour_cost * static_cast<double>(worker.runs.size()) +
+           serving_neighbour_cost * static_cast<double>(worker.servings) +
+           other_suspect_cost * static_cast<double>(worker.suspects);
 }
 
 /// Best fit: the fuller a worker that still holds the task, the better.
@@ -89,7 +89,7 @@
 }
 
 placement_obstacle find_unusable(const worker_state& worker, time_point now) {
-    if (!worker.has_report || !worker.is_confirmed || worker.clock_ms == 0 || worker.is_gone) {
+    if (!worker.has_report || !worker.is_confirmed || worker.clock_ms == 0 || worker.is_lost) {
         return placement_obstacle::unknown;
     }
     if (worker.is_leaving) {
@@ -112,11 +112,11 @@
     if (!request.spec->fills) {
         return worker.get_free().millicores;
     }
-    auto room = static_cast<double>(worker.get_leftover());
+    auto room = static_cast<double>(worker.get_spare_millicores());
     const auto capacity = static_cast<double>(worker.report.capacity.millicores);
     for (const auto& group : worker.pressure.groups) {
         const auto factor = request.factors[group.image];
-        const auto spare = group.room - group.press;
+        const auto spare = group.room - group.slowdown;
         if (spare <= 0) {
             return no_room;
         }
@@ -164,24 +164,24 @@
         return std::nullopt;
     }
     const auto& spec = *request.spec;
-    double cost = get_risk_cost(worker, request.care);
+    double cost = get_risk_cost(worker, request.isolation);
     if (spec.fills) {
-        cost += get_press_cost(worker, request) + fullness_weight * get_fill_cost(worker);
+        cost += get_slowdown_cost(worker, request) + fullness_weight * get_fill_cost(worker);
     } else if (spec.is_serving()) {
-        cost += get_pack_cost(worker) + get_strangeness(worker, request) + (worker.fills > 0 ? apart : 0) +
-                (worker.servings > 0 ? 0 : untouched);
+        cost += get_pack_cost(worker) + get_mixing_cost(worker, request) +
+                (worker.fills > 0 ? beside_filling_cost : 0) + (worker.servings > 0 ? 0 : first_serving_cost);
     } else {
-        cost += get_pack_cost(worker) + (worker.fills > 0 ? between : 0);
+        cost += get_pack_cost(worker) + (worker.fills > 0 ? short_beside_filling_cost : 0);
     }
     if (!spec.affinity_rack.empty() && worker.report.rack != spec.affinity_rack) {
-        cost += far_from_data;
+        cost += remote_data_cost;
     }
     if (worker.trust.is_doubtful()) {
-        cost += doubtful;
+        cost += doubtful_cost;
     }
     if (request.avoided != nullptr && std::find(request.avoided->begin(), request.avoided->end(),
                                                 worker.report.life) != request.avoided->end()) {
-        cost += failed_there;
+        cost += failed_there_cost;
     }
     return cost;
 }
--- a/poplarpitch/dispatch/placement.h
+++ b/poplarpitch/dispatch/placement.h
@@ -26,8 +26,8 @@
     const std::vector<worker_life>* avoided = nullptr; ///< workers on which the task failed; null for none
     bool is_last_attempt = false;                      ///< a worker whose last run failed is no choice
     bool is_starving = false; ///< nothing of its job runs: a task that fills takes less than it asks for
-    caution care = caution::none;
-    bool is_patient = false; ///< a task that is to be alone waits for a worker of its own
+    isolation_level isolation = isolation_level::none;
+    bool may_wait = false;   ///< a task that is to be alone waits for a worker of its own
     bool is_overdue = false; ///< it may wait no longer: also a worker that is kept for a suspect will do
     std::string rack;        ///< only this rack; empty for any
     worker_life excluded;    ///< a worker that is no choice: a copy is to run elsewhere
@@ -35,11 +35,11 @@
     friend bool operator==(const placement_request&, const placement_request&) = default;
 
     /// Returns true while the task waits for a worker that runs nothing. Thread safety: any thread.
-    [[nodiscard]] bool wants_own_worker() const { return care == caution::alone && is_patient; }
+    [[nodiscard]] bool wants_own_worker() const { return isolation == isolation_level::alone && may_wait; }
     /// Returns the caution that its run has at a worker: one that takes what there is keeps nobody away.
     /// Thread safety: any thread.
-    [[nodiscard]] caution get_run_care() const {
-        return care == caution::alone && !is_patient ? caution::apart : care;
+    [[nodiscard]] isolation_level get_run_isolation() const {
+        return isolation == isolation_level::alone && !may_wait ? isolation_level::apart : isolation;
     }
 };
 
--- a/poplarpitch/dispatch/pressure_model.cpp
+++ b/poplarpitch/dispatch/pressure_model.cpp
@@ -6,26 +6,26 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double target_multiple = 5;     // a target lies at about five times the tail without load
-constexpr double lowest_share = 0.8;      // even the lowest tail seen has some load in it
-constexpr double model_variance = 0.002;  // of base / tail: what the model leaves out
-constexpr double tail_noise = 0.08;       // of a tail, relative: it is a rough figure
-constexpr double drift_variance = 0.01;   // of the own load, each second: 0.1
-constexpr double highest_variance = 0.06; // of the own load: it swings by half around its mean
-constexpr double full = 0.045;            // base / tail below this only tells that it is too much
-constexpr double highest_factor = 8;
-constexpr double highest_load = 0.9;
-constexpr double least_variance = 0.003; // of a factor: it is never taken for certain
-constexpr double caution = 0.2;          // deviations added to a factor that decides
-constexpr double light_use = 0.55;       // share of the asked processor time where the pressure is least
-constexpr double light_phase = 0.15;     // that least pressure
+constexpr double target_multiple = 5;      // a target lies at about five times the tail without load
+constexpr double min_base_share = 0.8;     // even the lowest tail seen has some load in it
+constexpr double model_variance = 0.002;   // of base / tail: what the model leaves out
+constexpr double tail_noise = 0.08;        // of a tail, relative: it is a rough figure
+constexpr double drift_variance = 0.01;    // of the own load, each second: 0.1
+constexpr double max_load_variance = 0.06; // of the own load: it swings by half around its mean
+constexpr double saturated_ratio = 0.045;  // base / tail below this only tells that it is too much
+constexpr double max_factor = 8;
+constexpr double max_load = 0.9;
+constexpr double min_factor_variance = 0.003; // of a factor: it is never taken for certain
+constexpr double uncertainty_weight = 0.2;    // deviations added to a factor that decides
+constexpr double light_use = 0.55;            // share of the asked processor time where the pressure is least
+constexpr double light_phase = 0.15;          // that least pressure
 
 } // namespace
 
-void serving_calm::update_trend(double seconds) {
-    const double kept = std::exp(-seconds / trend_smoothing);
-    slow_load = kept * slow_load + (1 - kept) * load;
-    trend = (load - slow_load) / trend_smoothing;
+void serving_load::update_trend(double seconds) {
+    const double kept = std::exp(-seconds / trend_smoothing_s);
+    smoothed_load = kept * smoothed_load + (1 - kept) * load;
+    trend = (load - smoothed_load) / trend_smoothing_s;
 }
 
 double pressure_model::get_phase(double used_millicores, double asked_millicores) {
@@ -56,7 +56,7 @@
 double pressure_model::get_base(image_number image, double target_ms) const {
     const auto found = m_lowest_tails.find(image);
     const double assumed = target_ms / target_multiple;
-    return found == m_lowest_tails.end() ? assumed : std::min(assumed, found->second * lowest_share);
+    return found == m_lowest_tails.end() ? assumed : std::min(assumed, found->second * min_base_share);
 }
 
 double pressure_model::get_room(image_number image, double target_ms, double share, double load) const {
@@ -69,10 +69,10 @@
     return found == m_factors.end() ? factor{}.mean : found->second.mean;
 }
 
-double pressure_model::get_careful_factor(image_number serving, image_number filling) const {
+double pressure_model::get_conservative_factor(image_number serving, image_number filling) const {
     const auto found = m_factors.find(pair_key{serving, filling});
     const auto known = found == m_factors.end() ? factor{} : found->second;
-    return known.mean + caution * std::sqrt(known.variance);
+    return known.mean + uncertainty_weight * std::sqrt(known.variance);
 }
 
 image_number pressure_model::get_number(const std::string& image) {
@@ -83,45 +83,45 @@
     return found->second;
 }
 
-std::vector<double> pressure_model::get_careful_factors(image_number filling) const {
+std::vector<double> pressure_model::get_conservative_factors(image_number filling) const {
     std::vector<double> factors(m_names.size());
     for (image_number serving = 0; serving < factors.size(); ++serving) {
-        factors[serving] = get_careful_factor(serving, filling);
+        factors[serving] = get_conservative_factor(serving, filling);
     }
     return factors;
 }
 
 void pressure_model::observe(image_number image, double tail_ms, double target_ms,
                              const std::vector<image_share>& others, double seconds_since_last,
-                             serving_calm& calm) {
+                             serving_load& own_load) {
     auto& lowest = m_lowest_tails.try_emplace(image, tail_ms).first->second;
     lowest = std::min(lowest, tail_ms);
-    calm.variance = std::min(calm.variance + drift_variance * seconds_since_last, highest_variance);
+    own_load.variance = std::min(own_load.variance + drift_variance * seconds_since_last, max_load_variance);
     const double seen = std::min(1.0, get_base(image, target_ms) / tail_ms);
     double slow = 1;
     for (const auto& other : others) {
         slow += m_factors[{image, other.image}].mean * other.share;
     }
     const double noise = tail_noise * seen;
-    double variance = calm.variance + model_variance + noise * noise;
+    double variance = own_load.variance + model_variance + noise * noise;
     for (const auto& other : others) {
         const double slope = other.share / (slow * slow);
         variance += m_factors[{image, other.image}].variance * slope * slope;
     }
-    const double error = seen - (1 / slow - calm.load);
-    if (seen < full && error > 0) {
+    const double error = seen - (1 / slow - own_load.load);
+    if (seen < saturated_ratio && error > 0) {
         return; // it tells no more than what is known
     }
-    const double gain = calm.variance / variance;
-    calm.load = std::clamp(calm.load - gain * error, 0.0, highest_load);
-    calm.variance *= 1 - gain;
-    calm.update_trend(seconds_since_last);
+    const double gain = own_load.variance / variance;
+    own_load.load = std::clamp(own_load.load - gain * error, 0.0, max_load);
+    own_load.variance *= 1 - gain;
+    own_load.update_trend(seconds_since_last);
     for (const auto& other : others) {
         auto& known = m_factors[{image, other.image}];
         const double slope = -other.share / (slow * slow);
         const double own_gain = known.variance * slope / variance;
-        known.mean = std::clamp(known.mean + own_gain * error, 0.0, highest_factor);
-        known.variance = std::max(known.variance * (1 - own_gain * slope), least_variance);
+        known.mean = std::clamp(known.mean + own_gain * error, 0.0, max_factor);
+        known.variance = std::max(known.variance * (1 - own_gain * slope), min_factor_variance);
     }
 }
 
--- a/poplarpitch/dispatch/pressure_model.h
+++ b/poplarpitch/dispatch/pressure_model.h
@@ -12,20 +12,20 @@
 namespace poplarpitch {
 
 /// How calm a serving task is without the tasks that fill beside it.
-struct serving_calm {
-    double load = 0.5;      ///< share of its own capacity that it uses by itself; 0.5 until it is known
-    double variance = 0.04; ///< of `load`
-    double slow_load = 0.5; ///< `load`, smoothed over `trend_smoothing`
-    double trend = 0;       ///< of `load`, a second; the lag of the smoothed one over its time
+struct serving_load {
+    double load = 0.5;          ///< share of its own capacity that it uses by itself; 0.5 until it is known
+    double variance = 0.04;     ///< of `load`
+    double smoothed_load = 0.5; ///< `load`, smoothed over `trend_smoothing_s`
+    double trend = 0;           ///< of `load`, a second; the lag of the smoothed one over its time
 
-    friend bool operator==(const serving_calm&, const serving_calm&) = default;
+    friend bool operator==(const serving_load&, const serving_load&) = default;
 
     /// Moves the trend on by `seconds`. Thread safety: none.
     void update_trend(double seconds);
 };
 
 /// Time over which the trend of an own load is taken, seconds: short against its swing of 14 to 20 s.
-inline constexpr double trend_smoothing = 1.0;
+inline constexpr double trend_smoothing_s = 1.0;
 
 /// Number of an image within one pressure model, so that decisions over all workers compare no names.
 using image_number = std::uint32_t;
@@ -56,7 +56,7 @@
     /// Notes the tail of a serving task of `image` beside `others`; updates `calm` and what is known of the
     /// pairs.
     void observe(image_number image, double tail_ms, double target_ms, const std::vector<image_share>& others,
-                 double seconds_since_last, serving_calm& calm);
+                 double seconds_since_last, serving_load& own_load);
 
     /// Returns by how much filling tasks may slow a serving task, sum of factor x share, before its tail
     /// passes `share` of its target. Negative when it passes it by itself.
@@ -66,9 +66,9 @@
     /// Returns the number of an image; a new one where it has none yet.
     image_number get_number(const std::string& image);
     /// Returns the careful factors of a filling image beside every serving image, by the number of that one.
-    [[nodiscard]] std::vector<double> get_careful_factors(image_number filling) const;
+    [[nodiscard]] std::vector<double> get_conservative_factors(image_number filling) const;
     /// Returns the factor of a pair with an allowance for what is not known of it.
-    [[nodiscard]] double get_careful_factor(image_number serving, image_number filling) const;
+    [[nodiscard]] double get_conservative_factor(image_number serving, image_number filling) const;
     /// Returns the share of its pressure that a filling task exerts at present: it has light and heavy phases
     /// that last for seconds, and in a light one it uses about two thirds of the processor time it asked for.
     [[nodiscard]] static double get_phase(double used_millicores, double asked_millicores);
--- a/poplarpitch/dispatch/suspect_watch.cpp
+++ b/poplarpitch/dispatch/suspect_watch.cpp
@@ -10,17 +10,17 @@
 constexpr std::uint32_t alone_after = 2;            // crashes: one more and the task is given up
 constexpr duration retry_pause = milliseconds{500}; // before a task that is to be alone is tried again
 // With the pause it stays below the 3 s for which a job may have nothing running beside free room.
-constexpr duration alone_patience = milliseconds{2000};
+constexpr duration max_alone_wait = milliseconds{2000};
 
 constexpr std::size_t probation_part = 20; // of the workers, one may be a suspect's own, and one at least
 
 } // namespace
 
-std::size_t get_most_probations(std::size_t workers) {
+std::size_t get_max_probations(std::size_t workers) {
     return std::max<std::size_t>(workers / probation_part, 1);
 }
 
-void suspect_watch::note(const task_key& task, std::uint32_t crashes, time_point now) {
+void suspect_watch::record_crashes(const task_key& task, std::uint32_t crashes, time_point now) {
     if (crashes == 0) {
         forget(task);
         return;
@@ -32,12 +32,12 @@
     erase_job(m_suspects, task_key{{job, 0, 0}, 0});
 }
 
-caution suspect_watch::get_caution(const task_key& task) const {
+isolation_level suspect_watch::get_isolation(const task_key& task) const {
     const auto found = m_suspects.find(task);
     if (found == m_suspects.end()) {
-        return caution::none;
+        return isolation_level::none;
     }
-    return found->second.crashes < alone_after ? caution::apart : caution::alone;
+    return found->second.crashes < alone_after ? isolation_level::apart : isolation_level::alone;
 }
 
 bool suspect_watch::has_any(const step_key& step) const {
@@ -48,12 +48,12 @@
 bool suspect_watch::may_start(const task_key& task, time_point now) const {
     const auto found = m_suspects.find(task);
     const bool is_paused = found != m_suspects.end() && found->second.crashes >= alone_after;
-    return !is_paused || now >= found->second.noted_at + retry_pause;
+    return !is_paused || now >= found->second.recorded_at + retry_pause;
 }
 
-bool suspect_watch::is_patient(const task_key& task, time_point now) const {
+bool suspect_watch::may_wait(const task_key& task, time_point now) const {
     const auto found = m_suspects.find(task);
-    return found != m_suspects.end() && now < found->second.noted_at + alone_patience;
+    return found != m_suspects.end() && now < found->second.recorded_at + max_alone_wait;
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/suspect_watch.h
+++ b/poplarpitch/dispatch/suspect_watch.h
@@ -10,27 +10,27 @@
 namespace poplarpitch {
 
 /// How carefully a task is placed that was there when workers crashed.
-enum class caution : std::uint8_t {
+enum class isolation_level : std::uint8_t {
     none,
     apart, ///< away from other suspects, where its worker has least to lose
     alone, ///< on a worker of its own, which takes nothing else meanwhile
 };
 
 /// Returns the caution's name for logs. Thread safety: any thread.
-constexpr const char* get_caution_name(caution care) {
-    switch (care) {
-    case caution::none:
+constexpr const char* get_isolation_name(isolation_level isolation) {
+    switch (isolation) {
+    case isolation_level::none:
         return "none";
-    case caution::apart:
+    case isolation_level::apart:
         return "apart";
-    case caution::alone:
+    case isolation_level::alone:
         return "alone";
     }
     return "unknown";
 }
 
 /// Returns how many of so many workers may be kept for one suspect each at a time. Thread safety: any thread.
-[[nodiscard]] std::size_t get_most_probations(std::size_t workers);
+[[nodiscard]] std::size_t get_max_probations(std::size_t workers);
 
 /// Which tasks may be at fault for the crash of a worker, and when each may be tried again.
 ///
@@ -41,27 +41,27 @@
 class suspect_watch {
 public:
     /// Takes that `crashes` workers in all crashed under the task, 0 for none.
-    void note(const task_key& task, std::uint32_t crashes, time_point now);
+    void record_crashes(const task_key& task, std::uint32_t crashes, time_point now);
     /// Takes that the task is at fault for nothing, or has ended.
     void forget(const task_key& task) { m_suspects.erase(task); }
     /// Forgets all tasks of a job.
     void forget_job(job_id job);
     void clear() { m_suspects.clear(); }
 
-    [[nodiscard]] caution get_caution(const task_key& task) const;
+    [[nodiscard]] isolation_level get_isolation(const task_key& task) const;
     /// Returns true when a task of the step is a suspect.
     [[nodiscard]] bool has_any(const step_key& step) const;
     /// Returns true when the pause after its last crash is over, also of a task that is no suspect.
     [[nodiscard]] bool may_start(const task_key& task, time_point now) const;
     /// Returns true while a task that is to be alone waits for a worker of its own; later it takes what there
     /// is.
-    [[nodiscard]] bool is_patient(const task_key& task, time_point now) const;
+    [[nodiscard]] bool may_wait(const task_key& task, time_point now) const;
     [[nodiscard]] std::size_t get_size() const { return m_suspects.size(); }
 
 private:
     struct suspect {
         std::uint32_t crashes = 0;
-        time_point noted_at{};
+        time_point recorded_at{};
     };
 
     std::map<task_key, suspect> m_suspects;
--- a/poplarpitch/dispatch/tail_watch.cpp
+++ b/poplarpitch/dispatch/tail_watch.cpp
@@ -5,26 +5,27 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double near_share = 0.95; // of a target: figures are off by about 8%, either way
-constexpr double first_cut = 0.7;   // of all pressure: enough where what is known of the pairs is right
+constexpr double near_share = 0.95;     // of a target: figures are off by about 8%, either way
+constexpr double first_reduction = 0.7; // of all pressure: enough where what is known of the pairs is right
 // After this nothing presses on the tail any more: a third of the time that a tail may stay over its target,
 // so that the stop, the next figure and one more attempt fit in.
-constexpr duration patience = milliseconds{1400};
-constexpr duration longest = milliseconds{2000}; // counted: the tasks beside it get another chance after that
+constexpr duration full_stop_after = milliseconds{1400};
+constexpr duration max_counted =
+    milliseconds{2000}; // counted: the tasks beside it get another chance after that
 
 } // namespace
 
 void tail_watch::observe(double tail_ms, double target_ms, duration passed) {
     m_is_over = tail_ms > target_ms;
     const bool is_near = tail_ms > near_share * target_ms;
-    m_over_for = std::clamp(m_over_for + (is_near ? passed : -passed), duration{0}, longest);
+    m_over_for = std::clamp(m_over_for + (is_near ? passed : -passed), duration{0}, max_counted);
 }
 
-double tail_watch::get_cut() const {
-    if (m_over_for >= patience) {
+double tail_watch::get_reduction() const {
+    if (m_over_for >= full_stop_after) {
         return 1;
     }
-    return m_is_over ? first_cut : 0;
+    return m_is_over ? first_reduction : 0;
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/tail_watch.h
+++ b/poplarpitch/dispatch/tail_watch.h
@@ -16,7 +16,7 @@
     /// Takes a figure that stands for the time since the last one.
     void observe(double tail_ms, double target_ms, duration passed);
     /// Returns the share of all pressure on the tail that has to go.
-    [[nodiscard]] double get_cut() const;
+    [[nodiscard]] double get_reduction() const;
 
     friend bool operator==(const tail_watch&, const tail_watch&) = default;
 
--- a/poplarpitch/dispatch/worker_state.h
+++ b/poplarpitch/dispatch/worker_state.h
@@ -31,7 +31,7 @@
 };
 
 /// Holds in a row without an answer after which a worker is taken for silent: one may be lost by chance.
-inline constexpr int silent_after = 2;
+inline constexpr int silent_after_failures = 2;
 
 /// What the leader knows of one life of a worker. Soft: a new leader learns it anew.
 struct worker_state {
@@ -46,24 +46,24 @@
         false; ///< this life has answered, and the raise of the fence is on its way into the log
     bool is_confirmed = false; ///< it has sent its list under its fence
     bool is_leaving = false;
-    bool is_gone = false;   ///< another life answered, or another worker at its address
+    bool is_lost = false;   ///< another life answered, or another worker at its address
     time_point leaves_at{}; ///< while leaving: it stays until then at least
     time_point last_heartbeat{};
     time_point room_known_until{}; ///< later nothing is started on it: its room may have shrunk
 
-    bool is_holding = false; ///< a hold is under way
+    bool is_hold_pending = false; ///< a hold is under way
     time_point hold_sent{};
     std::uint64_t hold_fence = 0; ///< of the hold that was sent last
     time_point listed_at{};       ///< when its last list came
-    bool has_strays = false;      ///< that list had runs which are not to be there
-    time_point hold_due{};        ///< by then the hold under way has an answer or has none
+    bool has_stray_runs = false;  ///< that list had runs which are not to be there
+    time_point hold_expires_at{}; ///< by then the hold under way has an answer or has none
     time_point next_hold{};
-    int hold_failures = 0;       ///< in a row
-    time_point failing_since{};  ///< when the first of them came; of use only while there are some
-    bool has_broken_off = false; ///< the first of them ended before its time, as when the process ends
-    order_backoff backoff;       ///< of starts and stops
-    std::size_t place = 0;       ///< in the table of workers
-    std::uint64_t spread = 0;    ///< sets its repeated orders apart in time from those of others
+    int hold_failures = 0;         ///< in a row
+    time_point failing_since{};    ///< when the first of them came; of use only while there are some
+    bool has_failed_early = false; ///< the first of them ended before its time, as when the process ends
+    order_backoff backoff;         ///< of starts and stops
+    std::size_t position = 0;      ///< in the table of workers
+    std::uint64_t spread = 0;      ///< sets its repeated orders apart in time from those of others
 
     std::int64_t clock_ms = 0; ///< the worker's clock at `clock_at`; 0 while unknown
     time_point clock_at{};
@@ -72,20 +72,22 @@
 
     std::uint64_t seen = 0;         ///< highest number of its ends that was taken up
     std::uint64_t acknowledged = 0; ///< highest number that it may forget
-    std::uint64_t told = 0;         ///< highest number that it was told it may forget; 0 if that may be lost
+    std::uint64_t acknowledged_sent =
+        0; ///< highest number that it was told it may forget; 0 if that may be lost
     std::size_t ends_committing = 0;
 
     absl::btree_map<run_key, run_track*> runs;     ///< in order, so that equal states act alike
     std::map<step_key, std::uint32_t> step_counts; ///< runs of each step, for the limit on one worker
     worker_amounts reserved;                       ///< by tasks that count
-    std::int64_t fill_cores = 0;                   ///< millicores wanted by tasks that fill
-    std::int64_t short_cores = 0;                  ///< millicores of tasks that neither fill nor serve
+    std::int64_t fill_millicores = 0;              ///< millicores wanted by tasks that fill
+    std::int64_t short_millicores = 0;             ///< millicores of tasks that neither fill nor serve
     std::uint32_t fills = 0;                       ///< runs that fill
     std::uint32_t servings = 0;                    ///< runs whose answers are watched
     std::uint32_t suspects = 0;                    ///< runs whose tasks may have crashed a worker before
     std::uint32_t probations = 0;                  ///< those among them that are to be alone here
     std::vector<lapsed_run> lapsed;                ///< until it is heard again, or surely crashed
-    std::int64_t serving_unused = 0;      ///< millicores that they reserve and, by their own load, do not use
+    std::int64_t serving_unused_millicores =
+        0;                                ///< millicores that they reserve and, by their own load, do not use
     std::vector<image_share> fill_shares; ///< pressure by image, smoothed as the tails are
     time_point fill_shares_at{};
     worker_pressure pressure;
@@ -93,31 +95,31 @@
 
     /// Counts a run that is placed with this much care, or takes it back with -1. Thread safety: as the
     /// state.
-    void add_care(caution care, int sign) {
-        if (care != caution::none) {
+    void count_isolated(isolation_level isolation, int sign) {
+        if (isolation != isolation_level::none) {
             suspects += static_cast<std::uint32_t>(sign);
         }
-        if (care == caution::alone) {
+        if (isolation == isolation_level::alone) {
             probations += static_cast<std::uint32_t>(sign);
         }
     }
     /// Notes a hold without an answer. Thread safety: as the state.
-    void note_hold_failure(time_point now) {
+    void record_hold_failure(time_point now) {
         if (hold_failures == 0) {
             failing_since = now;
-            has_broken_off = now < hold_due;
+            has_failed_early = now < hold_expires_at;
         }
         ++hold_failures;
     }
     /// Returns true when no lease is granted any more: it may hear us while we do not hear it. Thread safety:
     /// as the state.
-    [[nodiscard]] bool is_silent() const { return hold_failures >= silent_after; }
+    [[nodiscard]] bool is_silent() const { return hold_failures >= silent_after_failures; }
     /// Returns what tasks that count may still take. Thread safety: as the state.
     [[nodiscard]] worker_amounts get_free() const { return report.capacity - reserved; }
     /// Returns the processor time that tasks which fill may still share, millicores. Thread safety: as the
     /// state.
-    [[nodiscard]] std::int64_t get_leftover() const {
-        return report.capacity.millicores - reserved.millicores + serving_unused - fill_cores;
+    [[nodiscard]] std::int64_t get_spare_millicores() const {
+        return report.capacity.millicores - reserved.millicores + serving_unused_millicores - fill_millicores;
     }
     /// Returns an amount of processor time, millicores, as a share of all that the worker has; all of it
     /// where the room has shrunk below that. Thread safety: as the state.
--- a/poplarpitch/dispatch/worker_table.cpp
+++ b/poplarpitch/dispatch/worker_table.cpp
@@ -15,15 +15,15 @@
     worker.report.life = life;
     worker.spread = hash_bytes(life.id);
     m_by_life[life] = &worker;
-    const auto place = find_place(life);
-    const auto number = static_cast<std::size_t>(std::distance(m_all.cbegin(), place));
-    m_all.insert(place, &worker);
-    m_looks.insert(m_looks.begin() + static_cast<std::ptrdiff_t>(number), time_point{});
-    number_from(number);
+    const auto position = find_position(life);
+    const auto index = static_cast<std::size_t>(std::distance(m_all.cbegin(), position));
+    m_all.insert(position, &worker);
+    m_check_times.insert(m_check_times.begin() + static_cast<std::ptrdiff_t>(index), time_point{});
+    renumber_from(index);
     return worker;
 }
 
-std::vector<worker_state*>::const_iterator worker_table::find_place(const worker_life& life) const {
+std::vector<worker_state*>::const_iterator worker_table::find_position(const worker_life& life) const {
     return std::lower_bound(
         m_all.begin(), m_all.end(), life,
         [](const worker_state* other, const worker_life& wanted) { return other->report.life < wanted; });
@@ -39,15 +39,15 @@
     if (found == m_workers.end()) {
         return;
     }
-    const auto place = found->second.place;
-    m_all.erase(m_all.begin() + static_cast<std::ptrdiff_t>(place));
-    m_looks.erase(m_looks.begin() + static_cast<std::ptrdiff_t>(place));
+    const auto position = found->second.position;
+    m_all.erase(m_all.begin() + static_cast<std::ptrdiff_t>(position));
+    m_check_times.erase(m_check_times.begin() + static_cast<std::ptrdiff_t>(position));
     m_by_life.erase(life);
     m_workers.erase(found);
-    number_from(place);
+    renumber_from(position);
 }
 
-const std::vector<worker_life>& worker_table::note_address(const worker_state& worker) {
+const std::vector<worker_life>& worker_table::add_address(const worker_state& worker) {
     auto& lives = m_lives[worker.report.address];
     std::erase_if(lives, [this](const worker_life& life) { return find(life) == nullptr; });
     lives.push_back(worker.report.life);
@@ -56,10 +56,10 @@
 
 std::vector<worker_state*> worker_table::find_other_lives(const worker_life& life) const {
     std::vector<worker_state*> others;
-    for (auto place = find_place(worker_life::before_all(life.id));
-         place != m_all.end() && (*place)->report.life.id == life.id; ++place) {
-        if ((*place)->report.life != life) {
-            others.push_back(*place);
+    for (auto position = find_position(worker_life::before_all(life.id));
+         position != m_all.end() && (*position)->report.life.id == life.id; ++position) {
+        if ((*position)->report.life != life) {
+            others.push_back(*position);
         }
     }
     return others;
@@ -68,30 +68,30 @@
 void worker_table::clear() {
     m_lives.clear();
     m_all.clear();
-    m_looks.clear();
+    m_check_times.clear();
     m_by_life.clear();
     m_workers.clear();
 }
 
-void worker_table::look_at(const worker_state& worker, time_point when) {
-    auto& look = m_looks[worker.place];
-    look = std::min(look, when);
+void worker_table::schedule_check(const worker_state& worker, time_point when) {
+    auto& check_time = m_check_times[worker.position];
+    check_time = std::min(check_time, when);
 }
 
 std::vector<worker_state*> worker_table::take_due(time_point now, time_point next) {
     std::vector<worker_state*> due;
-    for (std::size_t place = 0; place < m_looks.size(); ++place) {
-        if (m_looks[place] <= now) {
-            m_looks[place] = next;
-            due.push_back(m_all[place]);
+    for (std::size_t position = 0; position < m_check_times.size(); ++position) {
+        if (m_check_times[position] <= now) {
+            m_check_times[position] = next;
+            due.push_back(m_all[position]);
         }
     }
     return due;
 }
 
-void worker_table::number_from(std::size_t place) {
-    for (; place < m_all.size(); ++place) {
-        m_all[place]->place = place;
+void worker_table::renumber_from(std::size_t position) {
+    for (; position < m_all.size(); ++position) {
+        m_all[position]->position = position;
     }
 }
 
--- a/poplarpitch/dispatch/worker_table.h
+++ b/poplarpitch/dispatch/worker_table.h
@@ -36,24 +36,24 @@
     [[nodiscard]] const std::map<worker_life, worker_state>& get_map() const { return m_workers; }
 
     /// Notes the address of a worker. Returns all lives that were seen there, some of which may be forgotten.
-    const std::vector<worker_life>& note_address(const worker_state& worker);
+    const std::vector<worker_life>& add_address(const worker_state& worker);
 
     /// Makes a worker due at `when`, if it is not due before.
-    void look_at(const worker_state& worker, time_point when);
+    void schedule_check(const worker_state& worker, time_point when);
     /// Returns the workers that are due, in the order of their ids; each is due again at `next`, or earlier
-    /// where `look_at` says so.
+    /// where `schedule_check` says so.
     std::vector<worker_state*> take_due(time_point now, time_point next);
 
 private:
     /// Returns where a life stands in `m_all`, or would stand.
-    [[nodiscard]] std::vector<worker_state*>::const_iterator find_place(const worker_life& life) const;
-    void number_from(std::size_t place);
+    [[nodiscard]] std::vector<worker_state*>::const_iterator find_position(const worker_life& life) const;
+    void renumber_from(std::size_t place);
 
     std::map<worker_life, worker_state> m_workers;
     absl::flat_hash_map<worker_life, worker_state*> m_by_life;
     absl::flat_hash_map<std::string, std::vector<worker_life>> m_lives; ///< by address
     std::vector<worker_state*> m_all;                                   ///< by life
-    std::vector<time_point> m_looks; ///< when each is due; same places as `m_all`
+    std::vector<time_point> m_check_times; ///< when each is due; same places as `m_all`
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/worker_trust.cpp
+++ b/poplarpitch/dispatch/worker_trust.cpp
@@ -5,18 +5,18 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration rest =
+constexpr duration failure_pause =
     milliseconds{100}; // after one failure: 5% of 160 runs a second fail by their own fault
-constexpr duration first_aside = seconds{2};          // after the second; doubled each time
-constexpr std::uint32_t max_doublings = 2;            // 8 s: faults of this kind last 5 to 8 s
-constexpr duration unsound_rest = milliseconds{1500}; // longer than between two looks, so that it is renewed
-constexpr duration refusal_rest = milliseconds{700};
+constexpr duration first_set_aside = seconds{2};       // after the second; doubled each time
+constexpr std::uint32_t max_doublings = 2;             // 8 s: faults of this kind last 5 to 8 s
+constexpr duration unsound_pause = milliseconds{1500}; // longer than between two looks, so that it is renewed
+constexpr duration refusal_pause = milliseconds{700};
 
 } // namespace
 
 void worker_trust::on_success() {
     m_failures = 0;
-    m_asides = 0;
+    m_times_set_aside = 0;
     m_last_failed = 0;
 }
 
@@ -27,20 +27,20 @@
     m_last_failed = job;
     ++m_failures;
     if (m_failures == 1) {
-        m_until = std::max(m_until, now + rest);
+        m_until = std::max(m_until, now + failure_pause);
         return;
     }
-    const auto doublings = std::min(m_asides, max_doublings);
-    m_until = std::max(m_until, now + first_aside * (1U << doublings));
-    ++m_asides;
+    const auto doublings = std::min(m_times_set_aside, max_doublings);
+    m_until = std::max(m_until, now + first_set_aside * (1U << doublings));
+    ++m_times_set_aside;
 }
 
 void worker_trust::on_refusal(time_point now) {
-    m_until = std::max(m_until, now + refusal_rest);
+    m_until = std::max(m_until, now + refusal_pause);
 }
 
 void worker_trust::on_unsound(time_point now) {
-    m_until = std::max(m_until, now + unsound_rest);
+    m_until = std::max(m_until, now + unsound_pause);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/worker_trust.h
+++ b/poplarpitch/dispatch/worker_trust.h
@@ -30,8 +30,8 @@
     [[nodiscard]] bool is_doubtful() const { return m_failures > 0; }
 
 private:
-    std::uint32_t m_failures = 0; ///< jobs that failed in a row
-    std::uint32_t m_asides = 0;   ///< times in a row it was set aside
+    std::uint32_t m_failures = 0;        ///< jobs that failed in a row
+    std::uint32_t m_times_set_aside = 0; ///< times in a row it was set aside
     job_id m_last_failed = 0;
     time_point m_until{};
 };
--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -192,7 +192,7 @@
 void dispatch_world::wait_for_hold(const std::string& worker) {
     for (int turn = 0; turn < max_turns; ++turn) {
         const auto* state = find_worker(worker);
-        if (state != nullptr && state->is_holding) {
+        if (state != nullptr && state->is_hold_pending) {
             return;
         }
         advance(step);
@@ -202,7 +202,7 @@
 
 void dispatch_world::end_process(const std::string& id) {
     const auto* state = find_worker(id);
-    if (state != nullptr && state->is_holding) {
+    if (state != nullptr && state->is_hold_pending) {
         fail_hold(id); // its connection ends with the process
     }
 }
--- a/unit_tests/dispatch/dispatcher_audit_test.cpp
+++ b/unit_tests/dispatch/dispatcher_audit_test.cpp
@@ -14,7 +14,7 @@
 void answer_holds(dispatch_world& world, const hold_answer& list, duration length) {
     const auto end = world.now + length;
     while (world.now < end) {
-        if (world.find_worker("w1")->is_holding) {
+        if (world.find_worker("w1")->is_hold_pending) {
             world.answer_hold("w1", list);
         }
         world.advance(milliseconds{100});
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -116,7 +116,7 @@
     while (world.now < end) {
         const auto* state = world.find_worker(worker);
         ASSERT_NE(state, nullptr) << "forgotten before its machine came back";
-        if (state->is_holding) {
+        if (state->is_hold_pending) {
             world.fail_hold(worker);
         }
         world.advance(milliseconds{50});
@@ -275,7 +275,7 @@
     ASSERT_EQ(starts.size(), 1U);
     const auto& worker = starts[0].target.worker.id;
     cut_off(world, worker, seconds{10});
-    while (!world.find_worker(worker)->is_holding) {
+    while (!world.find_worker(worker)->is_hold_pending) {
         world.advance(milliseconds{50});
     }
     EXPECT_FALSE(world.find_worker(worker)->lapsed.empty());
@@ -296,7 +296,7 @@
     const auto& worker = starts[0].target.worker.id;
     const auto end = world.now + seconds{3};
     while (world.now < end) {
-        if (world.find_worker(worker)->is_holding) {
+        if (world.find_worker(worker)->is_hold_pending) {
             world.fail_hold(worker);
         }
         world.advance(milliseconds{50});
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -51,7 +51,7 @@
 /// Lets holds fail until `end`; nothing may be started elsewhere until then.
 void stay_cut_off_until(dispatch_world& world, time_point end) {
     while (world.now < end) {
-        if (world.find_worker("w1")->is_holding) {
+        if (world.find_worker("w1")->is_hold_pending) {
             world.fail_hold("w1");
         }
         world.advance(milliseconds{25});
@@ -213,7 +213,7 @@
     auto granted = world.now;
     std::vector<start_order> again;
     while (again.empty() && world.now < granted + 2 * span) {
-        if (world.find_worker("w1")->is_holding) {
+        if (world.find_worker("w1")->is_hold_pending) {
             world.fail_hold("w1");
         }
         world.advance(milliseconds{11}); // no part of a lease: what is over is found in the next step
@@ -253,7 +253,7 @@
     const auto* track = world.scheduler.find_track(order.run);
     ASSERT_NE(track, nullptr);
     EXPECT_FALSE(track->is_ending);
-    EXPECT_FALSE(world.find_worker("w1")->is_gone);
+    EXPECT_FALSE(world.find_worker("w1")->is_lost);
 }
 
 class dispatcher_refusal : public testing::TestWithParam<order_failure> {};
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -14,7 +14,7 @@
     const auto end = world.now + length;
     while (world.now < end) {
         const auto* found = world.find_worker(worker);
-        if (found != nullptr && found->is_holding) {
+        if (found != nullptr && found->is_hold_pending) {
             world.fail_hold(worker);
         }
         world.advance(milliseconds{50});
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -160,7 +160,7 @@
     list.clock_ms = 1;
     world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
     world.settle();
-    EXPECT_TRUE(world.find_worker("w1")->is_gone);
+    EXPECT_TRUE(world.find_worker("w1")->is_lost);
     const auto* next = world.scheduler.find_worker_state({"w1", second_life});
     ASSERT_NE(next, nullptr);
     EXPECT_FALSE(next->is_confirmed);
@@ -172,7 +172,7 @@
     start_again(world, earlier_time);
     EXPECT_TRUE(world.find_worker("w1")->is_confirmed);
     EXPECT_TRUE(world.scheduler.find_worker_state({"w1", first_life}) == nullptr ||
-                world.scheduler.find_worker_state({"w1", first_life})->is_gone);
+                world.scheduler.find_worker_state({"w1", first_life})->is_lost);
 }
 
 TEST(dispatcher_restart, is_not_believed_to_a_late_heartbeat_of_an_earlier_life) {
@@ -188,11 +188,11 @@
     list.clock_ms = to_milliseconds(world.now.time_since_epoch());
     world.scheduler.on_hold(late.life, {std::nullopt, list}, world.now);
     world.settle();
-    EXPECT_FALSE(world.find_worker("w1")->is_gone);
+    EXPECT_FALSE(world.find_worker("w1")->is_lost);
     world.scheduler.on_heartbeat(late, world.now);
     world.settle();
     EXPECT_TRUE(world.scheduler.find_worker_state(late.life) == nullptr ||
-                world.scheduler.find_worker_state(late.life)->is_gone);
+                world.scheduler.find_worker_state(late.life)->is_lost);
 }
 
 TEST(dispatcher_restart, is_not_undone_by_a_late_heartbeat_or_goodbye_of_the_former_life) {
@@ -285,7 +285,7 @@
     world.add_worker("w2");
     const auto longest = get_longest_span();
     while (world.now < since + longest - milliseconds{100}) { // cut off from now on
-        if (world.find_worker("w1")->is_holding) {
+        if (world.find_worker("w1")->is_hold_pending) {
             world.fail_hold("w1");
         }
         world.advance(milliseconds{50});
@@ -358,7 +358,7 @@
     world.start_one();
     for (int asked = 0; asked < 2; ++asked) {
         while (!std::any_of(world.scheduler.get_workers().begin(), world.scheduler.get_workers().end(),
-                            [](const auto& item) { return item.second.is_holding; })) {
+                            [](const auto& item) { return item.second.is_hold_pending; })) {
             world.advance(milliseconds{20});
         }
         for (const auto& [life, state] : std::map(world.scheduler.get_workers())) {
--- a/unit_tests/dispatch/pressure_model_test.cpp
+++ b/unit_tests/dispatch/pressure_model_test.cpp
@@ -24,7 +24,7 @@
 }
 
 /// Shows the model `seconds` of a serving task beside a filling one that comes and goes.
-void show(pressure_model& model, serving_calm& calm, const std::string& filling, double factor,
+void show(pressure_model& model, serving_load& calm, const std::string& filling, double factor,
           double seconds, std::mt19937& random) {
     std::normal_distribution<double> noise(1, 0.05);
     for (double time = 0; time < seconds; time += look) {
@@ -41,7 +41,7 @@
 
 TEST(pressure_model, follows_the_own_load_of_a_task_that_nothing_disturbs) {
     pressure_model model;
-    serving_calm calm;
+    serving_load calm;
     for (double time = 0; time < 30; time += look) {
         model.observe(model.get_number("serving"), get_tail(get_load(time), 1), target_ms, {}, look, calm);
         if (time > 3) {
@@ -52,7 +52,7 @@
 
 TEST(pressure_model, tells_a_light_pair_from_a_heavy_one_within_seconds) {
     pressure_model model;
-    serving_calm calm;
+    serving_load calm;
     std::mt19937 random(7);
     show(model, calm, "light", 0.2, 14, random);
     show(model, calm, "heavy", 4.5, 14, random);
@@ -67,12 +67,12 @@
     const auto unseen = model.get_number("unseen");
     EXPECT_GT(model.get_factor(serving, unseen), 0.8);
     EXPECT_LT(model.get_factor(serving, unseen), 2.0);
-    EXPECT_GT(model.get_careful_factor(serving, unseen), model.get_factor(serving, unseen));
+    EXPECT_GT(model.get_conservative_factor(serving, unseen), model.get_factor(serving, unseen));
 }
 
 TEST(pressure_model, begins_with_what_another_leader_has_learned) {
     pressure_model first;
-    serving_calm calm;
+    serving_load calm;
     std::mt19937 random(7);
     show(first, calm, "heavy", 4.5, 14, random);
     pressure_model second;
