--- a/poplarpitch/dispatch/admission.h
+++ b/poplarpitch/dispatch/admission.h
@@ -7,20 +7,20 @@
 
 namespace poplarpitch {
 
-/// Whether a job is taken, and what it was decided on.
+/// The decision whether a job is accepted, and the figures it is based on.
 struct admission {
     enum class verdict : std::uint8_t {
         taken,
-        lasting_quota, ///< jobs that last hold as much of the pool as they may
-        overloaded,    ///< the leader is behind with the jobs it has
+        lasting_quota, ///< long-running jobs have reserved their whole quota of the pool
+        overloaded,    ///< the leader lags too far behind to take more jobs
     };
 
     verdict what = verdict::taken;
-    duration retry_after{};    ///< when a refused job should be sent again
-    duration lag{};            ///< by which the leader is behind
-    std::int64_t wanted = 0;   ///< millicores that it would reserve
-    std::int64_t reserved = 0; ///< millicores reserved already
-    std::int64_t allowed = 0;  ///< millicores that may be reserved
+    duration retry_after{};    ///< time after which the caller should submit a refused job again
+    duration lag{};            ///< by which the leader's timers are late
+    std::int64_t wanted = 0;   ///< millicores that the job would reserve
+    std::int64_t reserved = 0; ///< millicores that are reserved already
+    std::int64_t allowed = 0;  ///< limit on reserved millicores
 
     friend auto operator<=>(const admission&, const admission&) = default;
 
--- a/poplarpitch/dispatch/copy_need.cpp
+++ b/poplarpitch/dispatch/copy_need.cpp
@@ -3,9 +3,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double overdue_multiple = 1.8;   // of the estimate: a sound run takes up to 1.5 times
-constexpr double new_run_multiple = 1.3;   // of the estimate: what a new run may take, with its start
-constexpr std::int64_t full_percent = 100; // percent
+constexpr double overdue_multiple =
+    1.8; // of the estimate; a run on a sound worker takes up to 1.5 times the estimate
+constexpr double new_run_multiple = 1.3; // of the estimate; expected time of a new run, including its start
+constexpr std::int64_t full_percent = 100;
 
 } // namespace
 
--- a/poplarpitch/dispatch/duration_model.cpp
+++ b/poplarpitch/dispatch/duration_model.cpp
@@ -6,10 +6,10 @@
 namespace poplarpitch {
 namespace {
 
-// Weights of what is believed before anything is seen, namely that guesses are right: as much as so many
-// steps seen. With two, ten steps move the prediction five sixths of the way.
+// Weights of the prior belief that estimates are right, as a number of observed steps. With a weight of two,
+// ten steps move the prediction five sixths of the way.
 constexpr double prior_level = 2; // steps
-constexpr double prior_slope = 2; // steps whose guesses lie a factor of e from the usual one
+constexpr double prior_slope = 2; // steps whose estimates differ from the average by a factor of e
 
 } // namespace
 
--- a/poplarpitch/dispatch/duration_model.h
+++ b/poplarpitch/dispatch/duration_model.h
@@ -7,25 +7,26 @@
 
 namespace poplarpitch {
 
-/// How long steps really take, learned for each queue from those that ended.
+/// Predicts how long steps take, learned for each queue from the steps that ended.
 ///
-/// Callers' guesses are often off by a factor of two and more, either way, while the steps of one queue are
-/// much alike. A linear regression of log(actual / guess) on log(guess) finds how much a guess is worth:
-/// where it tells nothing, the prediction is the queue's usual length, where it is exact, the guess itself.
-/// Until something is seen the guess is taken as it is. Thread safety: none, as for all methods.
+/// Callers' estimates are often off by a factor of two and more in either direction, while the steps of one
+/// queue are much alike. A linear regression of log(actual / estimate) on log(estimate) finds how much an
+/// estimate is worth. Where estimates carry no information, the prediction is the queue's usual duration.
+/// Where they are exact, it is the estimate itself. Until a step has ended, the estimate is used unchanged.
+/// Thread safety: none, as for all methods.
 class duration_model {
 public:
-    /// Notes a step that took `actual_ms` and was guessed to take `estimate_ms`. Lengths under 1 ms are
+    /// Adds a step that took `actual_ms` and was estimated at `estimate_ms`. Durations under 1 ms are
     /// ignored.
     void observe(const std::string& queue, std::int64_t estimate_ms, std::int64_t actual_ms);
-    /// Returns how long a step with this guess will probably take, milliseconds; the guess itself where
-    /// nothing is known of the queue.
+    /// Returns the predicted duration of a step with this estimate, in milliseconds. Returns the estimate
+    /// itself where the queue has no observations.
     [[nodiscard]] std::int64_t predict(const std::string& queue, std::int64_t estimate_ms) const;
-    /// Forgets all.
+    /// Removes all observations.
     void clear() { m_queues.clear(); }
 
 private:
-    /// Sums over the steps seen: x is the logarithm of a guess, y that of actual / guess.
+    /// Sums over the observed steps: x is the logarithm of an estimate, y that of actual / estimate.
     struct sums {
         double count = 0;
         double x = 0;
--- a/poplarpitch/dispatch/end_evidence.h
+++ b/poplarpitch/dispatch/end_evidence.h
@@ -7,20 +7,20 @@
 
 namespace poplarpitch {
 
-/// On what ground a run is taken for ended.
+/// Why a run is considered ended.
 enum class end_reason : std::uint8_t {
-    unknown,              ///< a former leader proposed the end
-    listed_end,           ///< its worker lists how it ended
-    not_listed,           ///< it was there when its worker was asked for a list, which lacks it
-    never_came,           ///< a former leader's, or of a former life, that a list under the own fence lacks
-    stop_answered,        ///< its worker had taken the stop when it was asked for a list, which lacks it
-    given_back,           ///< its start was surely not sent or was refused
-    lease_lapsed,         ///< its worker was out of reach until the lease had surely lapsed
-    another_life_answers, ///< another life answered an order to its worker
-    started_again,        ///< a later life of its worker answered, and the run may not come there
+    unknown,       ///< a former leader proposed the end
+    listed_end,    ///< the worker lists the run as ended
+    not_listed,    ///< the run was on the worker when a list was requested, and the list lacks it
+    never_came,    ///< a list under this leader's fence lacks a run of a former leader or incarnation
+    stop_answered, ///< the worker answered the stop before a list was requested, and the list lacks the run
+    given_back,    ///< the start was certainly not sent, or the worker refused it
+    lease_lapsed,  ///< the worker was unreachable until its lease had certainly expired
+    another_life_answers, ///< another incarnation answered an order sent to the worker
+    started_again,        ///< a later incarnation of the worker answered, and the run cannot start there
 };
 
-/// Returns the ground's name for logs. Thread safety: any thread.
+/// Returns the reason's name for logs. Thread safety: any thread.
 constexpr const char* get_end_reason_name(end_reason reason) {
     switch (reason) {
     case end_reason::unknown:
@@ -45,11 +45,11 @@
     return "unknown";
 }
 
-/// The word on which a run is taken for ended.
+/// The evidence on which a run is considered ended.
 struct end_evidence {
     end_reason reason = end_reason::unknown;
-    time_point requested_at{}; ///< when the worker was asked for it; zero where it was not asked
-    std::uint64_t number = 0;  ///< of the end in its worker's list; 0 where it is not listed
+    time_point requested_at{}; ///< when the worker's list was requested; zero where no list was requested
+    std::uint64_t number = 0;  ///< sequence number of the end in the worker's list; 0 where it is not listed
 
     friend auto operator<=>(const end_evidence&, const end_evidence&) = default;
 };
--- a/poplarpitch/dispatch/erase_job.h
+++ b/poplarpitch/dispatch/erase_job.h
@@ -14,8 +14,8 @@
     return key.step.job;
 }
 
-/// Takes all that belongs to one job out of an ordered map of steps or tasks. Precondition: `first` is the
-/// least key of the job. Thread safety: none.
+/// Erases all entries of one job from an ordered map of steps or tasks. Precondition: `first` is the smallest
+/// key of the job. Thread safety: none.
 template <class Map>
 void erase_job(Map& map, const typename Map::key_type& first) {
     const auto begin = map.lower_bound(first);
--- a/poplarpitch/dispatch/lasting_quota.cpp
+++ b/poplarpitch/dispatch/lasting_quota.cpp
@@ -6,16 +6,17 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration settle_time = seconds{3};    // workers send heartbeats each 1 to 1.5 s; two of them
-constexpr duration learning_time = seconds{30}; // before what others want is believed to be all they want
-constexpr double peak_decay_s = 60; // s: others' demand varies by half within 20 s, daily peaks are longer
-constexpr double peak_margin = 1.5; // of others' peak: their demand is half again as high in a burst
-constexpr duration min_retry_after = seconds{5};       // a job that lasts a minute does not make room sooner
-constexpr duration max_retry_after = seconds{60};      // the caller may ask again then, whatever is known
-constexpr duration default_retry_after = seconds{30};  // no job has ended yet
-constexpr duration unsettled_retry_after = seconds{1}; // workers are still being heard of
-constexpr job_id spread_steps = 16;                    // of the times at which refused callers come back
-constexpr double spread_share = 0.5;                   // the last come back after half as long again
+constexpr duration settle_time = seconds{3}; // two heartbeats: workers send one each 1 to 1.5 s
+constexpr duration learning_time =
+    seconds{30};                    // observation time before the demand of other tasks is relied on
+constexpr double peak_decay_s = 60; // other demand varies by half within 20 s, and daily peaks last longer
+constexpr double peak_margin = 1.5; // of the peak of other demand, which is half again as high in a burst
+constexpr duration min_retry_after = seconds{5};       // a job that runs for a minute frees no room sooner
+constexpr duration max_retry_after = seconds{60};      // the caller may try again after this in any case
+constexpr duration default_retry_after = seconds{30};  // while no job has ended yet
+constexpr duration unsettled_retry_after = seconds{1}; // while heartbeats of workers are still missing
+constexpr job_id spread_steps = 16;  // distinct delays, so that refused callers do not all return at once
+constexpr double spread_share = 0.5; // the longest delay is half as long again
 
 } // namespace
 
@@ -81,7 +82,7 @@
 bool lasting_quota::has_room(const std::string& pool, std::int64_t millicores, time_point now) const {
     const auto found = m_pools.find(pool);
     if (found == m_pools.end() || found->second.use.capacity == 0) {
-        return true; // nothing is known of its workers, so nothing speaks against it
+        return true; // no worker is known yet, so there is no reason to refuse the job
     }
     return found->second.reserved + millicores <= get_allowed(pool, now);
 }
--- a/poplarpitch/dispatch/lasting_quota.h
+++ b/poplarpitch/dispatch/lasting_quota.h
@@ -9,20 +9,21 @@
 
 namespace poplarpitch {
 
-/// How much of a pool jobs that last may reserve, so that those that end keep room.
+/// Limits how much of a pool long-running jobs may reserve, so that room remains for jobs that end.
 ///
-/// A task that lasts reserves its cores until its job is cancelled, whatever it uses of them. Load pattern:
-/// jobs that last ask for 87 to 109% of a pool within a second, before anything else comes. Taken as they
-/// came, they were squeezed into every gap: short tasks, which need whole cores, waited 20 to 30 s, serving
-/// tasks of four jobs and three images shared a worker, whose filling tasks then had to suit all of them, and
-/// the last ones waited in vain. Refusing what passes four fifths brings 4% more short and 10% more filling
-/// jobs in time for 6% less time of serving jobs, and tells those refused at once. Where other jobs
-/// want less than is kept, more is let in. Thread safety: none, as for all methods.
+/// A long-running task reserves its cores until its job is cancelled, however little it uses them. Load
+/// pattern: long-running jobs request 87 to 109% of a pool within a second, before any other job arrives.
+/// When all of them were accepted, they filled every gap. Short tasks, which need whole cores, waited 20 to
+/// 30 s. Serving tasks of four jobs and three images shared a worker, so its filling tasks had to suit all of
+/// them. The last long-running tasks never found room. Refusing what exceeds four fifths completes 4% more
+/// short and 10% more filling jobs in time, for 6% less time of serving jobs, and callers learn of the
+/// refusal at once. Where other jobs demand less than the remainder, more is accepted. Thread safety: none,
+/// as for all methods.
 class lasting_quota {
 public:
-    /// What is known of one pool.
+    /// The observed use of one pool.
     struct pool_use {
-        std::int64_t capacity = 0;     ///< millicores of the workers that may be used
+        std::int64_t capacity = 0;     ///< millicores of the usable workers
         std::int64_t other_demand = 0; ///< millicores that tasks which end hold or wait for
 
         friend auto operator<=>(const pool_use&, const pool_use&) = default;
@@ -31,24 +32,24 @@
     /// Precondition: `share` lies in (0, 1].
     explicit lasting_quota(double share) : m_share(share) {}
 
-    /// Begins anew, without jobs; all workers are heard of within `settle` from now on.
+    /// Resets the quota to no jobs. All workers are expected to report within `settle_time` from `now`.
     void clear(time_point now);
     /// Adds an accepted job that reserves `millicores` for as long as it lasts.
     void add(job_id job, const std::string& pool, std::int64_t millicores);
-    /// Takes a job out that ended or was not accepted after all; unknown ones are ignored.
+    /// Removes a job that ended or was not accepted in the end. Unknown jobs are ignored.
     void remove(job_id job);
-    /// Takes what is known of a pool at present.
+    /// Updates the observed use of a pool.
     void observe(const std::string& pool, const pool_use& use, time_point now);
 
-    /// Returns true when the job is counted already.
+    /// Returns true when the job is already counted.
     [[nodiscard]] bool contains(job_id job) const { return m_jobs.contains(job); }
-    /// Returns true when a job that reserves `millicores` may be taken.
+    /// Returns true when a job that reserves `millicores` may be accepted.
     [[nodiscard]] bool has_room(const std::string& pool, std::int64_t millicores, time_point now) const;
-    /// Returns how many millicores may be reserved in all.
+    /// Returns the limit on reserved millicores.
     [[nodiscard]] std::int64_t get_allowed(const std::string& pool, time_point now) const;
     [[nodiscard]] std::int64_t get_reserved(const std::string& pool) const;
-    /// Returns when a refused job should be sent again: when by the rate at which jobs ended so far there
-    /// will be room for it, later for some jobs than for others, so that they do not come back all at once.
+    /// Returns the time after which a refused job should be submitted again. It is estimated from the rate at
+    /// which jobs have ended so far, and varies by job so that callers do not all return at once.
     [[nodiscard]] duration get_retry_after(job_id job, const std::string& pool, std::int64_t millicores,
                                            time_point now) const;
 
@@ -61,8 +62,8 @@
         pool_use use;
         std::int64_t reserved = 0;
         std::int64_t released = 0;   ///< since `clear`
-        double peak_demand = 0;      ///< of others, millicores: falls slowly
-        time_point first_observed{}; ///< zero before
+        double peak_demand = 0;      ///< of other tasks, millicores; decays slowly
+        time_point first_observed{}; ///< zero before the first observation
         time_point observed_at{};
     };
 
--- a/poplarpitch/dispatch/leader_load.h
+++ b/poplarpitch/dispatch/leader_load.h
@@ -7,18 +7,18 @@
 
 namespace poplarpitch {
 
-/// How much the leader's thread has to do, as measured.
+/// Measured load of the leader's thread.
 struct leader_load {
-    double busy_share = 0; ///< of its time, 0 to 1
-    duration lag{};        ///< by which its timers are late
+    double busy_share = 0; ///< busy share of the thread's time, 0 to 1
+    duration lag{};        ///< by which the thread's timers are late
 
     friend auto operator<=>(const leader_load&, const leader_load&) = default;
 
-    /// Returns how far the load is on the way from what leaves room for a burst to what is more than the
-    /// thread can do, 0 to 1. Thread safety: any thread.
+    /// Returns the strain of the thread, 0 to 1: 0 while there is room for a burst, 1 when the load exceeds
+    /// what the thread can do. Thread safety: any thread.
     [[nodiscard]] double get_strain() const {
-        constexpr double easy_share = 0.7;   // below it queues stay short
-        constexpr double heavy_share = 0.95; // from here on they grow without end
+        constexpr double easy_share = 0.7;   // below this, queues stay short
+        constexpr double heavy_share = 0.95; // from here on, queues grow without bound
         return std::clamp((busy_share - easy_share) / (heavy_share - easy_share), 0.0, 1.0);
     }
 };
--- a/poplarpitch/dispatch/long_wait.h
+++ b/poplarpitch/dispatch/long_wait.h
@@ -10,19 +10,21 @@
 
 namespace poplarpitch {
 
-/// A task that waits for long though workers have room for it.
+/// A task that has waited for long although workers have room for it.
 struct long_wait {
-    task_key task; ///< the first of its step that waits
+    task_key task; ///< the first waiting task of its step
     duration waited{};
-    std::uint64_t waiting = 0;   ///< tasks of its step that wait
-    std::uint64_t workers = 0;   ///< of its pool
-    std::uint64_t with_room = 0; ///< of them, those that stay and whose free room holds the task
+    std::uint64_t waiting = 0; ///< waiting tasks of its step
+    std::uint64_t workers = 0; ///< workers of its pool
+    std::uint64_t with_room =
+        0; ///< of `workers`, those that are not leaving and have enough free room for the task
     std::array<std::uint64_t, placement_obstacles>
-        passed_over{}; ///< workers by what keeps the task from them
+        passed_over{}; ///< number of workers by the obstacle that rules them out
 
     friend auto operator<=>(const long_wait&, const long_wait&) = default;
 
-    /// Returns how many workers an obstacle stands for. Thread safety: any thread while nobody changes it.
+    /// Returns how many workers are ruled out by an obstacle. Thread safety: any thread while nobody changes
+    /// it.
     [[nodiscard]] std::uint64_t count(placement_obstacle obstacle) const {
         return passed_over[static_cast<std::size_t>(obstacle)];
     }
--- a/poplarpitch/dispatch/order_backoff.cpp
+++ b/poplarpitch/dispatch/order_backoff.cpp
@@ -7,8 +7,8 @@
 namespace poplarpitch {
 namespace {
 
-// Doublings of the pause: at 120 ms it grows to a second, a seventh of a lease, so that a worker that can be
-// reached again is found while what runs there still holds it.
+// Doublings of the pause. From 120 ms it grows to a second, a seventh of a lease, so a worker that becomes
+// reachable again is found while its runs still hold the lease.
 constexpr std::uint32_t max_doublings = 3;
 constexpr double jitter_width = 0.5; // of the pause, half of it on either side
 
@@ -17,7 +17,7 @@
 duration get_backoff(std::uint32_t failures, duration shortest, std::uint64_t spread) {
     const auto doublings = std::min(failures - 1, max_doublings);
     std::minstd_rand random(static_cast<std::uint32_t>(spread + failures));
-    random.discard(1); // the first number follows the seed too closely
+    random.discard(1); // the first number is too closely correlated with the seed
     const auto fraction = static_cast<double>(random()) / static_cast<double>(std::minstd_rand::max());
     const auto pause = shortest * (1U << doublings);
     return std::chrono::duration_cast<duration>(pause * (1 + jitter_width * (fraction - 0.5)));
@@ -25,7 +25,7 @@
 
 void order_backoff::on_sent(time_point now, duration timeout) {
     if (m_failures > 0) {
-        m_next = now + timeout; // the others wait for its answer
+        m_next = now + timeout; // other orders wait for the answer to this one
     }
 }
 
@@ -36,7 +36,7 @@
 void order_backoff::on_failure(time_point now, duration shortest, std::uint64_t spread) {
     const bool is_same_loss = m_failures > 0 && now - m_failed_at < shortest;
     if (is_same_loss) {
-        return; // orders that were under way together
+        return; // orders that were in flight together
     }
     ++m_failures;
     m_failed_at = now;
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -8,30 +8,35 @@
 namespace poplarpitch {
 namespace {
 
-// Costs are compared only with each other. One unit is the difference between an empty and a full worker.
-constexpr double remote_data_cost = 4;      // remote work takes a multiple of the time
-constexpr double failed_there_cost = 3;     // another worker may do better, this one may do too
-constexpr double doubtful_cost = 1.5;       // its last run failed
-constexpr double beside_filling_cost = 0.3; // a serving task on a worker that holds filling ones
-constexpr double no_serving_cost = 0.8; // a filling task where nothing serves: kept for those that press hard
-constexpr double fullness_weight = 0.3; // of how much of the unused processor time is taken
-constexpr double first_serving_cost = 1.0;        // the first serving task of a worker
-constexpr double other_image_cost = 1.5;          // each other job of another image that serves on the worker
-constexpr double other_job_cost = 0.3;            // each other job that serves on the worker
-constexpr std::int64_t no_room = -1;              // millicores: not even for a task that asks for none
-constexpr std::int64_t starving_divisor = 2;      // of what it asks for: at half its speed it still gets on
-constexpr double neighbour_cost = 1.0;            // each run that a suspect may take along
-constexpr double serving_neighbour_cost = 2.0;    // the same of one whose callers wait for its answers
-constexpr double other_suspect_cost = 20.0;       // two suspects of one crash would never be told apart
-constexpr double beside_suspect_cost = 2.0;       // a task that is none itself
-constexpr double beside_kept_cost = 10.0;         // a worker that is kept for a suspect is taken last
-constexpr double short_beside_filling_cost = 0.5; // a task of neither kind on a worker that fills
+// Costs are only compared with each other. One unit is the difference between an empty and a full worker.
+constexpr double remote_data_cost = 4;  // tasks that are remote from their data take a multiple of the time
+constexpr double failed_there_cost = 3; // the task failed on this worker; another one may do better
+constexpr double doubtful_cost = 1.5;   // the worker's last run failed
+constexpr double beside_filling_cost = 0.3; // a serving task on a worker with filling tasks
+constexpr double no_serving_cost = 0.8;     // a filling task where nothing serves; such workers are kept for
+                                            // filling tasks with high interference
+constexpr double fullness_weight = 0.3;     // of the used share of the spare processor time
+constexpr double first_serving_cost = 1.0;  // the first serving task of a worker
+constexpr double other_image_cost = 1.5;    // for each other job of another image that serves on the worker
+constexpr double other_job_cost = 0.3;      // for each other job that serves on the worker
+constexpr std::int64_t no_room = -1; // millicores; less than any task requests, also one that requests none
+constexpr std::int64_t starving_divisor =
+    2;                                 // of the request; a filling task at half speed still makes progress
+constexpr double neighbour_cost = 1.0; // for each run that a crash caused by a suspect would end
+constexpr double serving_neighbour_cost =
+    2.0; // the same for a serving run, whose callers wait for its answers
+constexpr double other_suspect_cost =
+    20.0; // after a crash of two suspects together, neither could be identified as the cause
+constexpr double beside_suspect_cost = 2.0; // a task that is no suspect beside a suspect
+constexpr double beside_kept_cost = 10.0;   // a worker kept for a suspect is the last choice
+constexpr double short_beside_filling_cost =
+    0.5; // a task that neither fills nor serves on a worker with filling tasks
 
 double get_fill_cost(const worker_state& worker) {
     return 1.0 - worker.get_share(worker.get_spare_millicores());
 }
 
-/// Returns how near a filling task would bring the worker's serving tasks to their limit: 1 is there.
+/// Returns how close a filling task would bring the worker's serving tasks to their limit, which is 1.
 double get_slowdown_cost(const worker_state& worker, const placement_request& request) {
     if (worker.pressure.groups.empty()) {
         return no_serving_cost;
@@ -45,9 +50,9 @@
     return highest;
 }
 
-/// Returns a cost for what else serves on the worker. The fewer images, the more kinds of filling tasks fit;
-/// and the tasks of one job rise and fall together, so that a worker of one job has time for those that press
-/// hard.
+/// Returns a cost for the mix of jobs and images that serve on the worker. With fewer images, more kinds of
+/// filling tasks fit. The load of the tasks of one job varies together, so a worker with a single job has
+/// quiet periods in which it bears filling tasks with high interference.
 double get_mixing_cost(const worker_state& worker, const placement_request& request) {
     double cost = 0;
     for (const auto& group : worker.pressure.groups) {
@@ -57,8 +62,8 @@
     return cost;
 }
 
-/// Returns how much room a filling task must find, millicores. One of a job that starves shares what there is
-/// with others: where nothing serves that only slows them all, elsewhere it is paced.
+/// Returns the room that a filling task requires, in millicores. A task of a starving job accepts less. Where
+/// nothing serves, this only slows the filling tasks, and elsewhere the task is paced.
 std::int64_t get_least_room(const worker_state& worker, const placement_request& request) {
     const auto wanted = request.spec->millicores;
     if (!request.is_starving) {
@@ -67,7 +72,7 @@
     return worker.servings == 0 ? std::numeric_limits<std::int64_t>::min() : wanted / starving_divisor;
 }
 
-/// Returns a cost for what the next crash would take along, and for what would then be known less surely.
+/// Returns a cost for what another crash would end, and for how much harder its cause would be to identify.
 double get_risk_cost(const worker_state& worker, isolation_level isolation) {
     if (isolation == isolation_level::none) {
         return worker.probations > 0 ? beside_kept_cost : worker.suspects > 0 ? beside_suspect_cost : 0;
@@ -77,7 +82,7 @@
            other_suspect_cost * static_cast<double>(worker.suspects);
 }
 
-/// Best fit: the fuller a worker that still holds the task, the better.
+/// Returns a cost for best fit: the fuller worker that still holds the task costs less.
 double get_pack_cost(const worker_state& worker) {
     return worker.get_share(worker.get_free().millicores);
 }
--- a/poplarpitch/dispatch/placement_obstacle.h
+++ b/poplarpitch/dispatch/placement_obstacle.h
@@ -5,22 +5,23 @@
 
 namespace poplarpitch {
 
-/// Why a worker is passed over for a waiting task.
+/// Why a worker is ruled out for a waiting task.
 enum class placement_obstacle : std::uint8_t {
-    none,             ///< it could take the task
-    unknown,          ///< it has not sent its heartbeat, list and clock yet, or another life answered for it
-    leaving,          ///< it leaves
-    silent,           ///< it does not answer
-    room_unknown,     ///< what it told of its room is too old
-    set_aside,        ///< its last runs failed, it refused a start, or its tails are beyond all bounds
+    none,             ///< the worker could take the task
+    unknown,          ///< no heartbeat, run list or clock yet, or another incarnation answered for it
+    leaving,          ///< the worker is shutting down
+    silent,           ///< the worker does not answer
+    room_unknown,     ///< the worker's report of its free room is too old
+    set_aside,        ///< its last runs failed, it refused a start, or its tail latencies are far above their
+                      ///< targets
     label,            ///< it lacks the label that the task requires
-    rack,             ///< the gang goes to another rack
-    room,             ///< what is reserved there leaves too little
-    spread,           ///< it runs as many tasks of the step as it may
+    rack,             ///< the gang is placed in another rack
+    room,             ///< its free room is too small
+    spread,           ///< it runs the maximum number of tasks of the step
     doubtful,         ///< its last run failed, and the task has one attempt left
-    kept_for_suspect, ///< it runs a task that may crash it, and nothing else is to be there
-    not_empty,        ///< the task may crash it and waits for a worker that runs nothing
-    pressure,         ///< its serving tasks bear no such task beside them
+    kept_for_suspect, ///< it runs a task that may crash it and is kept free of others
+    not_empty,        ///< the task may crash it and waits for a worker without runs
+    pressure,         ///< its serving tasks do not tolerate the task's interference
     kept_open,        ///< it serves nothing yet and is kept for short tasks
     ticket,           ///< the advice service has not allowed it
 };
--- a/poplarpitch/dispatch/pressure_model.cpp
+++ b/poplarpitch/dispatch/pressure_model.cpp
@@ -6,19 +6,19 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double target_multiple = 5;      // a target lies at about five times the tail without load
-constexpr double min_base_share = 0.8;     // even the lowest tail seen has some load in it
-constexpr double model_variance = 0.002;   // of base / tail: what the model leaves out
-constexpr double tail_noise = 0.08;        // of a tail, relative: it is a rough figure
+constexpr double target_multiple = 5;      // a target is about five times the tail without load
+constexpr double min_base_share = 0.8;     // even the lowest observed tail contains some load
+constexpr double model_variance = 0.002;   // of base / tail: model error
+constexpr double tail_noise = 0.08;        // of a tail, relative measurement noise
 constexpr double drift_variance = 0.01;    // of the own load, each second: 0.1
-constexpr double max_load_variance = 0.06; // of the own load: it swings by half around its mean
-constexpr double saturated_ratio = 0.045;  // base / tail below this only tells that it is too much
+constexpr double max_load_variance = 0.06; // of the own load, which varies by half around its mean
+constexpr double saturated_ratio = 0.045;  // a lower base / tail only shows that the load is too high
 constexpr double max_factor = 8;
 constexpr double max_load = 0.9;
-constexpr double min_factor_variance = 0.003; // of a factor: it is never taken for certain
-constexpr double uncertainty_weight = 0.2;    // deviations added to a factor that decides
-constexpr double light_use = 0.55;            // share of the asked processor time where the pressure is least
-constexpr double light_phase = 0.15;          // that least pressure
+constexpr double min_factor_variance = 0.003; // of a factor, which is never considered certain
+constexpr double uncertainty_weight = 0.2;    // standard deviations added to a factor for placement
+constexpr double light_use = 0.55;   // share of the requested processor time at the least interference
+constexpr double light_phase = 0.15; // interference factor of the lightest phase
 
 } // namespace
 
@@ -110,7 +110,7 @@
     }
     const double error = seen - (1 / slow - own_load.load);
     if (seen < saturated_ratio && error > 0) {
-        return; // it tells no more than what is known
+        return; // the sample is saturated and adds no information
     }
     const double gain = own_load.variance / variance;
     own_load.load = std::clamp(own_load.load - gain * error, 0.0, max_load);
--- a/poplarpitch/dispatch/refused_shapes.h
+++ b/poplarpitch/dispatch/refused_shapes.h
@@ -8,15 +8,16 @@
 
 namespace poplarpitch {
 
-/// What found no room in the present pass: a task at least as large of the same kind finds none either.
+/// Requests that found no room in the current pass. A task of the same kind that is at least as large finds
+/// no room either.
 ///
-/// Load pattern: in a burst hundreds of steps wait, of a few images, and each look at all workers finds
-/// nothing. With this a pass over 500 waiting steps looks at all workers about once for each image, since a
-/// look also tells how large a task of the image may be at most. Thread safety: none, as for all methods.
+/// Load pattern: in a burst, hundreds of steps of a few images wait, and no worker has room for any of them.
+/// With this a pass over 500 waiting steps examines all workers about once per image, since each examination
+/// also yields the largest size that a task of the image may have. Thread safety: none, as for all methods.
 class refused_shapes {
 public:
-    /// Notes that a task of `spec` in `pool` found no room, and that one of its kind may ask for `most_room`
-    /// millicores at most. Precondition: nothing but its size and image kept it out.
+    /// Records that a task of `spec` in `pool` found no room, and that a task of its kind may request
+    /// `most_room` millicores at most. Precondition: only its size and image ruled it out.
     void add(const std::string& pool, const step_spec& spec, std::int64_t most_room) {
         m_shapes.push_back(
             {pool, spec.image, spec.fills, spec.millicores, spec.memory_mb, spec.accelerators});
@@ -39,7 +40,7 @@
         return false;
     }
 
-    /// Returns true when nothing but size and image may keep a task of `spec` out.
+    /// Returns true when only size and image may rule out a task of `spec`.
     [[nodiscard]] static bool is_plain(const step_spec& spec) {
         return spec.required_label.empty() && spec.affinity_rack.empty() && spec.max_per_worker == 0 &&
                !spec.gang && !spec.long_running;
--- a/poplarpitch/dispatch/run_track.h
+++ b/poplarpitch/dispatch/run_track.h
@@ -18,56 +18,59 @@
 
 struct worker_state;
 
-/// How far the leader has brought a run.
+/// Stage of a run as seen by the leader.
 enum class run_stage : std::uint8_t {
-    committing, ///< the assignment is on its way into the log; nothing was sent
-    adopting,   ///< a former leader assigned it; the worker has not sent its list yet
-    starting,   ///< the start was sent; no answer yet
-    running,    ///< the worker confirmed the start, or lists it
+    committing, ///< the assignment is being committed; nothing was sent
+    adopting,   ///< a former leader or incarnation was assigned the run; the worker's list is awaited
+    starting,   ///< the start was sent and is unanswered
+    running,    ///< the worker confirmed the start or lists the run
 };
 
-/// What the leader knows of one assigned run. Soft: a new leader makes it anew from the log and the lists.
+/// What the leader knows of one assigned run. It is not replicated: a new leader rebuilds it from the log and
+/// the workers' lists.
 struct run_track {
     run_key key;
     std::shared_ptr<const step_job> job;
-    worker_life assigned_to; ///< by the book: a former life of its host, where its start came to that late
-    worker_state* host = nullptr; ///< its worker, which is known for as long as it has runs
-    image_number image = 0;       ///< of what it runs; only of runs that fill or serve
+    worker_life
+        assigned_to; ///< by the job book; a former incarnation of `host` where a later one took the start
+    worker_state* host = nullptr; ///< the worker of the run; valid for as long as it has runs
+    image_number image = 0;       ///< image of the run; only of runs that fill or serve
     run_stage stage = run_stage::committing;
-    isolation_level isolation = isolation_level::none; ///< with which its task was placed
-    bool is_ending = false;                            ///< its end is on its way into the log
+    isolation_level isolation = isolation_level::none; ///< isolation with which the task was placed
+    bool is_ending = false;                            ///< the end is being committed
     time_point ending_since{};
-    end_evidence evidence; ///< on which it is ending
+    end_evidence evidence; ///< for the end that is being committed
     bool is_stop_wanted = false;
-    bool is_stop_answered = false; ///< the worker has taken the stop; `stop_answered_at` says when
-    bool is_order_pending = false; ///< a start or stop is under way
-    time_point start_sent{};       ///< when its start was sent last; zero before
-    std::uint64_t start_fence = 0; ///< of that order
-    std::uint32_t starts = 0;      ///< how often its start was sent
+    bool is_stop_answered = false; ///< the worker answered the stop at `stop_answered_at`
+    bool is_order_pending = false; ///< a start or stop is in flight
+    time_point start_sent{};       ///< when the start was last sent; zero before
+    std::uint64_t start_fence = 0; ///< fence of that start
+    std::uint32_t starts = 0;      ///< number of times that the start was sent
     time_point claimed_at{};
     time_point confirmed_at{};    ///< when the start was answered or first listed; zero before
-    bool has_known_start = false; ///< its start was answered: `confirmed_at` is when it began
+    bool has_known_start = false; ///< the start was answered, so the run began at `confirmed_at`
     time_point stop_answered_at{};
-    time_point listed_at{};  ///< when its worker listed it last, or its start was answered
-    time_point next_order{}; ///< earliest time of the next start or stop order
-    std::optional<run_loss>
-        former_loss;             ///< its start was sent to a former life of its worker, whose loss says this
-    bool may_start_late = false; ///< a start had no answer: it may be carried out seconds later
+    time_point listed_at{};              ///< when the worker last listed the run or answered its start
+    time_point next_order{};             ///< earliest time of the next start or stop
+    std::optional<run_loss> former_loss; ///< set while the run may belong to a former incarnation of the
+                                         ///< worker: what that one's loss says
+    bool may_start_late = false;         ///< a start got no answer and may be executed seconds later
     std::int64_t percent = 0;
-    std::int64_t level = 0;          ///< as in `run_row`
-    int pace = 100;                  ///< share of its speed that was ordered and answered, percent
-    int planned_pace = 100;          ///< share that is wanted now
-    bool is_pace_pending = false;    ///< a pace order is under way
-    time_point slow_since{};         ///< since when it is wanted too slow to be of use; zero while it is not
-    serving_load own_load;           ///< of a serving task
-    tail_watch watch;                ///< of a serving task
-    std::int64_t observed_level = 0; ///< tail that was last taken up
-    time_point observed_at{};        ///< when its tail was last taken up
+    std::int64_t level = 0;       ///< as in `run_row`
+    int pace = 100;               ///< share of its speed that was ordered and confirmed, percent
+    int planned_pace = 100;       ///< share of its speed that is wanted now, percent
+    bool is_pace_pending = false; ///< a pace order is in flight
+    time_point slow_since{}; ///< since when the planned pace is too low to be useful; zero while it is not
+    serving_load own_load;   ///< of a serving task
+    tail_watch watch;        ///< of a serving task
+    std::int64_t observed_level = 0; ///< the last tail latency that was processed
+    time_point observed_at{};        ///< when a tail latency was last processed
 
-    /// Returns what the run takes of its worker. Thread safety: any thread while nobody changes it.
+    /// Returns the resources and properties of the run's step. Thread safety: any thread while nobody changes
+    /// it.
     [[nodiscard]] const step_spec& get_spec() const { return job->steps[key.task.step.step]; }
-    /// Returns true when a start of the run is under way or may yet be carried out: also one that was
-    /// repeated, and the repeated one answered. Thread safety: as the track.
+    /// Returns true when a start of the run is in flight or may still be executed. This includes a start that
+    /// was retried while only the retry was answered. Thread safety: as the track.
     [[nodiscard]] bool may_yet_start() const {
         return may_start_late || (stage == run_stage::starting && is_order_pending);
     }
--- a/poplarpitch/dispatch/stuck_task.h
+++ b/poplarpitch/dispatch/stuck_task.h
@@ -7,12 +7,12 @@
 
 namespace poplarpitch {
 
-/// Why nothing will bring a task of an open job to its end.
+/// Why nothing will complete a task of an open job.
 enum class stuck_reason : std::uint8_t {
-    not_queued,        ///< it could run, has no run, and waits for no worker
-    not_tracked,       ///< the book assigned a run of it that the leader does not follow
-    not_listed,        ///< it counts as running at a worker whose lists lack it
-    end_not_committed, ///< its run has ended and the book does not learn of it
+    not_queued,        ///< it could run, has no run, and is not queued for a worker
+    not_tracked,       ///< the job book assigned a run of it that the leader does not track
+    not_listed,        ///< the leader has it as running on a worker whose lists lack it
+    end_not_committed, ///< its run has ended and the end is not committed
 };
 
 /// Returns the reason's name for logs. Thread safety: any thread.
@@ -30,9 +30,9 @@
     return "unknown";
 }
 
-/// A task that stands still through a fault of the leader's own.
+/// A task that makes no progress because of a fault of the leader.
 struct stuck_task {
-    run_key run; ///< number 0 where no run of it is concerned
+    run_key run; ///< number 0 where no run of it is affected
     stuck_reason reason = stuck_reason::not_queued;
 
     friend auto operator<=>(const stuck_task&, const stuck_task&) = default;
--- a/poplarpitch/dispatch/suspect_watch.cpp
+++ b/poplarpitch/dispatch/suspect_watch.cpp
@@ -7,12 +7,14 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::uint32_t alone_after = 2;            // crashes: one more and the task is given up
-constexpr duration retry_pause = milliseconds{500}; // before a task that is to be alone is tried again
-// With the pause it stays below the 3 s for which a job may have nothing running beside free room.
+constexpr std::uint32_t alone_after = 2;            // crashes; after one more the task is given up
+constexpr duration retry_pause = milliseconds{500}; // before a task that is to be alone is started again
+// Together with the pause it stays below the 3 s for which a job may have nothing running while there is free
+// room.
 constexpr duration max_alone_wait = milliseconds{2000};
 
-constexpr std::size_t probation_part = 20; // of the workers, one may be a suspect's own, and one at least
+constexpr std::size_t probation_part =
+    20; // one in this many workers may be reserved for a suspect, and always at least one
 
 } // namespace
 
--- a/poplarpitch/dispatch/suspect_watch.h
+++ b/poplarpitch/dispatch/suspect_watch.h
@@ -9,14 +9,14 @@
 
 namespace poplarpitch {
 
-/// How carefully a task is placed that was there when workers crashed.
+/// How strictly a task is isolated that ran on workers when they crashed.
 enum class isolation_level : std::uint8_t {
     none,
-    apart, ///< away from other suspects, where its worker has least to lose
-    alone, ///< on a worker of its own, which takes nothing else meanwhile
+    apart, ///< away from other suspects, on the worker that has the least to lose
+    alone, ///< on a worker of its own, which takes no other tasks meanwhile
 };
 
-/// Returns the caution's name for logs. Thread safety: any thread.
+/// Returns the level's name for logs. Thread safety: any thread.
 constexpr const char* get_isolation_name(isolation_level isolation) {
     switch (isolation) {
     case isolation_level::none:
@@ -29,32 +29,33 @@
     return "unknown";
 }
 
-/// Returns how many of so many workers may be kept for one suspect each at a time. Thread safety: any thread.
+/// Returns how many of `workers` may be reserved for one suspect each at a time. Thread safety: any thread.
 [[nodiscard]] std::size_t get_max_probations(std::size_t workers);
 
-/// Which tasks may be at fault for the crash of a worker, and when each may be tried again.
+/// Tracks which tasks may have caused the crash of a worker, and when each may be started again.
 ///
-/// Load pattern: a task that ends its worker within 10 ms of each start, beside eight neighbours on average.
-/// After its first crash all nine are suspects; kept apart, only the one at fault is there at the second. Few
-/// tasks come to a second crash: each is tried after a pause, alone. Soft: the counts stand in the book, a
-/// new leader begins with them. Thread safety: none, as for all methods.
+/// Load pattern: a task that crashes its worker within 10 ms of each start, beside eight neighbours on
+/// average. After its first crash all nine are suspects. They are then placed apart, so only the task at
+/// fault is present at the second crash. Few tasks reach a second crash, and each of these is started again
+/// after a pause, alone. The counts are part of the job book, and a new leader starts from them. Thread
+/// safety: none, as for all methods.
 class suspect_watch {
 public:
-    /// Takes that `crashes` workers in all crashed under the task, 0 for none.
+    /// Records that `crashes` workers in total crashed under the task, 0 for none.
     void record_crashes(const task_key& task, std::uint32_t crashes, time_point now);
-    /// Takes that the task is at fault for nothing, or has ended.
+    /// Removes a task that is cleared of suspicion or has ended.
     void forget(const task_key& task) { m_suspects.erase(task); }
-    /// Forgets all tasks of a job.
+    /// Removes all tasks of a job.
     void forget_job(job_id job);
     void clear() { m_suspects.clear(); }
 
     [[nodiscard]] isolation_level get_isolation(const task_key& task) const;
     /// Returns true when a task of the step is a suspect.
     [[nodiscard]] bool has_any(const step_key& step) const;
-    /// Returns true when the pause after its last crash is over, also of a task that is no suspect.
+    /// Returns true when the pause after the task's last crash is over, and for a task that is no suspect.
     [[nodiscard]] bool may_start(const task_key& task, time_point now) const;
-    /// Returns true while a task that is to be alone waits for a worker of its own; later it takes what there
-    /// is.
+    /// Returns true while a task that is to be alone waits for a worker of its own. Later it accepts any
+    /// worker.
     [[nodiscard]] bool may_wait(const task_key& task, time_point now) const;
     [[nodiscard]] std::size_t get_size() const { return m_suspects.size(); }
 
--- a/poplarpitch/dispatch/tail_watch.cpp
+++ b/poplarpitch/dispatch/tail_watch.cpp
@@ -5,13 +5,14 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double near_share = 0.95;     // of a target: figures are off by about 8%, either way
-constexpr double first_reduction = 0.7; // of all pressure: enough where what is known of the pairs is right
-// After this nothing presses on the tail any more: a third of the time that a tail may stay over its target,
-// so that the stop, the next figure and one more attempt fit in.
+constexpr double near_share = 0.95; // of a target; measured tails are off by about 8% in either direction
+constexpr double first_reduction =
+    0.7; // of all pressure; enough where the learned factors of the pairs are right
+// From here on all pressure on the tail is removed. This is a third of the time that a tail may stay over its
+// target, so that the stop, the next measurement and one more attempt fit in.
 constexpr duration full_stop_after = milliseconds{1400};
-constexpr duration max_counted =
-    milliseconds{2000}; // counted: the tasks beside it get another chance after that
+constexpr duration max_counted = milliseconds{
+    2000}; // upper bound of the counted time, so that the filling tasks get another chance afterwards
 
 } // namespace
 
--- a/poplarpitch/dispatch/worker_pressure.h
+++ b/poplarpitch/dispatch/worker_pressure.h
@@ -8,18 +8,18 @@
 
 namespace poplarpitch {
 
-/// Serving tasks of one image on a worker, as far as filling tasks beside them matter.
+/// Serving tasks of one job on a worker, as they matter to the filling tasks beside them.
 struct serving_group {
     image_number image = 0;
-    job_id job = 0;  ///< tasks of one job rise and fall together
-    double room = 0; ///< by how much filling tasks may slow them before a tail comes near its target
-    double slowdown =
-        0; ///< by how much the filling tasks assigned to the worker slow them, as far as is known
+    job_id job = 0;      ///< the load of the tasks of one job varies together
+    double room = 0;     ///< slowdown that filling tasks may cause before a tail comes close to its target
+    double slowdown = 0; ///< estimated slowdown by the filling tasks assigned to the worker
 
     friend bool operator==(const serving_group&, const serving_group&) = default;
 };
 
-/// What the serving tasks of a worker bear. Made anew from time to time, and added to at each placement.
+/// The interference that the serving tasks of a worker tolerate. It is recomputed from time to time and
+/// updated at each placement.
 struct worker_pressure {
     std::vector<serving_group> groups;
 
--- a/poplarpitch/dispatch/worker_state.h
+++ b/poplarpitch/dispatch/worker_state.h
@@ -22,79 +22,78 @@
 
 struct run_track;
 
-/// A run that was given up when its worker's lease had lapsed: whether the worker crashed is not known yet.
+/// A run that was given up when its worker's lease had expired. It is not known yet whether the worker
+/// crashed.
 struct lapsed_run {
     run_key run;
-    run_loss loss; ///< what a crash would say of it
+    run_loss loss; ///< applies if the worker has crashed
 
     friend auto operator<=>(const lapsed_run&, const lapsed_run&) = default;
 };
 
-/// Holds in a row without an answer after which a worker is taken for silent: one may be lost by chance.
+/// Consecutive unanswered holds after which a worker counts as silent. A single one may be lost by chance.
 inline constexpr int silent_after_failures = 2;
 
-/// What the leader knows of one life of a worker. Soft: a new leader learns it anew.
+/// What the leader knows of one incarnation of a worker. It is not replicated: a new leader learns it again.
 struct worker_state {
     worker_report report;
-    bool has_report = false; ///< false while only the log names it
-    std::uint64_t report_sequence =
-        0; ///< of the heartbeat that told all of it; later ones may have repeated it
+    bool has_report = false;           ///< false while only the log mentions the worker
+    std::uint64_t report_sequence = 0; ///< of the last full heartbeat, which later ones may refer to
     time_point known_since{};
-    std::uint64_t fence = 0;  ///< of orders to this life
-    bool needs_fence = false; ///< orders to a former life may yet come: only a higher fence keeps them off
-    bool awaits_fence =
-        false; ///< this life has answered, and the raise of the fence is on its way into the log
+    std::uint64_t fence = 0;   ///< of orders to this incarnation
+    bool needs_fence = false;  ///< orders to a former incarnation may still arrive, and only a higher fence
+                               ///< makes the worker refuse them
+    bool awaits_fence = false; ///< this incarnation has answered, and the higher fence is being committed
     bool is_confirmed = false; ///< it has sent its list under its fence
     bool is_leaving = false;
-    bool is_lost = false;   ///< another life answered, or another worker at its address
-    time_point leaves_at{}; ///< while leaving: it stays until then at least
+    bool is_lost = false;   ///< another incarnation answered, or another worker at its address
+    time_point leaves_at{}; ///< while leaving: the earliest time at which it ends
     time_point last_heartbeat{};
-    time_point room_known_until{}; ///< later nothing is started on it: its room may have shrunk
+    time_point
+        room_known_until{}; ///< nothing is started after this time, since its free room may have shrunk
 
-    bool is_hold_pending = false; ///< a hold is under way
+    bool is_hold_pending = false; ///< a hold is in flight
     time_point hold_sent{};
-    std::uint64_t hold_fence = 0; ///< of the hold that was sent last
-    time_point listed_at{};       ///< when its last list came
-    bool has_stray_runs = false;  ///< that list had runs which are not to be there
-    time_point hold_expires_at{}; ///< by then the hold under way has an answer or has none
+    std::uint64_t hold_fence = 0; ///< of the last hold
+    time_point listed_at{};       ///< when the last list was received
+    bool has_stray_runs = false;  ///< the last list had runs that should not be on the worker
+    time_point hold_expires_at{}; ///< when the hold in flight times out
     time_point next_hold{};
-    int hold_failures = 0;         ///< in a row
-    time_point failing_since{};    ///< when the first of them came; of use only while there are some
-    bool has_failed_early = false; ///< the first of them ended before its time, as when the process ends
-    order_backoff backoff;         ///< of starts and stops
-    std::size_t position = 0;      ///< in the table of workers
-    std::uint64_t spread = 0;      ///< sets its repeated orders apart in time from those of others
+    int hold_failures = 0;         ///< consecutive failures
+    time_point failing_since{};    ///< time of the first of them; only meaningful while there are failures
+    bool has_failed_early = false; ///< the first of them failed before its timeout, as when the process ends
+    order_backoff backoff;         ///< for starts and stops
+    std::size_t position = 0;      ///< index in the table of workers
+    std::uint64_t spread = 0;      ///< jitter seed that spreads the retries of different workers in time
 
     std::int64_t clock_ms = 0; ///< the worker's clock at `clock_at`; 0 while unknown
     time_point clock_at{};
-    time_point granted_at{}; ///< when a lease was granted last
-    time_point lease_end{};  ///< by then everything that this leader or an earlier one allowed has lapsed
+    time_point granted_at{}; ///< when a lease was last granted
+    time_point lease_end{};  ///< when all leases of this leader and earlier ones have expired
 
-    std::uint64_t seen = 0;         ///< highest number of its ends that was taken up
-    std::uint64_t acknowledged = 0; ///< highest number that it may forget
-    std::uint64_t acknowledged_sent =
-        0; ///< highest number that it was told it may forget; 0 if that may be lost
+    std::uint64_t seen = 0;              ///< highest sequence number of its ends that was processed
+    std::uint64_t acknowledged = 0;      ///< highest sequence number of an end that the worker may forget
+    std::uint64_t acknowledged_sent = 0; ///< highest acknowledgement sent; 0 if it may have been lost
     std::size_t ends_committing = 0;
 
-    absl::btree_map<run_key, run_track*> runs;     ///< in order, so that equal states act alike
-    std::map<step_key, std::uint32_t> step_counts; ///< runs of each step, for the limit on one worker
-    worker_amounts reserved;                       ///< by tasks that count
-    std::int64_t fill_millicores = 0;              ///< millicores wanted by tasks that fill
+    absl::btree_map<run_key, run_track*> runs;     ///< ordered, so that equal states lead to equal decisions
+    std::map<step_key, std::uint32_t> step_counts; ///< runs of each step, for the limit per worker
+    worker_amounts reserved;                       ///< by all tasks; filling tasks reserve no processor time
+    std::int64_t fill_millicores = 0;              ///< millicores requested by filling tasks
     std::int64_t short_millicores = 0;             ///< millicores of tasks that neither fill nor serve
     std::uint32_t fills = 0;                       ///< runs that fill
-    std::uint32_t servings = 0;                    ///< runs whose answers are watched
+    std::uint32_t servings = 0;                    ///< runs that serve
     std::uint32_t suspects = 0;                    ///< runs whose tasks may have crashed a worker before
-    std::uint32_t probations = 0;                  ///< those among them that are to be alone here
-    std::vector<lapsed_run> lapsed;                ///< until it is heard again, or surely crashed
+    std::uint32_t probations = 0;                  ///< suspect runs that require this worker for themselves
+    std::vector<lapsed_run> lapsed; ///< until the worker answers again or has certainly crashed
     std::int64_t serving_unused_millicores =
-        0;                                ///< millicores that they reserve and, by their own load, do not use
-    std::vector<image_share> fill_shares; ///< pressure by image, smoothed as the tails are
+        0; ///< millicores that serving tasks reserve and, by their own load, do not use
+    std::vector<image_share> fill_shares; ///< filling tasks' use by image, smoothed like the tails
     time_point fill_shares_at{};
     worker_pressure pressure;
     worker_trust trust;
 
-    /// Counts a run that is placed with this much care, or takes it back with -1. Thread safety: as the
-    /// state.
+    /// Counts a run with this isolation, or removes it from the counts with -1. Thread safety: as the state.
     void count_isolated(isolation_level isolation, int sign) {
         if (isolation != isolation_level::none) {
             suspects += static_cast<std::uint32_t>(sign);
@@ -103,7 +102,7 @@
             probations += static_cast<std::uint32_t>(sign);
         }
     }
-    /// Notes a hold without an answer. Thread safety: as the state.
+    /// Records an unanswered hold. Thread safety: as the state.
     void record_hold_failure(time_point now) {
         if (hold_failures == 0) {
             failing_since = now;
@@ -111,24 +110,23 @@
         }
         ++hold_failures;
     }
-    /// Returns true when no lease is granted any more: it may hear us while we do not hear it. Thread safety:
-    /// as the state.
+    /// Returns true when leases are no longer granted: the worker may receive orders although its answers do
+    /// not arrive. Thread safety: as the state.
     [[nodiscard]] bool is_silent() const { return hold_failures >= silent_after_failures; }
-    /// Returns what tasks that count may still take. Thread safety: as the state.
+    /// Returns what is not reserved. Thread safety: as the state.
     [[nodiscard]] worker_amounts get_free() const { return report.capacity - reserved; }
-    /// Returns the processor time that tasks which fill may still share, millicores. Thread safety: as the
-    /// state.
+    /// Returns the processor time that is left for filling tasks, in millicores. Thread safety: as the state.
     [[nodiscard]] std::int64_t get_spare_millicores() const {
         return report.capacity.millicores - reserved.millicores + serving_unused_millicores - fill_millicores;
     }
-    /// Returns an amount of processor time, millicores, as a share of all that the worker has; all of it
-    /// where the room has shrunk below that. Thread safety: as the state.
+    /// Returns an amount of processor time, in millicores, as a share of the worker's capacity, 1 at most
+    /// even where the capacity has shrunk below the amount. Thread safety: as the state.
     [[nodiscard]] double get_share(std::int64_t millicores) const {
         const auto capacity = std::max<std::int64_t>(report.capacity.millicores, 1);
         return std::min(static_cast<double>(millicores) / static_cast<double>(capacity), 1.0);
     }
-    /// Returns the worker's clock at `now`, never ahead of it though it may be slower by the share `drift`; 0
-    /// while unknown. Thread safety: as the state.
+    /// Returns the worker's clock at `now`, or 0 while it is unknown. The estimate is never ahead of the
+    /// clock, even if that is slower by the share `drift`. Thread safety: as the state.
     [[nodiscard]] std::int64_t estimate_clock(time_point now, double drift) const {
         const auto passed = std::chrono::duration_cast<duration>((now - clock_at) * (1 - drift));
         return clock_ms == 0 ? 0 : clock_ms + to_milliseconds(passed);
--- a/poplarpitch/dispatch/worker_trust.cpp
+++ b/poplarpitch/dispatch/worker_trust.cpp
@@ -6,10 +6,11 @@
 namespace {
 
 constexpr duration failure_pause =
-    milliseconds{100}; // after one failure: 5% of 160 runs a second fail by their own fault
-constexpr duration first_set_aside = seconds{2};       // after the second; doubled each time
-constexpr std::uint32_t max_doublings = 2;             // 8 s: faults of this kind last 5 to 8 s
-constexpr duration unsound_pause = milliseconds{1500}; // longer than between two looks, so that it is renewed
+    milliseconds{100}; // after one failure; 5% of 160 runs a second fail through their own fault
+constexpr duration first_set_aside = seconds{2}; // after the second failure; doubled each time
+constexpr std::uint32_t max_doublings = 2;       // 8 s at most; faults of this kind last 5 to 8 s
+constexpr duration unsound_pause =
+    milliseconds{1500}; // longer than the time between two checks, so that it is renewed
 constexpr duration refusal_pause = milliseconds{700};
 
 } // namespace
