--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -1,4 +1,4 @@
-// What becomes of jobs: opening, readiness, occurrences, ends.
+// Lifecycle of jobs: opening, readiness, occurrences, ends.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/erase_job.h"
@@ -13,12 +13,12 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration place_interval = milliseconds{100}; // while tasks wait; otherwise events ask for it
-// Between looks at all workers and runs for what is due. A turn comes for each message, 2,000 a second with
-// 490 workers: a look at 490 workers and 5,000 runs in each took a tenth of the leader's time.
+constexpr duration place_interval = milliseconds{100}; // while tasks wait; otherwise events trigger a pass
+// Between checks of all workers and runs for what is due. A turn is run for each message, 2,000 a second with
+// 490 workers. Checking 490 workers and 5,000 runs in each turn took a tenth of the leader's time.
 constexpr duration check_interval = milliseconds{5};
-// Heartbeats, and relays, tell a new leader sooner of all workers that live; only the others are asked
-// unheard.
+// Heartbeats and relays report all live workers to a new leader sooner than this. Only the others are sent a
+// hold before they have reported.
 constexpr duration announce_timeout = milliseconds{400};
 
 } // namespace
@@ -59,8 +59,9 @@
         {term, get_fence(), m_jobs.size(), m_tracks.size(), m_workers.get_map().size(), count_waiting()});
 }
 
-/// A life that ended with the former leader never announces itself again. Asked at its address, the life
-/// after it answers, and its runs need not wait for their lease.
+/// Makes the worker of a run known that was assigned before this leader's term. An incarnation that ended
+/// together with the former leader never sends a heartbeat. When a hold is sent to its address, the next
+/// incarnation answers, and its runs need not wait for their lease to expire.
 void dispatcher::adopt_worker(const assigned_run& run, time_point now) {
     auto& worker = get_or_add_worker(run.worker, now);
     grant_lease(worker, now); // an earlier leader may have granted one just now
@@ -161,7 +162,7 @@
     const auto& spec = record.job->steps[key.step];
     const auto* step = record.find_step(key.occurrence, key.step);
     for (std::uint32_t index = 0; index < spec.count; ++index) {
-        // An occurrence without a record has not begun: all of its tasks wait.
+        // An occurrence without a record has not begun, so all of its tasks wait.
         if (step == nullptr || step->tasks[index].phase == task_phase::waiting) {
             make_task_ready({key, index}, now);
         }
@@ -266,7 +267,8 @@
 
 void dispatcher::on_run_ended(const book_event& event, time_point now) {
     const auto* ended = find(event.run);
-    auto* worker = ended == nullptr ? find_worker(event.worker) : ended->host; // of whose list the number is
+    auto* worker = ended == nullptr ? find_worker(event.worker)
+                                    : ended->host; // the one whose list the number belongs to
     if (worker != nullptr && event.number > 0) {
         worker->ends_committing -= worker->ends_committing > 0 ? 1 : 0;
         update_acknowledged(*worker);
@@ -311,7 +313,7 @@
         return;
     }
     const auto took_ms = to_milliseconds(now - track.confirmed_at);
-    const bool is_first = track.key.run == 1; // a later one may go on from a checkpoint
+    const bool is_first = track.key.run == 1; // a later run may resume from a checkpoint
     if (end == run_end::done && is_first) {
         m_forecast.on_done(track.key.task, took_ms);
     }
@@ -326,7 +328,7 @@
     if (!spec.gang) {
         return;
     }
-    // The others wait for a member that does not come: stopped now they hold their room no longer.
+    // The other members wait for one that will not come. Stopping them now frees their room.
     for (std::uint32_t index = 0; index < spec.count; ++index) {
         if (auto* track = find({{ended.task.step, index}, ended.run}); track != nullptr) {
             stop_run(*track, now);
@@ -366,7 +368,7 @@
         send_scheduled_orders(now);
     }
     if (!m_ready.empty() && now >= m_next_place) {
-        m_must_place = true; // a worker that was set aside may have come back
+        m_must_place = true; // a worker that was set aside may be usable again
         m_next_place = now + place_interval;
     }
     if (can_commit) {
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -46,14 +46,14 @@
 
 /// Decides for the leader which task runs on which worker, and tracks every run until it has ended.
 ///
-/// The class performs no I/O. Its inputs are heartbeats, answers, committed events and time, its outputs are
-/// orders and commands for the log, so a test can inject any fault between any two steps. Safety rests on
-/// four rules. (1) An assignment is committed before its start is sent. (2) A start without an answer is
-/// retried, which is idempotent, or undone by a stop that the worker answered. (3) A run counts as ended when
-/// its worker lists the end, when a list that was requested after the start was confirmed lacks the run, when
-/// the worker is known to be gone, or when its lease has certainly expired. (4) A new leader raises the fence
-/// at each worker and takes its list before it assigns anything to it. Thread safety: none, as for all
-/// methods.
+/// The class sends and stores nothing itself. Its inputs are heartbeats, answers, committed events and time,
+/// its outputs are orders and commands for the log, so a test can inject any fault between any two steps.
+/// Safety rests on four rules. (1) An assignment is committed before its start is sent. (2) A start without
+/// an answer is retried, which is idempotent, or undone by a stop that the worker answered. (3) A run counts
+/// as ended when its worker lists the end, when a list that was requested after the start was confirmed lacks
+/// the run, when the worker is known to be gone, or when its lease has certainly expired. (4) A new leader
+/// raises the fence at each worker and takes its list before it assigns anything to it. Thread safety: none,
+/// as for all methods.
 class dispatcher {
 public:
     /// Precondition: `book` outlives the dispatcher.
@@ -73,8 +73,8 @@
     /// Updates the load of the leader's thread. Under strain, checks that only tune the pacing become rarer.
     /// When the leader lags too far behind, it accepts no new jobs.
     void on_load(const leader_load& load) { m_load = load; }
-    /// Decides whether a job is accepted. An accepted job is counted until `on_not_accepted` is called for
-    /// it. Precondition: the dispatcher leads; the job is valid and not known yet.
+    /// Decides whether a job is accepted. An accepted job counts as such until `on_not_accepted` is called
+    /// for it. Precondition: the dispatcher leads; the job is valid and not known yet.
     [[nodiscard]] admission admit(const step_job& job, time_point now);
     /// Called when a job that `admit` accepted was certainly not committed.
     void on_not_accepted(job_id job);
@@ -83,7 +83,7 @@
     /// heartbeat must then be answered only after the commit.
     bool on_heartbeat(const worker_report& report, time_point now);
     /// Processes a heartbeat that only refers to an earlier report. Returns false when that report is not the
-    /// one known here; the worker then has to send a full heartbeat.
+    /// one known here; a full heartbeat is then required.
     bool on_sign_of_life(const sign_of_life& sign, time_point now);
     /// Called when a worker deregisters.
     void on_goodbye(const worker_life& worker, time_point now);
@@ -144,8 +144,8 @@
         bool has_started = false;
         absl::btree_map<run_key, run_track*> runs; ///< assigned and not ended
         time_point idle_since{}; ///< since when it has no runs; only meaningful while it has none
-        std::map<std::uint32_t, time_point> due; ///< when each occurrence became due, for those that have
-                                                 ///< begun; empty for a job that runs once
+        std::map<std::uint32_t, time_point>
+            due; ///< begin of each occurrence that has begun; empty for a job that runs once
     };
     /// The tasks of a step that wait for a worker.
     struct ready_step {
@@ -297,8 +297,8 @@
     /// Processes a list from another incarnation than the addressed one.
     void on_other_life(worker_state& addressed, const worker_life& answered, const hold_answer& answer,
                        time_point now);
-    /// Ends all incarnations that were known before the hold was sent that `worker` answered in place of
-    /// `addressed`.
+    /// Ends all other incarnations that were known before the hold to `addressed` was sent, which `worker`
+    /// answered.
     void end_former_lives(worker_state& worker, const worker_state& addressed, const hold_answer& answer,
                           time_point now);
     /// Ends an incarnation. Runs that are on `successor`, the next incarnation, or may still start there,
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -1,4 +1,4 @@
-// Which jobs are taken.
+// Admission of jobs.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include <algorithm>
@@ -6,18 +6,18 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration pool_interval = milliseconds{500}; // between looks at what the pools are used for
+constexpr duration pool_interval = milliseconds{500}; // between measurements of the use of the pools
 constexpr double backlog_weight =
-    0.2; // of a new look: two thirds in 2.5 s, longer than a wave of new jobs waits
+    0.2; // of a new measurement: two thirds in 2.5 s, longer than a burst of new jobs waits
 
 constexpr duration overload_wait =
-    seconds{2}; // a turn that is late by 0.4 s has some seconds of work before it
+    seconds{2}; // a turn that is late by 0.4 s has some seconds of work ahead of it
 constexpr std::uint64_t overload_spread_ms =
-    2000; // callers that were sent away together come back one by one
+    2000; // spreads the retries of callers that were refused together
 
-/// Returns when a job that came while the leader was behind should be sent again. Load pattern: after a power
-/// loss or an election all callers come back at the same moment, and a thread that is already late only falls
-/// further behind with what it has promised.
+/// Returns the time after which a job that arrived while the leader lagged behind should be submitted again.
+/// Load pattern: after a power loss or an election, all callers return at the same moment, and accepting more
+/// work would only increase the lag.
 duration get_overload_wait(job_id id) {
     return overload_wait + milliseconds{static_cast<std::int64_t>(id % overload_spread_ms)};
 }
@@ -27,7 +27,7 @@
 admission dispatcher::admit(const step_job& job, time_point now) {
     admission decided;
     decided.wanted = job.get_lasting_millicores();
-    if (m_lasting.contains(job.id)) { // sent again while the first one is being decided
+    if (m_lasting.contains(job.id)) { // submitted again while the first submission is being decided
         return decided;
     }
     if (m_load.lag > m_settings.most_lag) {
@@ -44,7 +44,7 @@
     decided.reserved = m_lasting.get_reserved(pool);
     decided.allowed = m_lasting.get_allowed(pool, now);
     if (m_lasting.has_room(pool, decided.wanted, now)) {
-        // It counts from now on, so that jobs that come at the same moment do not all find the same room.
+        // Counted from now on, so that jobs arriving at the same moment do not all find the same room.
         m_lasting.add(job.id, pool, decided.wanted);
         return decided;
     }
--- a/poplarpitch/dispatch/dispatcher_advice.cpp
+++ b/poplarpitch/dispatch/dispatcher_advice.cpp
@@ -1,4 +1,4 @@
-// Queues whose policy allows only some workers: asking the advice service, and tickets.
+// Queues whose policy allows only some workers: calls to the advice service, and tickets.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/placement.h"
@@ -9,11 +9,12 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_advised_workers = 30;       // workers a call: the time it takes grows with each
-constexpr std::size_t extra_advised_workers = 4;      // more than there are tasks: some will be denied
-constexpr duration retry_pause = milliseconds{200};   // after a call that got no answer
-constexpr duration answer_slack = seconds{1};         // over the time that the queue's policy names
-constexpr duration ticket_margin = milliseconds{400}; // a commit and a start come before the worker sees it
+constexpr std::size_t max_advised_workers = 30;  // workers per call, whose duration grows with each of them
+constexpr std::size_t extra_advised_workers = 4; // more than there are tasks, since some will be denied
+constexpr duration retry_pause = milliseconds{200}; // after a call that got no answer
+constexpr duration answer_slack = seconds{1};       // added to the time that the queue's policy allows
+constexpr duration ticket_margin =
+    milliseconds{400}; // covers the commit and the start before the worker checks the ticket
 
 } // namespace
 
@@ -22,8 +23,8 @@
     return found == m_advice.end() ? std::string{} : found->second.find_ticket(worker, now + ticket_margin);
 }
 
-/// One call is under way at a time: the service answers a machine's calls in turn anyway, and what is asked
-/// next depends on the answer.
+/// Only one call is in flight at a time. The service processes the calls of an instance one after another,
+/// and the next call depends on the answer.
 void dispatcher::request_advice(const std::vector<std::pair<std::int64_t, step_key>>& ranked,
                                 time_point now) {
     if (m_is_advising || now < m_next_advice) {
@@ -90,7 +91,7 @@
         return;
     }
     auto& advice = m_advice[request.step];
-    // Counted from the answer less the whole call: the service may have decided at its start.
+    // Counted from the start of the call, since the service may have decided then.
     const auto expires = now + record->job->queue.advice->valid - request.timeout + answer_slack;
     for (const auto& worker : request.workers) {
         const auto found = std::find_if(outcome.allowed.begin(), outcome.allowed.end(),
@@ -101,7 +102,7 @@
             advice.allow(worker, found->ticket, expires);
         }
     }
-    log_event(log_level::info, "advice_taken")
+    log_event(log_level::info, "advice_received")
         .add("job", format_job_id(request.step.job))
         .add("step", static_cast<std::uint64_t>(request.step.step))
         .add("asked", static_cast<std::uint64_t>(request.workers.size()))
--- a/poplarpitch/dispatch/dispatcher_audit.cpp
+++ b/poplarpitch/dispatch/dispatcher_audit.cpp
@@ -1,5 +1,5 @@
-// Looks for tasks that neither run, nor wait for a worker or a time, nor have ended: each is a fault of its
-// own.
+// Finds tasks that neither run, nor wait for a worker or a time, nor have ended. Each of them is a fault of
+// the leader.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/run_log.h"
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr duration audit_interval = seconds{1};
-constexpr duration list_timeout = seconds{3};    // lists come once a second at the least
-constexpr duration commit_timeout = seconds{10}; // a disk may hang for seconds
-constexpr std::size_t max_lines = 20;            // a pass: one fault mostly holds many tasks
+constexpr duration list_timeout = seconds{3};    // lists arrive at least once a second
+constexpr duration commit_timeout = seconds{10}; // a disk may stall for seconds
+constexpr std::size_t max_lines = 20;            // per audit; a single fault usually affects many tasks
 
-/// Returns why a run stands still, or nothing.
+/// Returns why a run makes no progress, or nothing.
 std::optional<stuck_reason> find_stuck_reason(const run_track& track, time_point now) {
     if (track.is_ending) {
         const bool is_late = now - track.ending_since > commit_timeout;
@@ -36,7 +36,7 @@
         const auto& task = step->tasks[index];
         const bool is_queued = ready != m_ready.end() && ready->second.waiting.contains(index);
         if (task.phase == task_phase::waiting && !is_queued &&
-            find_track({{key, index}, task.last_run + 1}) == nullptr) { // not claimed for a worker either
+            find_track({{key, index}, task.last_run + 1}) == nullptr) { // not assigned to a worker either
             stuck.push_back({{{key, index}, 0}, stuck_reason::not_queued});
         }
         for (const auto& run : task.runs) {
@@ -65,7 +65,7 @@
             }
         }
     }
-    std::sort(stuck.begin(), stuck.end()); // the maps' order differs between processes
+    std::sort(stuck.begin(), stuck.end()); // the maps' iteration order differs between processes
     return stuck;
 }
 
--- a/poplarpitch/dispatch/dispatcher_copies.cpp
+++ b/poplarpitch/dispatch/dispatcher_copies.cpp
@@ -10,10 +10,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration copy_interval = milliseconds{200}; // lists of workers come each 350 ms to 1 s
-// A run that was there for longer when its worker ceased to answer is hardly the one at fault.
+constexpr duration copy_interval = milliseconds{200}; // workers send a list each 350 ms to 1 s
+// A run that was older than this when its worker ceased to answer is unlikely to have caused that.
 constexpr duration suspicious_age = seconds{1};
-constexpr std::size_t max_copies = 1; // beside the first run
+constexpr std::size_t max_copies = 1; // in addition to the first run
 
 } // namespace
 
@@ -23,7 +23,7 @@
     if (!is_kind || track.stage != run_stage::running || track.is_ending || track.is_stop_wanted) {
         return false;
     }
-    // A second run of what ended its worker would end another one, before the first loss is known.
+    // A second run of a task that crashed its worker would crash another one before the first loss is known.
     const bool may_crash = m_suspects.get_isolation(track.key.task) != isolation_level::none ||
                            (track.host->hold_failures > 0 && get_age_at_loss(track, now) <= suspicious_age);
     const auto* task = m_book.find_task(track.key.task);
@@ -31,7 +31,7 @@
            needs_copy({now - track.confirmed_at, track.percent, spec.estimate_ms});
 }
 
-/// Copies take only room that nobody waits for: they throw away what the slower run has done.
+/// Copies use only room that no task waits for, since they discard what the slower run has done.
 void dispatcher::start_copies(time_point now) {
     if (now < m_next_copies || !m_ready.empty()) {
         return;
@@ -46,7 +46,7 @@
     if (slow.empty()) {
         return;
     }
-    std::sort(slow.begin(), slow.end()); // the map's order differs between processes
+    std::sort(slow.begin(), slow.end()); // the map's iteration order differs between processes
     const auto pass = begin_pass(now);
     for (const auto& key : slow) {
         start_copy(pass, *find(key));
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -1,4 +1,4 @@
-// Tasks that may have crashed their workers: what a loss says of each run, and what becomes of a suspect.
+// Tasks that may have crashed their workers: what a loss says about each run, and how suspects are treated.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/run_log.h"
@@ -11,12 +11,12 @@
 namespace poplarpitch {
 namespace {
 
-// A run whose worker crashed this soon after its start has just begun: neighbours of which the same is true
-// twice in a row are rare, since tasks run for seconds. Nor can it have ended well without being listed yet.
+// A run whose worker crashed this soon after its start has just begun. It is rare that this holds for a
+// neighbour twice in a row, since tasks run for seconds. Nor can the run have completed without being listed.
 constexpr duration just_begun_age = milliseconds{250};
 constexpr std::int64_t just_begun_part = 4; // of its estimate, which may be off by half
 
-/// Returns true when the run may have been at its worker.
+/// Returns true when the run may have existed on its worker.
 bool may_have_begun(const run_track& track) {
     if (track.is_ending || track.stage == run_stage::committing) {
         return false;
@@ -51,9 +51,9 @@
     return std::max(end - begin, duration{0});
 }
 
-/// A worker that said that it leaves has not crashed, whatever became of it. What was cut off may have
-/// crashed, or its runs may have ended, at any time since; only where the last connection broke off, as it
-/// does with a process, a run that was confirmed was surely there.
+/// A worker that announced that it leaves has not crashed, whatever happened to it. A worker that was cut off
+/// may have crashed at any time since then, or its runs may have ended. A confirmed run certainly existed
+/// only if the last connection broke, as it does when the process ends.
 run_loss dispatcher::assess_loss(const run_track& track, time_point now) const {
     const auto& worker = *track.host;
     const auto age = get_age_at_loss(track, now);
@@ -68,8 +68,8 @@
     return loss;
 }
 
-/// The evidence is stronger against a task that was alone, and against one that had just begun, now and at
-/// the crash before, where no other suspect was there.
+/// The evidence is stronger against a task that ran alone. It is also stronger against one that had just
+/// begun, both now and at the previous crash, if no other suspect was present.
 crash_evidence dispatcher::compare_with_neighbours(const run_track& track,
                                                    std::optional<duration> age) const {
     bool is_alone = true;
@@ -81,7 +81,7 @@
         }
     }
     const auto* task = m_book.find_task(track.key.task);
-    // Of a run that was found in a list its true age is not known: it is counted from that list.
+    // The true age of a run that was first seen in a list is unknown; it is counted from that list.
     const bool is_quick =
         age.has_value() && track.has_known_start && task != nullptr &&
         has_just_begun(std::max<duration>(*age, milliseconds{task->crash.longest_ms}), track.get_spec());
@@ -91,7 +91,7 @@
     return is_only_suspect && is_quick ? crash_evidence::likely : crash_evidence::shared;
 }
 
-/// All are judged before one of them ends: each is a neighbour of the others.
+/// All runs are assessed before one of them ends, since each is a neighbour of the others.
 std::vector<lapsed_run> dispatcher::assess_runs(const worker_state& worker, time_point now) const {
     std::vector<lapsed_run> assessed;
     for (const auto& [key, run] : worker.runs) {
@@ -135,7 +135,8 @@
     line.add("reason", "its task crashed the workers that started it").add("crashes", event.number);
 }
 
-/// A suspect that has run in peace for long enough is one no more, and its worker takes other tasks again.
+/// A suspect that has run without a crash for long enough is cleared, and its worker accepts other tasks
+/// again.
 void dispatcher::clear_suspects(worker_state& worker, time_point now) {
     if (worker.suspects == 0) {
         return;
@@ -157,7 +158,8 @@
     }
 }
 
-/// What the former leader kept is not known. Where a suspect runs beside others its worker was not kept.
+/// Which workers the former leader reserved is not known. A worker was not reserved if a suspect runs there
+/// beside other runs.
 void dispatcher::limit_probations() {
     const auto most = get_max_probations(m_workers.get_all().size());
     std::size_t kept = 0;
--- a/poplarpitch/dispatch/dispatcher_lives.cpp
+++ b/poplarpitch/dispatch/dispatcher_lives.cpp
@@ -1,4 +1,4 @@
-// Which life of a worker lives, and what becomes of what was given to the lives before it.
+// Determines which incarnation of a worker is alive, and what becomes of runs assigned to earlier ones.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/run_log.h"
@@ -25,10 +25,10 @@
     worker.needs_fence = !others.empty() || (lost != m_lost_workers.end() && lost->id == life.id);
     worker.fence = get_fence();
     if (worker.needs_fence) {
-        grant_longest_lease(worker, now); // what was for a former life may have come to this one
+        grant_longest_lease(worker, now); // a lease for a former incarnation may have reached this one
     }
-    // Until it has answered it may be a late message of an even earlier life: the one that lives is not to
-    // refuse what was sent to it before.
+    // Until it has answered, this may be a late message of an even earlier incarnation. The live one must not
+    // refuse orders that were sent to it before.
     if (!others.empty()) {
         const auto highest =
             std::max_element(others.begin(), others.end(),
@@ -42,14 +42,14 @@
     if (m_lost_workers.contains(life)) {
         return true;
     }
-    // It comes from another writer, or by an instance of a version that leaves the start time out.
+    // The message comes from another writer, or from an instance whose version omits the start time.
     return life.born_ms == 0 && !m_workers.find_other_lives(life).empty();
 }
 
-/// Orders to former lives may still be on their way, by a relay that stood still for one, and the next life
-/// would take them for its own: starts, and acknowledgements of ends that it has not told. Once it has seen a
-/// higher fence it refuses them all. The raise is committed before it is used, so that no later leader uses
-/// the same one.
+/// Orders to former incarnations may still be in flight, for example in a relay that stalled. The next
+/// incarnation would accept such starts, and such acknowledgements of ends that it has not reported, as its
+/// own. Once it has seen a higher fence, it refuses all of them. The raise is committed before it is used, so
+/// that no later leader uses the same fence.
 void dispatcher::raise_fence(worker_state& worker) {
     worker.awaits_fence = true;
     if (m_is_raising_fence) {
@@ -75,7 +75,8 @@
     }
 }
 
-/// Lives follow one another, so the one that answered is later than any that was known before it was asked.
+/// Incarnations follow one another, so the one that answered is later than any that was known before the hold
+/// was sent.
 void dispatcher::on_other_life(worker_state& addressed, const worker_life& answered,
                                const hold_answer& answer, time_point now) {
     m_lost_workers.erase(answered);
@@ -85,7 +86,7 @@
         worker.last_heartbeat = now;
     }
     if (!worker.has_report && addressed.has_report && addressed.report.life.born_ms == 0) {
-        worker.report = addressed.report; // one that leaves its start time out may be of any life
+        worker.report = addressed.report; // a report without a start time may come from any incarnation
         worker.report.life = answered;
         worker.has_report = true;
         update_room_expiry(worker);
@@ -105,7 +106,7 @@
     }
     const auto listed = answer.get_listed();
     for (auto* other : others) {
-        // The one that was asked was known before, though perhaps only in the same moment.
+        // The addressed one was known before, even if only since the same moment.
         const bool was_known = other == &addressed || other->known_since < addressed.hold_sent;
         if (!other->is_lost && was_known) {
             end_former_life(*other, worker, {listed, addressed.hold_sent}, now);
@@ -129,7 +130,7 @@
         auto& track = *former.runs.at(run.run);
         const auto loss = is_surely_other ? run.loss : run_loss{};
         const bool is_listed = std::binary_search(list.runs.begin(), list.runs.end(), run.run);
-        // Its start may have come to the heir after the list was written.
+        // Its start may have reached the successor after the list was written.
         const bool is_newer = track.confirmed_at >= list.requested_at;
         if (track.may_yet_start() || is_listed || is_newer) {
             move_run(track, successor, loss, now);
@@ -139,7 +140,8 @@
     }
 }
 
-/// Its start came to the heir, or may yet come there: the heir's list under its own fence says which.
+/// The run's start reached the successor or may still reach it. The successor's list under its own fence
+/// decides.
 void dispatcher::move_run(run_track& track, worker_state& successor, const run_loss& loss, time_point now) {
     auto& former = *track.host;
     add_load(former, track, -1);
@@ -147,15 +149,15 @@
     track.stage = run_stage::adopting;
     track.former_loss = loss;
     track.is_order_pending = false;
-    track.is_stop_answered = false; // by the former life, if at all
+    track.is_stop_answered = false; // at most by the former incarnation
     track.stop_answered_at = {};
     track.next_order = now;
     schedule_order(track);
     add_load(successor, track, 1);
     refresh_pressure(former);
     refresh_pressure(successor);
-    // The start's lease is of the former life's clock, so the heir bounds it only by the longest that it
-    // grants.
+    // The start's lease was computed for the former incarnation's clock. At the successor only the maximum
+    // lease length bounds it.
     grant_longest_lease(successor, now);
 }
 
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -1,4 +1,4 @@
-// Workers that leave, fall silent or are gone: when each is looked at, and what becomes of its runs.
+// Workers that leave, become silent or are lost: when each is checked, and what becomes of its runs.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/run_log.h"
@@ -10,11 +10,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration max_check_interval =
-    milliseconds{500}; // between looks at a worker of which nothing is heard
+constexpr duration max_check_interval = milliseconds{500}; // between checks of a worker that sends nothing
 constexpr duration leaving_check_interval =
-    milliseconds{20};                               // the same while it leaves and something runs there
-constexpr duration leave_slack = milliseconds{300}; // before a leaving worker's last moment
+    milliseconds{20};                               // the same while the worker is leaving and has runs
+constexpr duration leave_slack = milliseconds{300}; // before a leaving worker's deadline
 
 } // namespace
 
@@ -22,7 +21,7 @@
     for (auto* worker : m_workers.take_due(now, time_point::max())) {
         check_worker(*worker, now);
         if (may_forget(*worker, now)) {
-            m_workers.erase(worker_life{worker->report.life}); // a copy: the state goes
+            m_workers.erase(worker_life{worker->report.life}); // a copy, since the state is erased
         } else {
             m_workers.schedule_check(*worker, get_next_check(*worker, now));
         }
@@ -36,8 +35,8 @@
     return is_idle && (worker.is_lost || is_silent) && !worker.is_hold_pending;
 }
 
-/// Adds what tells a task that crashes its worker from its neighbours and from a cut: how long it was there
-/// and how many runs were.
+/// Adds the fields that distinguish a task that crashes its worker from its neighbours and from a network
+/// cut: the age of the run, and the number of runs on the worker.
 void dispatcher::add_loss(log_event& line, const run_track& track, time_point now) {
     add_run(line, track.key);
     add_worker(line, track.host->report.life);
@@ -84,10 +83,10 @@
     }
 }
 
-/// Where ids are kept, a start may have come to a life after the one that it names, also one that was
-/// answered if nobody has noticed that life. Its clock counts anew, so only the longest lease that it grants
-/// bounds the run there. A task that lasts is at a worker for long, and has to come back within seconds: for
-/// it this counts only while it is not known what became of its start.
+/// Where worker ids are kept across restarts, a start may have reached a later incarnation than the one it
+/// names, even an answered start if that incarnation went unnoticed. The clock there restarts, so only the
+/// maximum lease length bounds the run. A long-running task stays at a worker for long and has to be
+/// restarted within seconds. For it, this counts only while the outcome of its start is unknown.
 time_point dispatcher::get_lease_end(const run_track& track) const {
     const auto& worker = *track.host;
     const bool is_start_known = !track.may_yet_start() && track.stage != run_stage::adopting;
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -1,4 +1,4 @@
-// Which waiting task goes where.
+// Placement: decides which waiting task goes to which worker.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/placement.h"
@@ -13,33 +13,32 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::int64_t priority_weight_ms = 10'000'000;   // ms: a better priority goes before any deadline
-constexpr double demand_smoothing_s = 8;                  // s; bursts last 4 to 6
-constexpr double demand_peak = 1.5;                       // of the smoothed demand: it varies by half
-constexpr double least_open = 0.05;                       // of all processor time, before anything is known
-constexpr duration max_serving_wait = milliseconds{1800}; // a serving task that could run waits no longer
-constexpr std::int64_t retry_bonus_ms =
-    4000; // ms: a task that failed holds up all that its job has done so far
-constexpr std::int64_t started_bonus_ms =
-    3000; // ms: a job that has begun goes before new ones with as much slack
+constexpr std::int64_t priority_weight_ms = 10'000'000;   // a better priority outranks any deadline
+constexpr double demand_smoothing_s = 8;                  // bursts last 4 to 6 s
+constexpr double demand_peak = 1.5;                       // of the smoothed demand, which varies by half
+constexpr double min_open_share = 0.05;                   // of all processor time, before any demand is known
+constexpr duration max_serving_wait = milliseconds{1800}; // maximum wait of a serving task that could run
+constexpr std::int64_t retry_bonus_ms = 4000; // a failed task delays everything that its job has done so far
+constexpr std::int64_t started_bonus_ms = 3000; // a job that has begun outranks new ones with as much slack
 constexpr std::int64_t lasting_bonus_ms =
-    100'000; // ms: tasks that last go before all others of their priority
-constexpr std::int64_t starving_bonus_ms =
-    5'000'000; // ms: a job that starves goes before all others of its priority
-// Nothing of a job runs and less than half of its pool is reserved: longer than 3 s it may not be left so.
+    100'000; // long-running tasks that have waited outrank all others of their priority
+constexpr std::int64_t starving_bonus_ms = 5'000'000; // a starving job outranks all others of its priority
+// Nothing of the job runs and less than half of its pool is reserved. At most 3 s are allowed for this.
 constexpr duration starving_after = milliseconds{1500};
-constexpr std::int64_t lasting_rank_ms =
-    2000; // ms: the rank of a task that lasts among others of its priority
-constexpr duration max_lasting_wait = milliseconds{1800}; // a task that lasts and could run may wait 3 s
-constexpr std::size_t many_ready_steps = 50;              // steps; a pass over fewer costs under 0.2 ms
+constexpr std::int64_t lasting_rank_ms = 2000; // rank of a long-running task among others of its priority
+constexpr duration max_lasting_wait =
+    milliseconds{1800};                      // a long-running task that could run may wait for 3 s at most
+constexpr std::size_t many_ready_steps = 50; // a pass over fewer steps costs under 0.2 ms
 constexpr duration busy_pass_interval =
-    milliseconds{15}; // between passes over many: a tenth of a small instance's core
-constexpr duration idle_pass_interval = milliseconds{100}; // while nothing waits: only the demand is measured
-constexpr std::int64_t late_penalty_ms = 1'000'000; // ms: a job that is late goes behind all that are not
-constexpr std::int64_t late_multiple = 3; // a job later than this multiple of its objective earns nothing
+    milliseconds{15}; // between passes over many steps; uses a tenth of a core of a small instance
+constexpr duration idle_pass_interval =
+    milliseconds{100};                              // while nothing waits, since only the demand is measured
+constexpr std::int64_t late_penalty_ms = 1'000'000; // a late job ranks behind all that are not late
+constexpr std::int64_t late_multiple = 3; // a job later than this multiple of its objective has no value
 
-/// Least slack first, but a job that can meet its objective no more waits for those that still can. Load
-/// pattern: a burst of 2.6 times the usual for seconds; by deadlines alone every job behind it is late.
+/// Ranks by least slack. A job that can no longer meet its objective ranks behind those that still can. Load
+/// pattern: a burst of 2.6 times the usual load for seconds. With ranking by deadline alone, every job behind
+/// it is late.
 std::int64_t rank_by_time(std::int64_t allowed_ms, std::int64_t age_ms, std::int64_t remaining_ms) {
     const auto slack = allowed_ms - age_ms - remaining_ms;
     if (slack >= 0) {
@@ -61,7 +60,7 @@
         }
         const auto& queue = ready.job->queue;
         if (ready.job->steps[key.step].long_running) {
-            // It has no end to be late for; one that has waited goes first.
+            // It has no deadline; one that has waited goes first.
             const bool is_urgent = now - ready.since > max_lasting_wait;
             ranked.emplace_back(
                 queue.priority * priority_weight_ms + (is_urgent ? -lasting_bonus_ms : lasting_rank_ms), key);
@@ -82,8 +81,8 @@
     return ranked;
 }
 
-/// Load pattern: what is left of an overload when its callers have gone: hundreds of tasks wait that are all
-/// too late to matter, the least late ones take each gap, and some jobs get nothing for minutes.
+/// Load pattern: the remains of an overload after its callers have gone. Hundreds of tasks wait that are all
+/// too late to matter, the least late ones take every gap, and some jobs get nothing for minutes.
 bool dispatcher::is_starving(const open_job& job, const std::string& pool, time_point now) const {
     return job.runs.empty() && now - job.idle_since > starving_after && m_underused_pools.contains(pool);
 }
@@ -128,7 +127,7 @@
         if (is_usable(*worker, now)) {
             pass.usable[worker->report.pool].push_back(worker);
             ++usable;
-            probations += worker->probations > 0 ? 1 : 0; // one that has ceased to answer is lost anyway
+            probations += worker->probations > 0 ? 1 : 0; // a worker that ceased to answer is lost anyway
         }
     }
     const auto most = get_max_probations(usable);
@@ -211,9 +210,9 @@
     return placement_result::placed;
 }
 
-/// Tasks between which nothing but their number differs are placed by one look at all workers: what a task
-/// takes changes the cost of its own worker alone. Load pattern: jobs of 20 to 30 tasks a step, 1,400 starts
-/// a second on 490 workers; a look for each task took a quarter of the leader's time.
+/// Places tasks that differ only by their index with one examination of all workers. A placed task changes
+/// only the cost of its own worker. Load pattern: jobs of 20 to 30 tasks a step, 1,400 starts a second on 490
+/// workers. Examining all workers for each task took a quarter of the leader's time.
 void dispatcher::place_identical(placing_pass& pass, ready_step& ready, const step_key& key,
                                  const std::vector<std::uint32_t>& indexes) {
     if (indexes.empty()) {
@@ -252,9 +251,9 @@
     }
 }
 
-/// Short tasks need whole cores at once, serving tasks leave a few on each worker: what is left over is too
-/// thin to be of use. Load pattern: serving tasks that last reserve nine tenths of a pool before the first
-/// short task comes.
+/// Short tasks need whole cores at once, while serving tasks leave a few on each worker, which is too little
+/// to be of use. Load pattern: long-running serving tasks reserve nine tenths of a pool before the first
+/// short task arrives.
 void dispatcher::measure_short_demand(const placing_pass& pass) {
     m_open_millicores = 0;
     m_total_millicores = 0;
@@ -279,7 +278,7 @@
 
 bool dispatcher::may_open(const worker_state& worker) const {
     const auto kept_free =
-        std::max(m_short_millicores * demand_peak, least_open * static_cast<double>(m_total_millicores));
+        std::max(m_short_millicores * demand_peak, min_open_share * static_cast<double>(m_total_millicores));
     return static_cast<double>(m_open_millicores - worker.report.capacity.millicores) >= kept_free;
 }
 
@@ -341,7 +340,7 @@
 void dispatcher::place_gang(placing_pass& pass, ready_step& ready, const step_key& key) {
     const auto& spec = ready.job->steps[key.step];
     if (ready.waiting.size() != spec.count) {
-        return; // some of the last run have not ended
+        return; // some tasks of the last run have not ended
     }
     for (std::uint32_t index = 0; index < spec.count; ++index) {
         if (!m_suspects.may_start({key, index}, pass.now)) {
@@ -360,7 +359,7 @@
         }
         racks.insert(racks.begin(), found.begin(), found.end());
     }
-    // All members of one run carry the same number.
+    // All members of one run have the same run number.
     std::uint32_t run = 0;
     for (std::uint32_t index = 0; index < spec.count; ++index) {
         const auto* task = m_book.find_task({key, index});
--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -1,4 +1,4 @@
-// Tasks that fill beside tasks that serve: what is learned, and how filling tasks are paced and moved.
+// Filling tasks beside serving tasks: what is learned, and how filling tasks are paced and moved.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/run_log.h"
@@ -10,30 +10,31 @@
 namespace poplarpitch {
 namespace {
 
-// Of a target, up to which filling tasks are placed beside a serving one. Load pattern: an overload in which
-// as many cores of filling tasks wait as run. A tail that is over its target now and then costs less than
-// jobs that are never done; on calm days it is the other way round (a quiet day loses 0.012 with 1.1, days
-// with trouble gain 0.012).
+// Share of a target up to which filling tasks are placed beside a serving one. Load pattern: an overload in
+// which as many cores of filling tasks wait as run. Then a tail that is sometimes over its target costs less
+// than jobs that are never done. On quiet days it is the other way round (a quiet day loses 0.012 with 1.1,
+// disturbed days gain 0.012).
 constexpr double share_without_backlog = 0.9;
 constexpr double share_with_backlog = 1.1;
-constexpr double prediction_time_s = 0.5; // s; filling tasks take 1 to 4
+constexpr double prediction_time_s = 0.5; // filling tasks take 1 to 4 s
 constexpr double load_margin =
-    0.05; // own load that filling tasks leave to serving ones on top of what is seen
-constexpr double pacing_share = 1.0;      // of a target: paced from here on
-constexpr double tail_smoothing_s = 0.35; // s; a tail told after a change moves by two thirds in this time
-constexpr double default_phase = 0.5;     // of a filling task that has not told its use yet
+    0.05; // own load of serving tasks that is kept free on top of the measured load
+constexpr double pacing_share = 1.0;      // of a target; filling tasks are paced from here on
+constexpr double tail_smoothing_s = 0.35; // a tail reported after a change moves by two thirds in this time
+constexpr double default_phase = 0.5;     // of a filling task that has not reported its use yet
 constexpr double negligible_share = 0.003;
 constexpr duration first_sample_span =
-    milliseconds{500}; // the time that the first figure of a task stands for
+    milliseconds{500}; // the time that the first measurement of a task stands for
 constexpr duration repeated_sample_limit =
-    milliseconds{600};                        // a figure that stays the same for longer is a new one
-constexpr std::int64_t unsound_multiple = 14; // of a target: filling tasks lengthen tails to 12 times at most
+    milliseconds{600};                        // a value that stays the same for longer is a new measurement
+constexpr std::int64_t unsound_multiple = 14; // of a target; filling tasks lengthen tails to 12 times at most
 constexpr std::int64_t nearly_done_percent =
-    85; // percent; at a sixth of the speed the rest takes as long as a new run
-constexpr int min_pace_change_percent = 20;        // percent; smaller changes are not worth an order
-constexpr int min_useful_pace_percent = 30;        // percent; a task slower than this is moved
-constexpr duration move_after = milliseconds{500}; // paced that low for this long
-constexpr std::int64_t max_lost_percent = 25;      // of a task without checkpoints that a move may throw away
+    85;                                     // at a sixth of the speed, the rest takes as long as a new run
+constexpr int min_pace_change_percent = 20; // smaller changes are not worth an order
+constexpr int min_useful_pace_percent = 30; // a task that is slower than this is moved
+constexpr duration move_after = milliseconds{500}; // for this long below the useful pace
+constexpr std::int64_t max_lost_percent =
+    25; // of a task without checkpoints: progress that a move may discard
 
 } // namespace
 
@@ -79,7 +80,8 @@
     }
 }
 
-/// Tails are smoothed over a moment; the pressure beside them is smoothed alike, so that the two fit.
+/// Tails are smoothed over time. The pressure beside them is smoothed with the same constant, so that the two
+/// match.
 void dispatcher::smooth_fill_shares(worker_state& worker, time_point now) {
     const auto passed = std::min(to_seconds(now - worker.fill_shares_at), 10.0);
     const auto kept = std::exp(-passed / tail_smoothing_s);
@@ -109,8 +111,7 @@
     std::erase_if(worker.fill_shares, [](const image_share& item) { return item.share < negligible_share; });
 }
 
-/// Filling tasks alone cannot lengthen a tail beyond a bound: whatever is far above it is the worker's own
-/// fault.
+/// Filling tasks alone can lengthen a tail only up to a bound. A tail far above it is a fault of the worker.
 bool dispatcher::is_unsound(const worker_state& worker) const {
     return std::any_of(worker.runs.begin(), worker.runs.end(), [](const auto& item) {
         const auto& track = *item.second;
@@ -119,9 +120,9 @@
     });
 }
 
-/// Load pattern: a tenth to a sixth of the workers turn slow (5 to 8 times) or stand still for 5 to 8 s; with
-/// 16 tasks a job nearly every job has one there. Its tasks go elsewhere at once, from their checkpoints
-/// where they have some; one that is nearly done stays.
+/// Load pattern: a tenth to a sixth of the workers become slow (5 to 8 times) or stall for 5 to 8 s, and with
+/// 16 tasks a job, nearly every job has one there. The tasks are moved at once, from their checkpoints where
+/// they have some. A task that is nearly done stays.
 void dispatcher::leave_unsound(worker_state& worker, time_point now) {
     if (!worker.trust.is_set_aside(now)) {
         auto line = log_event(log_level::warn, "worker_unsound");
@@ -156,7 +157,7 @@
         const bool is_repeated =
             track.level == track.observed_level && now - track.observed_at < repeated_sample_limit;
         if (is_repeated) {
-            continue; // the worker makes the figure anew only a few times a second
+            continue; // the worker updates the value only a few times a second
         }
         const bool is_first = track.observed_at == time_point{};
         const auto since = is_first ? 1.0 : to_seconds(now - track.observed_at);
@@ -171,8 +172,8 @@
     refresh_pressure(worker);
 }
 
-/// Paces are planned from what is expected of each filling task, so that a task gets its speed back as soon
-/// as the others' load allows; a tail over its target slows those that may cause it at once.
+/// Plans paces from the expected interference of each filling task, so that a task regains its speed as soon
+/// as the load of the serving tasks allows. A tail over its target slows the tasks that may cause it at once.
 void dispatcher::plan_paces(worker_state& worker, time_point now) {
     if (worker.servings == 0 || worker.fills == 0) {
         return;
@@ -216,7 +217,8 @@
         total += slowdown * fill->planned_pace / 100;
     }
     const double room = m_pressure.get_room(serving.image, target, pacing_share, serving.own_load.load);
-    double excess = std::max(total - room, total * serving.watch.get_reduction()); // whatever is expected
+    double excess =
+        std::max(total - room, total * serving.watch.get_reduction()); // whatever the model expects
     if (excess <= 0) {
         return;
     }
@@ -229,7 +231,7 @@
             return;
         }
         if (slowdown <= 0) {
-            continue; // stopped already for another serving task; the ones behind it may press all the same
+            continue; // already stopped for another serving task; the ones after it may still interfere
         }
         const double left = std::max(0.0, 1 - excess / slowdown);
         fill->planned_pace = static_cast<int>(left * fill->planned_pace);
--- a/poplarpitch/dispatch/dispatcher_reports.cpp
+++ b/poplarpitch/dispatch/dispatcher_reports.cpp
@@ -1,4 +1,4 @@
-// What a dispatcher tells of itself: load, timings, counts, and what it has learned.
+// What the dispatcher reports: load, timings, counts, and the learned factors.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/placement.h"
@@ -9,8 +9,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration pressure_save_interval = seconds{2}; // 45 pairs are 2 KB of log
-constexpr duration report_interval = seconds{2};        // of the line that tells the load as a whole
+constexpr duration pressure_save_interval = seconds{2}; // 45 pairs take 2 KB of log
+constexpr duration report_interval = seconds{2};        // of the load line
 
 } // namespace
 
@@ -45,7 +45,7 @@
         .add("objective_ms", to_milliseconds(objective));
 }
 
-/// What is learned takes ten seconds of disturbed tails; a new leader is not to learn it again.
+/// Learning the factors takes ten seconds of disturbed tails, so they are committed for the next leader.
 void dispatcher::save_pressure(time_point now) {
     if (now < m_next_pressure_save) {
         return;
@@ -94,7 +94,7 @@
         .add("open_jobs", static_cast<std::uint64_t>(m_jobs.size()));
 }
 
-// ---- what is asked
+// ---- queries
 
 std::uint64_t dispatcher::count_pending(const std::string& queue) const {
     std::uint64_t count = 0;
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -1,4 +1,4 @@
-// What becomes of runs: starts, stops, ends.
+// Lifecycle of runs: starts, stops, ends.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/history_log.h"
@@ -13,8 +13,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration unsent_pause =
-    milliseconds{20}; // before an order is considered again that could not be sent
+constexpr duration unsent_pause = milliseconds{20}; // before an order that could not be sent is tried again
 
 } // namespace
 
@@ -127,7 +126,7 @@
         auto* track = find(m_scheduled_orders.top().run);
         m_scheduled_orders.pop();
         if (track == nullptr || track->next_order > now) {
-            continue; // it has ended, or waits for a later time
+            continue; // it has ended, or is scheduled for a later time
         }
         send_due_order(*track, now);
     }
@@ -136,13 +135,14 @@
 void dispatcher::send_start(run_track& track, time_point now) {
     auto& worker = *track.host;
     if (!worker.has_report || worker.clock_ms == 0 || !worker.is_confirmed) {
-        return; // its lease decides
+        return; // the run's lease decides
     }
-    if (worker.is_leaving) { // it said so after it was chosen
+    if (worker.is_leaving) { // announced after the task was assigned
         return_to_queue(track, now);
         return;
     }
-    // Its room may have shrunk since it was chosen, or since a start without an answer was sent.
+    // The worker's free room may have shrunk since the assignment, or since a start without an answer was
+    // sent.
     if (now > worker.room_known_until) {
         return;
     }
@@ -151,12 +151,13 @@
         return;
     }
     if (worker.is_silent()) {
-        return; // a start prolongs the lease of all that runs there, so it would never be given up
+        return; // a start renews the lease of all runs there, so the silent worker's runs could never be
+                // given up
     }
     std::string ticket;
     if (track.job->queue.advice.has_value()) {
         ticket = find_ticket(track.key.task.step, worker.report.life, now);
-        if (ticket.empty()) { // it ran out on the way; another one may be had
+        if (ticket.empty()) { // the ticket expired meanwhile; a new one may be granted
             on_start_refused(track, order_failure::no_ticket, now);
             return;
         }
@@ -181,7 +182,7 @@
 void dispatcher::send_stop(run_track& track, time_point now) {
     auto& worker = *track.host;
     if (worker.report.address.empty() || worker.awaits_fence) {
-        return; // its lease decides
+        return; // the run's lease decides
     }
     ++m_counts.stops;
     stop_order order;
@@ -198,7 +199,7 @@
     }
     track.is_stop_wanted = true;
     if (track.stage != run_stage::committing) {
-        // A start under way does not matter: a run that is stopped before it is there never starts.
+        // A start in flight does not matter: a run that is stopped before it has started never starts.
         track.is_order_pending = false;
         send_due_order(track, now);
     }
@@ -242,7 +243,7 @@
         return;
     }
     if (track->is_stop_wanted) {
-        return; // the stop under way decides
+        return; // the stop in flight decides
     }
     handle_order_answer(*track, answer, now);
     check_clock_reset(*track->host, answer.clock_ms, now);
@@ -272,16 +273,16 @@
     switch (failure) {
     case order_failure::unanswered:
         track.may_start_late = true;
-        return; // repeated: the same start twice starts once
+        return; // retried; a start is idempotent
     case order_failure::unreachable:
     case order_failure::not_sent:
-        return; // repeated
+        return; // retried
     case order_failure::late_lease:
         track.next_order = now + unsent_pause;
         schedule_order(track);
         return;
     case order_failure::old_run:
-        // An earlier start of this run was carried out, and the run has ended: the list says how.
+        // An earlier start of this run was executed and the run has ended. The list says how.
         log_run_started(track, "old_run", m_term, now);
         track.stage = run_stage::running;
         track.confirmed_at = now;
@@ -308,7 +309,7 @@
         ++m_counts.refused_other;
         break;
     }
-    schedule_hold(worker, now); // its list tells what it thinks it runs
+    schedule_hold(worker, now); // its list shows what it considers running
     if (failure == order_failure::no_room) {
         worker.trust.on_refusal(now);
     }
@@ -317,7 +318,7 @@
 
 void dispatcher::return_to_queue(run_track& track, time_point now) {
     if (track.may_start_late) {
-        stop_run(track, now); // once the worker has answered that, no earlier start is carried out
+        stop_run(track, now); // once the worker has answered the stop, no earlier start is executed
         return;
     }
     propose_end(track, run_end::not_started, {end_reason::given_back, track.start_sent, 0}, now);
@@ -334,7 +335,7 @@
         track->is_stop_answered = true;
         track->stop_answered_at = now;
         if (!track->host->is_hold_pending) {
-            schedule_hold(*track->host, now); // the list says whether it was there
+            schedule_hold(*track->host, now); // the list shows whether the run existed
         }
     } else if (answer.failure == order_failure::other_life) {
         on_worker_lost(*track->host, end_reason::another_life_answers, now);
--- a/poplarpitch/dispatch/dispatcher_waits.cpp
+++ b/poplarpitch/dispatch/dispatcher_waits.cpp
@@ -1,4 +1,4 @@
-// Finds tasks that wait for long beside workers with room, and tells why each worker is passed over.
+// Finds tasks that wait for long although workers have room, and reports why each worker is ruled out.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/placement.h"
@@ -13,11 +13,12 @@
 namespace {
 
 constexpr duration waits_interval = seconds{1};
-constexpr duration long_wait_threshold = seconds{3}; // a task that finds room has no cause to wait for longer
-constexpr std::size_t max_reported_waits = 5;        // a pass: what holds up one task mostly holds up many
-constexpr std::size_t max_examined_steps = 20;       // a pass; a look at 490 workers takes some 20 us
+constexpr duration long_wait_threshold =
+    seconds{3};                                // a task that finds room has no reason to wait for longer
+constexpr std::size_t max_reported_waits = 5;  // per pass; an obstacle for one task usually affects many
+constexpr std::size_t max_examined_steps = 20; // per pass; examining 490 workers takes some 20 us
 
-/// Returns how many workers each obstacle stands for, as `name:count` with commas between.
+/// Returns the number of workers for each obstacle, as `name:count` separated by commas.
 std::string format_counts(const long_wait& wait) {
     std::string text;
     for (std::size_t number = 0; number < placement_obstacles; ++number) {
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -1,4 +1,4 @@
-// What the leader knows of workers: heartbeats, lists, leases, losses.
+// State of workers: heartbeats, lists, leases, losses.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/history_log.h"
@@ -12,14 +12,14 @@
 namespace poplarpitch {
 namespace {
 
-// A list that is asked for before its ends are committed comes back at once with the same ends. Leases run on
-// meanwhile, so they are prolonged all the same where the log stands still.
+// A hold that is sent before the listed ends are committed returns at once with the same ends. Leases still
+// have to be renewed, even if the log makes no progress.
 constexpr duration commit_hold_pause = milliseconds{500};
 constexpr double max_strain_pauses =
-    5; // by how much the pause before a hold grows at most: ends come together
-constexpr duration hold_slack = milliseconds{800}; // over the wait that was asked for
+    5; // maximum growth of the pause between holds; ends then arrive in batches
+constexpr duration hold_slack = milliseconds{800}; // added to the requested wait
 
-/// Returns why a hold has no list that its worker can be known by.
+/// Returns why the answer to a hold cannot be used to identify the worker's incarnation, or nothing.
 std::optional<order_failure> get_hold_failure(const worker_state& worker, const hold_outcome& outcome) {
     const bool omits_birth_time = outcome.answer.born_ms == 0 && worker.report.life.born_ms != 0;
     if (!outcome.failure.has_value() && omits_birth_time) {
@@ -72,7 +72,7 @@
     }
     auto& worker = get_or_add_worker(report.life, now);
     if (worker.has_report && report.sequence <= worker.report.sequence) {
-        return worker.is_leaving && !m_book.is_retired(report.life); // late; only what it asks for counts
+        return worker.is_leaving && !m_book.is_retired(report.life); // late; only the request to leave counts
     }
     const bool is_new = !worker.has_report;
     worker.report = report;
@@ -93,7 +93,7 @@
             .add("memory_mb", report.capacity.memory_mb);
         for (const auto& life : m_workers.add_address(worker)) {
             if (auto* other = find_worker(life); other != nullptr && other != &worker) {
-                schedule_hold(*other, now); // its answer tells which of the two lives
+                schedule_hold(*other, now); // its answer shows which of the two is alive
             }
         }
     }
@@ -111,8 +111,9 @@
     return is_leaving && !m_book.is_retired(report.life);
 }
 
-/// Heartbeats of one worker may come by several relays, each of which compares them with what it told itself;
-/// and what it told may have been lost. So each names the report that it repeats.
+/// Heartbeats of one worker may arrive through several relays. Each relay compares them with the reports that
+/// it has sent itself, and these may have been lost. Every short heartbeat therefore names the report that it
+/// refers to.
 bool dispatcher::on_sign_of_life(const sign_of_life& sign, time_point now) {
     if (!is_leading() || is_stale(sign.worker)) {
         return true;
@@ -155,11 +156,11 @@
     if (worker == nullptr) {
         return;
     }
-    auto line = log_event(log_level::info, "worker_goodbye");
+    auto line = log_event(log_level::info, "worker_deregistered");
     add_worker(line, life).add("runs", static_cast<std::uint64_t>(worker->runs.size()));
     worker->is_leaving = true;
     worker->leaves_at = now;
-    worker->next_hold = now; // its answer, or none, says when it has ended
+    worker->next_hold = now; // its answer, or the lack of one, shows when it has ended
     m_workers.schedule_check(*worker, now);
 }
 
@@ -176,7 +177,7 @@
 void dispatcher::grant_lease(worker_state& worker, time_point now) {
     worker.granted_at = now;
     worker.lease_end = std::max(worker.lease_end, now + get_lease_span(m_settings.lease));
-    // It may come to another life of that id, which takes it by its own clock.
+    // The grant may reach another incarnation of that id, which applies it to its own clock.
     for (auto* other : m_workers.find_other_lives(worker.report.life)) {
         grant_longest_lease(*other, now);
     }
@@ -191,8 +192,8 @@
            m_settings.lease_margin;
 }
 
-/// Looks at mixed workers only tune the paces: they are the first to become rarer when the leader's thread
-/// has more to do than it can.
+/// Holds of workers with both serving and filling tasks only tune the paces, so they are the first to become
+/// rarer when the leader's thread is overloaded.
 duration dispatcher::get_hold_wait(const worker_state& worker) const {
     const bool is_mixed = worker.servings > 0 && worker.fills > 0;
     if (!is_mixed) {
@@ -210,8 +211,8 @@
     }
     order.target = make_target(worker, order.wait + hold_slack);
     order.acknowledged = worker.acknowledged;
-    // A worker that hears us while we do not hear it must not keep its lease: its runs could never be given
-    // up. Nor is one prolonged for runs that are not to be there.
+    // A worker that receives our orders while its answers are lost must not keep its lease, since its runs
+    // could then never be given up. Nor is a lease renewed for runs that should not be on the worker.
     const bool has_only_strays = worker.has_stray_runs && worker.runs.empty();
     if (!worker.is_silent() && worker.clock_ms != 0 && !has_only_strays) {
         order.until_ms =
@@ -233,7 +234,7 @@
         return;
     }
     worker->is_hold_pending = false;
-    m_workers.schedule_check(*worker, now); // a turn later: what it asks for is known then
+    m_workers.schedule_check(*worker, now); // in the next turn, when its requests are known
     if (worker->is_lost) {
         return;
     }
@@ -243,8 +244,8 @@
             on_worker_lost(*worker, end_reason::another_life_answers, now);
             return;
         }
-        worker->acknowledged_sent = 0;            // what it was told may not have arrived
-        if (failure == order_failure::not_sent) { // says nothing of the worker
+        worker->acknowledged_sent = 0;            // the last acknowledgement may have been lost
+        if (failure == order_failure::not_sent) { // says nothing about the worker
             ++m_counts.not_sent;
             worker->next_hold = now + get_backoff(1, m_settings.retry_pause, worker->spread);
             return;
@@ -285,7 +286,7 @@
         raise_fence(*worker);
         return;
     }
-    if (worker->hold_fence < worker->fence) { // orders under the lower fence may yet follow
+    if (worker->hold_fence < worker->fence) { // orders under the lower fence may still arrive
         schedule_hold(*worker, now);
         return;
     }
@@ -309,12 +310,12 @@
     for (const auto& row : answer.running) {
         auto* track = find(row.run);
         if (track == nullptr || track->host != &worker) {
-            worker.has_stray_runs = true; // until a list shows that the stop came
+            worker.has_stray_runs = true; // until a list shows that the stop was executed
             stop_stray_run(worker, row.run);
             continue;
         }
         if (track->stage == run_stage::committing) {
-            continue; // cannot be: nothing was sent
+            continue; // impossible: nothing was sent
         }
         if (track->stage != run_stage::running) {
             if (track->stage == run_stage::adopting) {
@@ -331,7 +332,7 @@
         track->percent = row.percent;
         track->level = row.level;
     }
-    // Ends up to a number are acknowledged together, so none of them may be passed over.
+    // Ends are acknowledged up to a number, so none of them may be skipped.
     auto ended = answer.ended;
     std::sort(ended.begin(), ended.end());
     for (const auto& row : ended) {
@@ -348,7 +349,7 @@
 void dispatcher::process_end(worker_state& worker, const end_row& row, time_point now) {
     auto* track = find(row.run);
     if (row.number <= worker.acknowledged) {
-        worker.acknowledged_sent = 0; // it has not heard of that yet
+        worker.acknowledged_sent = 0; // the worker has not received the acknowledgement yet
     }
     if (row.number <= worker.seen) {
         if (track != nullptr && !track->is_ending) {
@@ -364,7 +365,7 @@
     worker.seen = row.number;
     if (track == nullptr || track->host != &worker || track->is_ending) {
         log_unknown_end(worker, track, row);
-        return; // an earlier leader's, or given up before
+        return; // assigned by an earlier leader, or given up before
     }
     if (row.end == run_end::done) {
         worker.trust.on_success();
@@ -384,7 +385,7 @@
         if (track.is_ending || std::binary_search(listed.begin(), listed.end(), key)) {
             continue;
         }
-        // Under this leader's fence a start of an earlier one is refused from now on.
+        // Under this leader's fence, a start of an earlier leader is refused from now on.
         const bool never_came = track.stage == run_stage::adopting;
         const bool was_there = track.stage == run_stage::running && track.confirmed_at != time_point{} &&
                                track.confirmed_at < worker.hold_sent;
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -13,8 +13,7 @@
 constexpr double failed_there_cost = 3; // the task failed on this worker; another one may do better
 constexpr double doubtful_cost = 1.5;   // the worker's last run failed
 constexpr double beside_filling_cost = 0.3; // a serving task on a worker with filling tasks
-constexpr double no_serving_cost = 0.8;     // a filling task where nothing serves; such workers are kept for
-                                            // filling tasks with high interference
+constexpr double no_serving_cost = 0.8;     // filling task where nothing serves: kept for high interference
 constexpr double fullness_weight = 0.3;     // of the used share of the spare processor time
 constexpr double first_serving_cost = 1.0;  // the first serving task of a worker
 constexpr double other_image_cost = 1.5;    // for each other job of another image that serves on the worker
--- a/poplarpitch/dispatch/pressure_model.cpp
+++ b/poplarpitch/dispatch/pressure_model.cpp
@@ -16,7 +16,7 @@
 constexpr double max_factor = 8;
 constexpr double max_load = 0.9;
 constexpr double min_factor_variance = 0.003; // of a factor, which is never considered certain
-constexpr double uncertainty_weight = 0.2;    // standard deviations added to a factor for placement
+constexpr double uncertainty_weight = 0.2;    // standard deviations added to a factor that decisions rely on
 constexpr double light_use = 0.55;   // share of the requested processor time at the least interference
 constexpr double light_phase = 0.15; // interference factor of the lightest phase
 
