--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -1,4 +1,4 @@
-// What becomes of jobs: opening, readiness, occurrences, ends.
+// Lifecycle of jobs: opening, readiness, occurrences, ends.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/erase_job.h"
@@ -13,13 +13,13 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration place_interval = milliseconds{100}; // while tasks wait; otherwise events ask for it
-// Between looks at all workers and runs for what is due. A turn comes for each message, 2,000 a second with
-// 490 workers: a look at 490 workers and 5,000 runs in each took a tenth of the leader's time.
-constexpr duration watch_interval = milliseconds{5};
-// Heartbeats, and relays, tell a new leader sooner of all workers that live; only the others are asked
-// unheard.
-constexpr duration announce_patience = milliseconds{400};
+constexpr duration place_interval = milliseconds{100}; // while tasks wait; otherwise events trigger a pass
+// Between checks of all workers and runs for what is due. A turn is run for each message, 2,000 a second with
+// 490 workers. Checking 490 workers and 5,000 runs in each turn took a tenth of the leader's time.
+constexpr duration check_interval = milliseconds{5};
+// Heartbeats and relays report all live workers to a new leader sooner than this. Only the others are sent a
+// hold before they have reported.
+constexpr duration announce_timeout = milliseconds{400};
 
 } // namespace
 
@@ -34,11 +34,11 @@
     retire();
     m_term = term;
     m_lasting.clear(now);
-    m_crowding = 0;
+    m_filling_backlog = 0;
     m_pressure.load(m_book.get_pressure());
     for (const auto& [id, record] : m_book.get_jobs()) {
         if (record.phase == job_phase::open) {
-            find_suspects(record, now);
+            restore_suspects(record, now);
             const auto age = std::max<std::int64_t>(wall_ms - record.job->accepted_ms, 0);
             open(record, now - milliseconds{age}, now, wall_ms);
         } else {
@@ -48,37 +48,39 @@
     for (const auto& [key, run] : m_book.get_assigned_runs()) {
         const auto* record = m_book.find_job(key.task.step.job);
         adopt_worker(run, now);
-        add_track(key, record->job, run.worker, run_stage::adopting, m_suspects.get_caution(key.task), now);
+        add_track(key, record->job, run.worker, run_stage::adopting, m_suspects.get_isolation(key.task), now);
         if (record->phase != job_phase::open) {
             stop_run(*find(key), now);
         }
     }
     limit_probations();
     m_must_place = true;
-    tell_took_over(
+    log_takeover(
         {term, get_fence(), m_jobs.size(), m_tracks.size(), m_workers.get_map().size(), count_waiting()});
 }
 
-/// A life that ended with the former leader never announces itself again. Asked at its address, the life
-/// after it answers, and its runs need not wait for their lease.
+/// Makes the worker of a run known that was assigned before this leader's term. An incarnation that ended
+/// together with the former leader never sends a heartbeat. When a hold is sent to its address, the next
+/// incarnation answers, and its runs need not wait for their lease to expire.
 void dispatcher::adopt_worker(const assigned_run& run, time_point now) {
-    auto& worker = know_life(run.worker, now);
+    auto& worker = get_or_add_worker(run.worker, now);
     grant_lease(worker, now); // an earlier leader may have granted one just now
     if (worker.report.address.empty() && !run.address.empty()) {
         worker.report.address = run.address;
-        worker.next_hold = now + announce_patience;
+        worker.next_hold = now + announce_timeout;
         worker.last_heartbeat = now;
-        m_workers.note_address(worker);
+        m_workers.add_address(worker);
     }
 }
 
-void dispatcher::find_suspects(const job_record& record, time_point now) {
+void dispatcher::restore_suspects(const job_record& record, time_point now) {
     for (const auto& [number, occurrence] : record.occurrences) {
         for (std::uint32_t step = 0; step < occurrence.steps.size(); ++step) {
             const auto& tasks = occurrence.steps[step].tasks;
             for (std::uint32_t index = 0; index < tasks.size(); ++index) {
                 if (tasks[index].crash.crashes > 0 && tasks[index].phase != task_phase::done) {
-                    m_suspects.note({{record.job->id, number, step}, index}, tasks[index].crash.crashes, now);
+                    m_suspects.record_crashes({{record.job->id, number, step}, index},
+                                              tasks[index].crash.crashes, now);
                 }
             }
         }
@@ -88,7 +90,7 @@
 void dispatcher::retire() {
     m_term = 0;
     m_workers.clear();
-    m_gone.clear();
+    m_lost_workers.clear();
     m_is_raising_fence = false;
     m_tracks.clear();
     m_jobs.clear();
@@ -100,11 +102,11 @@
     m_is_advising = false;
     m_due.clear();
     m_ended.clear();
-    m_awaited = {};
+    m_scheduled_orders = {};
     m_orders.clear();
     m_commands.clear();
     m_timings.clear();
-    m_next_watch = {};
+    m_next_check = {};
     m_next_pools = {};
     m_next_audit = {};
     m_next_waits = {};
@@ -149,25 +151,25 @@
         m_jobs[record.job->id].due.emplace(occurrence, now);
     }
     for (std::uint32_t step = 0; step < record.job->steps.size(); ++step) {
-        consider_step(record, {record.job->id, occurrence, step}, now);
+        make_step_ready(record, {record.job->id, occurrence, step}, now);
     }
 }
 
-void dispatcher::consider_step(const job_record& record, const step_key& key, time_point now) {
+void dispatcher::make_step_ready(const job_record& record, const step_key& key, time_point now) {
     if (!record.may_begin(key.occurrence, key.step)) {
         return;
     }
     const auto& spec = record.job->steps[key.step];
     const auto* step = record.find_step(key.occurrence, key.step);
     for (std::uint32_t index = 0; index < spec.count; ++index) {
-        // An occurrence without a record has not begun: all of its tasks wait.
+        // An occurrence without a record has not begun, so all of its tasks wait.
         if (step == nullptr || step->tasks[index].phase == task_phase::waiting) {
-            make_ready({key, index}, now);
+            make_task_ready({key, index}, now);
         }
     }
 }
 
-void dispatcher::make_ready(const task_key& key, time_point now) {
+void dispatcher::make_task_ready(const task_key& key, time_point now) {
     const auto* record = m_book.find_job(key.step.job);
     if (record == nullptr || record->phase != job_phase::open) {
         return;
@@ -177,7 +179,7 @@
         ready.job = record->job;
         const auto lengths = m_forecast.get_lengths_ms(*record->job, key.step.occurrence);
         ready.objective_ms = to_milliseconds(record->job->get_objective(lengths));
-        ready.rest_ms = record->job->get_rest_ms(key.step.step, lengths);
+        ready.remaining_ms = record->job->get_rest_ms(key.step.step, lengths);
     }
     ready.since = ready.waiting.empty() ? now : ready.since;
     ready.waiting.insert(key.index);
@@ -185,7 +187,7 @@
 }
 
 void dispatcher::close(job_id id, time_point now) {
-    note_ended(id, now);
+    record_job_end(id, now);
     m_forecast.forget(id);
     m_lasting.remove(id);
     const auto running = m_jobs.contains(id) ? std::move(m_jobs.at(id).runs) : decltype(open_job::runs){};
@@ -216,14 +218,14 @@
     case book_event::kind::run_assigned:
         if (auto* track = find(event.run); track != nullptr) {
             track->stage = run_stage::starting;
-            push_track(*track, now);
+            send_due_order(*track, now);
         }
         return;
     case book_event::kind::run_refused: {
         drop_track(event.run, now);
         const auto* task = m_book.find_task(event.run.task);
         if (task == nullptr || task->phase == task_phase::waiting) {
-            make_ready(event.run.task, now);
+            make_task_ready(event.run.task, now);
         }
         return;
     }
@@ -241,7 +243,7 @@
         for (key.step = done + 1; key.step < record->job->steps.size(); ++key.step) {
             const auto& after = record->job->steps[key.step].depends_on;
             if (std::find(after.begin(), after.end(), done) != after.end()) {
-                consider_step(*record, key, now);
+                make_step_ready(*record, key, now);
             }
         }
         return;
@@ -256,7 +258,7 @@
         return;
     case book_event::kind::config_changed:
         for (auto* worker : m_workers.get_all()) {
-            note_room(*worker);
+            update_room_expiry(*worker);
         }
         m_must_place = true;
         return;
@@ -265,20 +267,21 @@
 
 void dispatcher::on_run_ended(const book_event& event, time_point now) {
     const auto* ended = find(event.run);
-    auto* worker = ended == nullptr ? find_worker(event.worker) : ended->host; // of whose list the number is
+    auto* worker = ended == nullptr ? find_worker(event.worker)
+                                    : ended->host; // the one whose list the number belongs to
     if (worker != nullptr && event.number > 0) {
         worker->ends_committing -= worker->ends_committing > 0 ? 1 : 0;
         update_acknowledged(*worker);
         if (worker->ends_committing == 0) {
-            hold_soon(*worker, now);
+            schedule_hold(*worker, now);
         }
     }
     m_must_place = true;
     if (ended == nullptr) {
         return;
     }
-    note_run_time(*ended, event.end, now);
-    tell_ended(*ended, event.end, m_term, now);
+    record_run_time(*ended, event.end, now);
+    log_run_ended(*ended, event.end, m_term, now);
     drop_track(event.run, now);
     if (event.end == run_end::done) {
         ++m_counts.done_runs;
@@ -292,7 +295,7 @@
         return;
     }
     if (task->phase == task_phase::waiting) {
-        make_ready(event.run.task, now);
+        make_task_ready(event.run.task, now);
         break_gang(event.run, now);
     }
     if (task->phase == task_phase::done) {
@@ -305,12 +308,12 @@
     }
 }
 
-void dispatcher::note_run_time(const run_track& track, run_end end, time_point now) {
+void dispatcher::record_run_time(const run_track& track, run_end end, time_point now) {
     if (!track.has_known_start || track.get_spec().long_running) {
         return;
     }
     const auto took_ms = to_milliseconds(now - track.confirmed_at);
-    const bool is_first = track.key.run == 1; // a later one may go on from a checkpoint
+    const bool is_first = track.key.run == 1; // a later run may resume from a checkpoint
     if (end == run_end::done && is_first) {
         m_forecast.on_done(track.key.task, took_ms);
     }
@@ -325,7 +328,7 @@
     if (!spec.gang) {
         return;
     }
-    // The others wait for a member that does not come: stopped now they hold their room no longer.
+    // The other members wait for one that will not come. Stopping them now frees their room.
     for (std::uint32_t index = 0; index < spec.count; ++index) {
         if (auto* track = find({{ended.task.step, index}, ended.run}); track != nullptr) {
             stop_run(*track, now);
@@ -359,13 +362,13 @@
     }
     begin_due_occurrences(now, wall_ms);
     forget_old_jobs(now);
-    if (now >= m_next_watch) {
-        m_next_watch = now + watch_interval;
-        watch_workers(now);
-        repeat_orders(now);
+    if (now >= m_next_check) {
+        m_next_check = now + check_interval;
+        check_workers(now);
+        send_scheduled_orders(now);
     }
     if (!m_ready.empty() && now >= m_next_place) {
-        m_must_place = true; // a worker that was set aside may have come back
+        m_must_place = true; // a worker that was set aside may be usable again
         m_next_place = now + place_interval;
     }
     if (can_commit) {
@@ -373,7 +376,7 @@
         start_copies(now);
     }
     observe_pools(now);
-    note_pressure(now);
+    save_pressure(now);
     report_load(now);
     audit(now);
     report_waits(now);
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -1,4 +1,4 @@
-// Which jobs are taken.
+// Admission of jobs.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include <algorithm>
@@ -6,18 +6,18 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration pool_interval = milliseconds{500}; // between looks at what the pools are used for
-constexpr double crowding_weight =
-    0.2; // of a new look: two thirds in 2.5 s, longer than a wave of new jobs waits
+constexpr duration pool_interval = milliseconds{500}; // between measurements of the use of the pools
+constexpr double backlog_weight =
+    0.2; // of a new measurement: two thirds in 2.5 s, longer than a burst of new jobs waits
 
 constexpr duration overload_wait =
-    seconds{2}; // a turn that is late by 0.4 s has some seconds of work before it
+    seconds{2}; // a turn that is late by 0.4 s has some seconds of work ahead of it
 constexpr std::uint64_t overload_spread_ms =
-    2000; // callers that were sent away together come back one by one
+    2000; // spreads the retries of callers that were refused together
 
-/// Returns when a job that came while the leader was behind should be sent again. Load pattern: after a power
-/// loss or an election all callers come back at the same moment, and a thread that is already late only falls
-/// further behind with what it has promised.
+/// Returns the time after which a job that arrived while the leader lagged behind should be submitted again.
+/// Load pattern: after a power loss or an election, all callers return at the same moment, and accepting more
+/// work would only increase the lag.
 duration get_overload_wait(job_id id) {
     return overload_wait + milliseconds{static_cast<std::int64_t>(id % overload_spread_ms)};
 }
@@ -27,7 +27,7 @@
 admission dispatcher::admit(const step_job& job, time_point now) {
     admission decided;
     decided.wanted = job.get_lasting_millicores();
-    if (m_lasting.contains(job.id)) { // sent again while the first one is being decided
+    if (m_lasting.contains(job.id)) { // submitted again while the first submission is being decided
         return decided;
     }
     if (m_load.lag > m_settings.most_lag) {
@@ -44,7 +44,7 @@
     decided.reserved = m_lasting.get_reserved(pool);
     decided.allowed = m_lasting.get_allowed(pool, now);
     if (m_lasting.has_room(pool, decided.wanted, now)) {
-        // It counts from now on, so that jobs that come at the same moment do not all find the same room.
+        // Counted from now on, so that jobs arriving at the same moment do not all find the same room.
         m_lasting.add(job.id, pool, decided.wanted);
         return decided;
     }
@@ -68,10 +68,10 @@
     std::map<std::string, lasting_quota::pool_use> pools;
     std::map<std::string, std::int64_t> reserved; // millicores
     for (const auto* worker : m_workers.get_all()) {
-        if (worker->has_report && !worker->is_gone && !worker->is_leaving) {
+        if (worker->has_report && !worker->is_lost && !worker->is_leaving) {
             auto& use = pools[worker->report.pool];
             use.capacity += worker->report.capacity.millicores;
-            use.other_demand += worker->short_cores + worker->fill_cores;
+            use.other_demand += worker->short_millicores + worker->fill_millicores;
             reserved[worker->report.pool] += worker->reserved.millicores;
         }
     }
@@ -80,27 +80,27 @@
             pools[ready.job->queue.pool].other_demand += ready.get_wanted(key);
         }
     }
-    m_roomy.clear();
+    m_underused_pools.clear();
     for (const auto& [pool, use] : pools) {
         m_lasting.observe(pool, use, now);
         if (2 * reserved[pool] < use.capacity) {
-            m_roomy.insert(pool);
+            m_underused_pools.insert(pool);
         }
     }
-    measure_crowding();
+    measure_filling_backlog();
 }
 
-void dispatcher::measure_crowding() {
+void dispatcher::measure_filling_backlog() {
     std::int64_t running = 0; // millicores of filling tasks
     std::int64_t waiting = 0;
     for (const auto* worker : m_workers.get_all()) {
-        running += worker->fill_cores;
+        running += worker->fill_millicores;
     }
     for (const auto& [key, ready] : m_ready) {
         waiting += ready.job->steps[key.step].fills ? ready.get_wanted(key) : 0;
     }
     const auto share = static_cast<double>(waiting) / static_cast<double>(std::max<std::int64_t>(running, 1));
-    m_crowding += crowding_weight * (std::min(share, 1.0) - m_crowding);
+    m_filling_backlog += backlog_weight * (std::min(share, 1.0) - m_filling_backlog);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -1,4 +1,4 @@
-// Tasks that may have crashed their workers: what a loss says of each run, and what becomes of a suspect.
+// Tasks that may have crashed their workers: what a loss says about each run, and how suspects are treated.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/run_log.h"
@@ -11,32 +11,32 @@
 namespace poplarpitch {
 namespace {
 
-// A run whose worker crashed this soon after its start has just begun: neighbours of which the same is true
-// twice in a row are rare, since tasks run for seconds. Nor can it have ended well without being listed yet.
-constexpr duration just_begun = milliseconds{250};
+// A run whose worker crashed this soon after its start has just begun. It is rare that this holds for a
+// neighbour twice in a row, since tasks run for seconds. Nor can the run have completed without being listed.
+constexpr duration just_begun_age = milliseconds{250};
 constexpr std::int64_t just_begun_part = 4; // of its estimate, which may be off by half
 
-/// Returns true when the run may have been at its worker.
+/// Returns true when the run may have existed on its worker.
 bool may_have_begun(const run_track& track) {
     if (track.is_ending || track.stage == run_stage::committing) {
         return false;
     }
-    return track.stage != run_stage::starting || track.is_order_out || track.may_come_late;
+    return track.stage != run_stage::starting || track.is_order_pending || track.may_start_late;
 }
 
 bool has_just_begun(duration age, const step_spec& spec) {
     const bool is_long = spec.long_running || milliseconds{spec.estimate_ms} >= just_begun_part * age;
-    return age <= just_begun && is_long;
+    return age <= just_begun_age && is_long;
 }
 
 bool is_other_job(const run_track& left, const run_track& right) {
     return left.key.task.step.job != right.key.task.step.job;
 }
 
-void set_care(run_track& track, caution care) {
-    track.host->add_care(track.care, -1);
-    track.care = care;
-    track.host->add_care(track.care, 1);
+void set_isolation(run_track& track, isolation_level isolation) {
+    track.host->count_isolated(track.isolation, -1);
+    track.isolation = isolation;
+    track.host->count_isolated(track.isolation, 1);
 }
 
 } // namespace
@@ -51,10 +51,10 @@
     return std::max(end - begin, duration{0});
 }
 
-/// A worker that said that it leaves has not crashed, whatever became of it. What was cut off may have
-/// crashed, or its runs may have ended, at any time since; only where the last connection broke off, as it
-/// does with a process, a run that was confirmed was surely there.
-run_loss dispatcher::judge_loss(const run_track& track, time_point now) const {
+/// A worker that announced that it leaves has not crashed, whatever happened to it. A worker that was cut off
+/// may have crashed at any time since then, or its runs may have ended. A confirmed run certainly existed
+/// only if the last connection broke, as it does when the process ends.
+run_loss dispatcher::assess_loss(const run_track& track, time_point now) const {
     const auto& worker = *track.host;
     const auto age = get_age_at_loss(track, now);
     const bool is_confirmed = track.confirmed_at != time_point{};
@@ -63,25 +63,25 @@
     if (worker.is_leaving || m_book.is_retired(worker.report.life) || !may_have_begun(track)) {
         return loss;
     }
-    const bool was_heard = worker.hold_failures > 0 ? worker.has_broken_off : !worker.is_holding;
+    const bool was_heard = worker.hold_failures > 0 ? worker.has_failed_early : !worker.is_hold_pending;
     loss.crash = is_confirmed && was_heard ? compare_with_neighbours(track, age) : crash_evidence::possible;
     return loss;
 }
 
-/// The evidence is stronger against a task that was alone, and against one that had just begun, now and at
-/// the crash before, where no other suspect was there.
+/// The evidence is stronger against a task that ran alone. It is also stronger against one that had just
+/// begun, both now and at the previous crash, if no other suspect was present.
 crash_evidence dispatcher::compare_with_neighbours(const run_track& track,
                                                    std::optional<duration> age) const {
     bool is_alone = true;
-    bool is_only_suspect = track.care != caution::none;
+    bool is_only_suspect = track.isolation != isolation_level::none;
     for (const auto& [key, other] : track.host->runs) {
         if (may_have_begun(*other) && is_other_job(track, *other)) {
             is_alone = false;
-            is_only_suspect = is_only_suspect && other->care == caution::none;
+            is_only_suspect = is_only_suspect && other->isolation == isolation_level::none;
         }
     }
     const auto* task = m_book.find_task(track.key.task);
-    // Of a run that was found in a list its true age is not known: it is counted from that list.
+    // The true age of a run that was first seen in a list is unknown; it is counted from that list.
     const bool is_quick =
         age.has_value() && track.has_known_start && task != nullptr &&
         has_just_begun(std::max<duration>(*age, milliseconds{task->crash.longest_ms}), track.get_spec());
@@ -91,15 +91,15 @@
     return is_only_suspect && is_quick ? crash_evidence::likely : crash_evidence::shared;
 }
 
-/// All are judged before one of them ends: each is a neighbour of the others.
-std::vector<lapsed_run> dispatcher::judge_runs(const worker_state& worker, time_point now) const {
-    std::vector<lapsed_run> judged;
+/// All runs are assessed before one of them ends, since each is a neighbour of the others.
+std::vector<lapsed_run> dispatcher::assess_runs(const worker_state& worker, time_point now) const {
+    std::vector<lapsed_run> assessed;
     for (const auto& [key, run] : worker.runs) {
         if (!run->is_ending) {
-            judged.push_back({key, judge_loss(*run, now)});
+            assessed.push_back({key, assess_loss(*run, now)});
         }
     }
-    return judged;
+    return assessed;
 }
 
 void dispatcher::propose_crash(const lapsed_run& lapsed, const worker_life& worker) {
@@ -116,7 +116,7 @@
 
 void dispatcher::on_task_crashed(const book_event& event, time_point now) {
     ++m_counts.crashes;
-    m_suspects.note(event.run.task, static_cast<std::uint32_t>(event.number), now);
+    m_suspects.record_crashes(event.run.task, static_cast<std::uint32_t>(event.number), now);
     {
         auto line = log_event(log_level::warn, "task_crashed");
         add_run(line, event.run);
@@ -135,7 +135,8 @@
     line.add("reason", "its task crashed the workers that started it").add("crashes", event.number);
 }
 
-/// A suspect that has run in peace for long enough is one no more, and its worker takes other tasks again.
+/// A suspect that has run without a crash for long enough is cleared, and its worker accepts other tasks
+/// again.
 void dispatcher::clear_suspects(worker_state& worker, time_point now) {
     if (worker.suspects == 0) {
         return;
@@ -143,12 +144,12 @@
     for (const auto& [key, run] : worker.runs) {
         auto& track = *run;
         const auto* task = m_book.find_task(key.task);
-        const bool is_suspect = track.care != caution::none && track.stage == run_stage::running;
+        const bool is_suspect = track.isolation != isolation_level::none && track.stage == run_stage::running;
         if (!is_suspect || task == nullptr ||
             to_milliseconds(now - track.confirmed_at) < task->crash.get_peace_ms()) {
             continue;
         }
-        set_care(track, caution::none);
+        set_isolation(track, isolation_level::none);
         m_suspects.forget(key.task);
         m_must_place = true;
         auto line = log_event(log_level::info, "task_cleared");
@@ -157,9 +158,10 @@
     }
 }
 
-/// What the former leader kept is not known. Where a suspect runs beside others its worker was not kept.
+/// Which workers the former leader reserved is not known. A worker was not reserved if a suspect runs there
+/// beside other runs.
 void dispatcher::limit_probations() {
-    const auto most = get_most_probations(m_workers.get_all().size());
+    const auto most = get_max_probations(m_workers.get_all().size());
     std::size_t kept = 0;
     for (auto* worker : m_workers.get_all()) {
         if (worker->probations == 0) {
@@ -170,7 +172,7 @@
             continue;
         }
         for (const auto& [key, track] : worker->runs) {
-            set_care(*track, std::min(track->care, caution::apart));
+            set_isolation(*track, std::min(track->isolation, isolation_level::apart));
         }
     }
 }
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -1,4 +1,4 @@
-// Workers that leave, fall silent or are gone: when each is looked at, and what becomes of its runs.
+// Workers that leave, become silent or are lost: when each is checked, and what becomes of its runs.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/run_log.h"
@@ -10,19 +10,20 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration longest_look = milliseconds{500}; // between looks at a worker of which nothing is heard
-constexpr duration leaving_look = milliseconds{20};  // the same while it leaves and something runs there
-constexpr duration leave_slack = milliseconds{300};  // before a leaving worker's last moment
+constexpr duration max_check_interval = milliseconds{500}; // between checks of a worker that sends nothing
+constexpr duration leaving_check_interval =
+    milliseconds{20};                               // the same while the worker is leaving and has runs
+constexpr duration leave_slack = milliseconds{300}; // before a leaving worker's deadline
 
 } // namespace
 
-void dispatcher::watch_workers(time_point now) {
+void dispatcher::check_workers(time_point now) {
     for (auto* worker : m_workers.take_due(now, time_point::max())) {
-        watch_worker(*worker, now);
+        check_worker(*worker, now);
         if (may_forget(*worker, now)) {
-            m_workers.erase(worker_life{worker->report.life}); // a copy: the state goes
+            m_workers.erase(worker_life{worker->report.life}); // a copy, since the state is erased
         } else {
-            m_workers.look_at(*worker, get_next_look(*worker, now));
+            m_workers.schedule_check(*worker, get_next_check(*worker, now));
         }
     }
 }
@@ -31,11 +32,11 @@
     const bool is_idle = worker.runs.empty() && worker.ends_committing == 0;
     const auto kept = worker.lapsed.empty() ? m_settings.forget_after : m_settings.forget_lapsed_after;
     const bool is_silent = now - worker.last_heartbeat > kept;
-    return is_idle && (worker.is_gone || is_silent) && !worker.is_holding;
+    return is_idle && (worker.is_lost || is_silent) && !worker.is_hold_pending;
 }
 
-/// Adds what tells a task that crashes its worker from its neighbours and from a cut: how long it was there
-/// and how many runs were.
+/// Adds the fields that distinguish a task that crashes its worker from its neighbours and from a network
+/// cut: the age of the run, and the number of runs on the worker.
 void dispatcher::add_loss(log_event& line, const run_track& track, time_point now) {
     add_run(line, track.key);
     add_worker(line, track.host->report.life);
@@ -45,12 +46,12 @@
     line.add("runs", static_cast<std::uint64_t>(track.host->runs.size()));
 }
 
-void dispatcher::mark_gone(worker_state& worker, const char* reason, time_point now) {
-    worker.is_gone = true;
+void dispatcher::mark_lost(worker_state& worker, const char* reason, time_point now) {
+    worker.is_lost = true;
     worker.awaits_fence = false;
     worker.ends_committing = 0;
-    m_gone.insert(worker.report.life);
-    m_workers.look_at(worker, now);
+    m_lost_workers.insert(worker.report.life);
+    m_workers.schedule_check(worker, now);
     auto line = log_event(log_level::warn, "worker_lost");
     add_worker(line, worker.report.life)
         .add("reason", reason)
@@ -63,29 +64,29 @@
     worker.lapsed.clear();
 }
 
-void dispatcher::give_up_run(run_track& track, end_ground ground, const run_loss& loss, time_point now) {
+void dispatcher::mark_run_lost(run_track& track, end_reason reason, const run_loss& loss, time_point now) {
     ++m_counts.lost_runs;
     auto line = log_event(log_level::warn, "run_lost", log_weight::history);
-    line.add("reason", get_ground_name(ground));
+    line.add("reason", get_end_reason_name(reason));
     add_loss(line, track, now);
-    propose_end(track, run_end::lost, {ground, {}, 0}, now, {}, loss);
+    propose_end(track, run_end::lost, {reason, {}, 0}, now, {}, loss);
 }
 
-void dispatcher::lose_worker(worker_state& worker, end_ground ground, time_point now) {
-    if (worker.is_gone) {
+void dispatcher::on_worker_lost(worker_state& worker, end_reason reason, time_point now) {
+    if (worker.is_lost) {
         return;
     }
-    const auto judged = judge_runs(worker, now);
-    mark_gone(worker, get_ground_name(ground), now);
-    for (const auto& run : judged) {
-        give_up_run(*worker.runs.at(run.run), ground, run.loss, now);
+    const auto assessed = assess_runs(worker, now);
+    mark_lost(worker, get_end_reason_name(reason), now);
+    for (const auto& run : assessed) {
+        mark_run_lost(*worker.runs.at(run.run), reason, run.loss, now);
     }
 }
 
-/// Where ids are kept, a start may have come to a life after the one that it names, also one that was
-/// answered if nobody has noticed that life. Its clock counts anew, so only the longest lease that it grants
-/// bounds the run there. A task that lasts is at a worker for long, and has to come back within seconds: for
-/// it this counts only while it is not known what became of its start.
+/// Where worker ids are kept across restarts, a start may have reached a later incarnation than the one it
+/// names, even an answered start if that incarnation went unnoticed. The clock there restarts, so only the
+/// maximum lease length bounds the run. A long-running task stays at a worker for long and has to be
+/// restarted within seconds. For it, this counts only while the outcome of its start is unknown.
 time_point dispatcher::get_lease_end(const run_track& track) const {
     const auto& worker = *track.host;
     const bool is_start_known = !track.may_yet_start() && track.stage != run_stage::adopting;
@@ -96,18 +97,18 @@
     return std::max(worker.lease_end, worker.granted_at + get_lease_span(m_settings.longest_lease));
 }
 
-void dispatcher::watch_worker(worker_state& worker, time_point now) {
+void dispatcher::check_worker(worker_state& worker, time_point now) {
     if (needs_hold(worker) && worker.next_hold <= now) {
         send_hold(worker, now);
     }
-    if (worker.is_leaving && !worker.is_gone) {
+    if (worker.is_leaving && !worker.is_lost) {
         evacuate(worker, now);
     }
     const bool is_out_of_reach = !worker.has_report || worker.is_silent();
     if (!is_out_of_reach || worker.runs.empty() || now <= worker.lease_end) {
         return;
     }
-    for (const auto& run : judge_runs(worker, now)) {
+    for (const auto& run : assess_runs(worker, now)) {
         auto& track = *worker.runs.at(run.run);
         if (track.stage == run_stage::committing || now <= get_lease_end(track)) {
             continue;
@@ -118,20 +119,20 @@
         if (worker.listed_at != time_point{}) {
             line.add("listed_ms", to_milliseconds(now - worker.listed_at));
         }
-        propose_end(track, run_end::lost, {end_ground::lease_lapsed, {}, 0}, now, {},
+        propose_end(track, run_end::lost, {end_reason::lease_lapsed, {}, 0}, now, {},
                     {crash_evidence::none, run.loss.age_ms});
         const auto crash = std::min(run.loss.crash, crash_evidence::possible);
         worker.lapsed.push_back({run.run, {crash, run.loss.age_ms}});
     }
 }
 
-time_point dispatcher::get_next_look(const worker_state& worker, time_point now) const {
-    auto next = now + longest_look;
+time_point dispatcher::get_next_check(const worker_state& worker, time_point now) const {
+    auto next = now + max_check_interval;
     if (needs_hold(worker)) {
         next = std::min(next, worker.next_hold);
     }
-    if (worker.is_leaving && !worker.is_gone && !worker.runs.empty()) {
-        next = std::min(next, now + leaving_look);
+    if (worker.is_leaving && !worker.is_lost && !worker.runs.empty()) {
+        next = std::min(next, now + leaving_check_interval);
     }
     if (!worker.runs.empty() && worker.lease_end > now) {
         next = std::min(next, worker.lease_end);
