--- a/poplarpitch/policy/concurrency_limit.cpp
+++ b/poplarpitch/policy/concurrency_limit.cpp
@@ -6,10 +6,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double short_share = 1.0 / 50;
-constexpr double long_share = 1.0 / 2000;
+constexpr double short_mean_weight = 1.0 / 50;
+constexpr double long_mean_weight = 1.0 / 2000;
 constexpr double timeout_factor = 0.95;
-constexpr double lowest_gradient = 0.5;
+constexpr double min_gradient = 0.5;
 
 } // namespace
 
@@ -17,23 +17,23 @@
     : m_settings(settings), m_limit(settings.initial) {}
 
 void concurrency_limit::on_finished(duration latency, double in_flight) {
-    const double us = std::max(to_microseconds(latency), 1.0);
+    const double latency_us = std::max(to_microseconds(latency), 1.0);
     if (m_long_us == 0) {
-        m_short_us = us;
-        m_long_us = us;
+        m_short_us = latency_us;
+        m_long_us = latency_us;
     }
-    m_short_us += (us - m_short_us) * short_share;
-    m_long_us += (us - m_long_us) * long_share;
+    m_short_us += (latency_us - m_short_us) * short_mean_weight;
+    m_long_us += (latency_us - m_long_us) * long_mean_weight;
     // Coming out of a slow time, the long mean must not stay high for minutes.
     if (m_long_us > 2 * m_short_us) {
-        m_long_us *= 1 - long_share * 10;
+        m_long_us *= 1 - long_mean_weight * 10;
     }
     if (in_flight < m_limit / 2) {
         return; // the limit was not what held requests back, so this says nothing about it
     }
-    const double gradient = std::clamp(m_settings.tolerance * m_long_us / m_short_us, lowest_gradient, 1.0);
-    const double goal = m_limit * gradient + std::sqrt(m_limit);
-    m_limit += (goal - m_limit) * m_settings.smoothing;
+    const double gradient = std::clamp(m_settings.tolerance * m_long_us / m_short_us, min_gradient, 1.0);
+    const double new_limit = m_limit * gradient + std::sqrt(m_limit);
+    m_limit += (new_limit - m_limit) * m_settings.smoothing;
     m_limit = std::clamp(m_limit, m_settings.minimum, m_settings.maximum);
 }
 
--- a/poplarpitch/policy/eviction_candidate.cpp
+++ b/poplarpitch/policy/eviction_candidate.cpp
@@ -3,9 +3,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double least_growth = 0.02; // a task that slows nobody is not worth moving
-constexpr double move_seconds = 5;    // cost of a move beside the lost work
-constexpr double again_seconds = 30;  // added for each earlier eviction
+constexpr double min_growth = 0.02;        // a task that slows nobody is not worth moving
+constexpr double move_cost_seconds = 5;    // cost of a move beside the lost work
+constexpr double repeat_cost_seconds = 30; // added for each earlier eviction
 
 } // namespace
 
@@ -14,11 +14,11 @@
     double best_gain = 0;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         const auto& candidate = candidates[index];
-        if (!candidate.is_movable || candidate.growth < least_growth) {
+        if (!candidate.is_movable || candidate.growth < min_growth) {
             continue;
         }
         const double cost =
-            move_seconds + to_seconds(candidate.unsaved) + again_seconds * candidate.evictions;
+            move_cost_seconds + to_seconds(candidate.unsaved) + repeat_cost_seconds * candidate.evictions;
         const double gain = candidate.growth / cost;
         if (!best.has_value() || gain > best_gain) {
             best = index;
--- a/poplarpitch/policy/probe_timer.cpp
+++ b/poplarpitch/policy/probe_timer.cpp
@@ -5,12 +5,12 @@
 namespace poplarpitch {
 
 void probe_timer::set_objective(const objective_settings& objective) {
-    constexpr double even_s = 60;      // when tail and throughput weigh the same
-    constexpr double shortest_s = 20;  // a probe must end before the next tells anything new
-    constexpr double longest_s = 1800; // even a tail-first fleet wants to know within a few of these
-    constexpr double tiny_weight = 1e-6;
-    const double ratio = objective.tail / std::max(objective.throughput, tiny_weight);
-    const double interval_s = std::clamp(even_s * ratio * ratio * ratio, shortest_s, longest_s);
+    constexpr double balanced_s = 60; // when tail and throughput weigh the same
+    constexpr double min_s = 20;      // a probe must end before the next tells anything new
+    constexpr double max_s = 1800;    // even a tail-first fleet wants to know within a few of these
+    constexpr double min_weight = 1e-6;
+    const double ratio = objective.tail / std::max(objective.throughput, min_weight);
+    const double interval_s = std::clamp(balanced_s * ratio * ratio * ratio, min_s, max_s);
     m_interval = duration{static_cast<std::int64_t>(interval_s * 1e9)};
 }
 
--- a/poplarpitch/policy/relief_ladder.cpp
+++ b/poplarpitch/policy/relief_ladder.cpp
@@ -5,31 +5,31 @@
 namespace poplarpitch {
 
 relief_settings make_relief_settings(const objective_settings& objective) {
-    constexpr double largest_factor = 5;
-    constexpr double tiny_weight = 1e-6;
+    constexpr double max_factor = 5;
+    constexpr double min_weight = 1e-6;
     relief_settings settings;
     const double factor =
-        std::clamp(objective.throughput / std::max(objective.tail, tiny_weight), 1.0, largest_factor);
-    settings.enter = 1 + (settings.enter - 1) * factor;
-    settings.leave = 1 + (settings.leave - 1) * factor;
+        std::clamp(objective.throughput / std::max(objective.tail, min_weight), 1.0, max_factor);
+    settings.enter_slowdown = 1 + (settings.enter_slowdown - 1) * factor;
+    settings.exit_slowdown = 1 + (settings.exit_slowdown - 1) * factor;
     return settings;
 }
 
 relief_ladder::relief_ladder(const relief_settings& settings) : m_settings(settings) {}
 
 relief_step relief_ladder::update(double slowdown, time_point now) {
-    const bool is_pressed = slowdown >= m_settings.enter;
-    const bool is_calm = slowdown <= m_settings.leave;
-    if (is_pressed != m_is_pressed || is_calm != m_is_calm) {
-        m_is_pressed = is_pressed;
-        m_is_calm = is_calm;
+    const bool is_under_pressure = slowdown >= m_settings.enter_slowdown;
+    const bool has_recovered = slowdown <= m_settings.exit_slowdown;
+    if (is_under_pressure != m_is_under_pressure || has_recovered != m_has_recovered) {
+        m_is_under_pressure = is_under_pressure;
+        m_has_recovered = has_recovered;
         m_since = now;
         return m_step;
     }
-    if (is_pressed && now - m_since >= m_settings.climb_after && m_step != relief_step::evict) {
+    if (is_under_pressure && now - m_since >= m_settings.escalate_after && m_step != relief_step::evict) {
         m_step = static_cast<relief_step>(static_cast<int>(m_step) + 1);
         m_since = now;
-    } else if (is_calm && now - m_since >= m_settings.descend_after && m_step != relief_step::none) {
+    } else if (has_recovered && now - m_since >= m_settings.deescalate_after && m_step != relief_step::none) {
         m_step = static_cast<relief_step>(static_cast<int>(m_step) - 1);
         m_since = now;
     }
@@ -37,8 +37,8 @@
 }
 
 bool relief_ladder::is_eviction_due(time_point now) const {
-    return m_step == relief_step::evict && m_is_pressed &&
-           (m_last_eviction == time_point{} || now - m_last_eviction >= m_settings.evict_pause);
+    return m_step == relief_step::evict && m_is_under_pressure &&
+           (m_last_eviction == time_point{} || now - m_last_eviction >= m_settings.min_eviction_interval);
 }
 
 void relief_ladder::on_evicted(time_point now) {
--- a/poplarpitch/policy/relief_ladder.h
+++ b/poplarpitch/policy/relief_ladder.h
@@ -18,11 +18,11 @@
 
 /// Thresholds of the ladder.
 struct relief_settings {
-    double enter = 1.6; ///< slowdown of services at which the ladder is stepped on
-    double leave = 1.2; ///< below this it is stepped down; the gap keeps it from flapping
-    duration climb_after = milliseconds{1500}; ///< pressure must last this long for each step up
-    duration descend_after = seconds{5};       ///< calm must last this long for each step down
-    duration evict_pause =
+    double enter_slowdown = 1.6; ///< slowdown of services at which the ladder is stepped on
+    double exit_slowdown = 1.2;  ///< below this it is stepped down; the gap keeps it from flapping
+    duration escalate_after = milliseconds{1500}; ///< pressure must last this long for each step up
+    duration deescalate_after = seconds{5};       ///< calm must last this long for each step down
+    duration min_eviction_interval =
         seconds{10}; ///< between two evictions on one worker: the last must show its effect
 
     friend auto operator<=>(const relief_settings&, const relief_settings&) = default;
@@ -52,9 +52,9 @@
 private:
     relief_settings m_settings;
     relief_step m_step = relief_step::none;
-    bool m_is_pressed = false; ///< slowdown was above `enter` at the last update
-    bool m_is_calm = false;    ///< slowdown was below `leave` at the last update
-    time_point m_since{};      ///< when pressure or calm began, or the last step was taken
+    bool m_is_under_pressure = false; ///< slowdown was above `enter` at the last update
+    bool m_has_recovered = false;     ///< slowdown was below `leave` at the last update
+    time_point m_since{};             ///< when pressure or calm began, or the last step was taken
     time_point m_last_eviction{};
 };
 
--- a/poplarpitch/policy/retry_budget.cpp
+++ b/poplarpitch/policy/retry_budget.cpp
@@ -5,10 +5,10 @@
 namespace poplarpitch {
 
 retry_budget::retry_budget(const retry_budget_settings& settings)
-    : m_settings(settings), m_tokens(settings.reserve) {}
+    : m_settings(settings), m_tokens(settings.burst) {}
 
 void retry_budget::add_attempt() {
-    m_tokens = std::min(m_tokens + m_settings.ratio, m_settings.reserve);
+    m_tokens = std::min(m_tokens + m_settings.ratio, m_settings.burst);
 }
 
 bool retry_budget::try_take() {
--- a/poplarpitch/policy/retry_budget.h
+++ b/poplarpitch/policy/retry_budget.h
@@ -6,8 +6,8 @@
 
 /// Bounds of a retry budget.
 struct retry_budget_settings {
-    double ratio = 0.1;  ///< retries allowed for each first attempt: a tenth keeps a retry storm at 1.1x
-    double reserve = 10; ///< retries allowed on top after a quiet time
+    double ratio = 0.1; ///< retries allowed for each first attempt: a tenth keeps a retry storm at 1.1x
+    double burst = 10;  ///< retries allowed on top after a quiet time
 
     friend auto operator<=>(const retry_budget_settings&, const retry_budget_settings&) = default;
 };
--- a/poplarpitch/policy/worker_health.cpp
+++ b/poplarpitch/policy/worker_health.cpp
@@ -5,7 +5,7 @@
 namespace poplarpitch {
 
 worker_health::worker_health(const worker_health_settings& settings)
-    : m_settings(settings), m_pause(settings.first_pause) {}
+    : m_settings(settings), m_quarantine(settings.first_quarantine) {}
 
 void worker_health::on_success() {
     m_failures = 0;
@@ -13,24 +13,25 @@
         return;
     }
     ++m_successes;
-    if (m_successes >= m_settings.probation) {
+    if (m_successes >= m_settings.probation_successes) {
         m_trust = worker_trust::trusted;
-        m_pause = m_settings.first_pause;
+        m_quarantine = m_settings.first_quarantine;
     }
 }
 
 void worker_health::on_failure(time_point now) {
     ++m_failures;
-    const bool is_over = m_failures >= m_settings.streak || m_trust == worker_trust::probation;
-    if (is_over && m_trust != worker_trust::quarantined) {
+    const bool should_quarantine =
+        m_failures >= m_settings.failure_limit || m_trust == worker_trust::probation;
+    if (should_quarantine && m_trust != worker_trust::quarantined) {
         m_trust = worker_trust::quarantined;
-        m_until = now + m_pause;
-        m_pause = std::min(m_pause * 2, m_settings.longest_pause);
+        m_quarantine_end = now + m_quarantine;
+        m_quarantine = std::min(m_quarantine * 2, m_settings.max_quarantine);
     }
 }
 
 worker_trust worker_health::get_trust(time_point now) {
-    if (m_trust == worker_trust::quarantined && now >= m_until) {
+    if (m_trust == worker_trust::quarantined && now >= m_quarantine_end) {
         m_trust = worker_trust::probation;
         m_successes = 0;
         m_failures = 0;
--- a/poplarpitch/policy/worker_health.h
+++ b/poplarpitch/policy/worker_health.h
@@ -9,10 +9,10 @@
 
 /// When a worker is distrusted.
 struct worker_health_settings {
-    int streak = 5;                    ///< failures in a row, while others succeed, that lead to quarantine
-    duration first_pause = seconds{5}; ///< length of the first quarantine; doubles each time
-    duration longest_pause = seconds{300};
-    int probation = 3; ///< successes in a row that end probation
+    int failure_limit = 5; ///< failures in a row, while others succeed, that lead to quarantine
+    duration first_quarantine = seconds{5}; ///< length of the first quarantine; doubles each time
+    duration max_quarantine = seconds{300};
+    int probation_successes = 3; ///< successes in a row that end probation
 
     friend auto operator<=>(const worker_health_settings&, const worker_health_settings&) = default;
 };
@@ -43,8 +43,8 @@
     worker_trust m_trust = worker_trust::trusted;
     int m_failures = 0;  ///< in a row
     int m_successes = 0; ///< in a row, on probation
-    duration m_pause;
-    time_point m_until{};
+    duration m_quarantine;
+    time_point m_quarantine_end{};
 };
 
 } // namespace poplarpitch
--- a/unit_tests/policy/limits_test.cpp
+++ b/unit_tests/policy/limits_test.cpp
@@ -35,15 +35,15 @@
     for (int index = 0; index < 5000; ++index) {
         limit.on_finished(milliseconds{5}, limit.get_limit());
     }
-    const double calm = limit.get_limit();
+    const double normal_limit = limit.get_limit();
     for (int index = 0; index < 300; ++index) {
         limit.on_finished(milliseconds{80}, limit.get_limit());
     }
-    EXPECT_LT(limit.get_limit(), calm / 4);
+    EXPECT_LT(limit.get_limit(), normal_limit / 4);
     for (int index = 0; index < 8000; ++index) {
         limit.on_finished(milliseconds{5}, limit.get_limit());
     }
-    EXPECT_GT(limit.get_limit(), calm / 2);
+    EXPECT_GT(limit.get_limit(), normal_limit / 2);
 }
 
 TEST(concurrency_limit, learns_nothing_from_an_idle_service) {
@@ -74,9 +74,9 @@
 }
 
 TEST(relief_ladder, bears_more_where_throughput_weighs_more) {
-    EXPECT_EQ(make_relief_settings({3, 1, 1}).enter, relief_settings{}.enter);
-    EXPECT_GT(make_relief_settings({1, 3, 3}).enter, 2.5);
-    EXPECT_LT(make_relief_settings({1, 3, 3}).leave, make_relief_settings({1, 3, 3}).enter);
+    EXPECT_EQ(make_relief_settings({3, 1, 1}).enter_slowdown, relief_settings{}.enter_slowdown);
+    EXPECT_GT(make_relief_settings({1, 3, 3}).enter_slowdown, 2.5);
+    EXPECT_LT(make_relief_settings({1, 3, 3}).exit_slowdown, make_relief_settings({1, 3, 3}).enter_slowdown);
 }
 
 TEST(relief_ladder, stays_between_its_thresholds) {
