--- a/poplarpitch/policy/cost_placer.cpp
+++ b/poplarpitch/policy/cost_placer.cpp
@@ -11,7 +11,7 @@
     return whole > 0 ? static_cast<float>(part) / static_cast<float>(whole) : 0.0F;
 }
 
-constexpr float idle_rate = 0.01F; // requests a second; below, a service does not count
+constexpr float min_request_rate = 0.01F; // requests a second; below, a service does not count
 
 } // namespace
 
@@ -19,8 +19,8 @@
     : m_settings(settings) {
     const double sum = objective.tail + objective.throughput;
     if (sum > 0) {
-        m_tail = static_cast<float>(objective.tail / sum);
-        m_throughput = static_cast<float>(objective.throughput / sum);
+        m_tail_weight = static_cast<float>(objective.tail / sum);
+        m_throughput_weight = static_cast<float>(objective.throughput / sum);
     }
 }
 
@@ -30,9 +30,9 @@
     float growth = 0;
     float rate_sum = 0;
     for (const auto& load : candidate.services) {
-        const float rate = std::max(load.rate, idle_rate);
+        const float rate = std::max(load.rate, min_request_rate);
         growth += rate *
-                  static_cast<float>(interference.get_cautious_coefficient(load.service, request.batch)) *
+                  static_cast<float>(interference.get_coefficient_upper_bound(load.service, request.batch)) *
                   share;
         rate_sum += rate;
     }
@@ -42,24 +42,24 @@
 bool cost_placer::is_refused(const placement_candidate& candidate, const placement_request& request,
                              float growth, const interference_model& interference) const {
     // The bounds tighten with the weight of the tail: with equal weights they stand at twice the settings.
-    const float slack = m_tail > 0 ? 1 / m_tail : 1e6F;
-    if (candidate.slowdown > m_settings.refuse_slowdown * slack) {
+    const float slack = m_tail_weight > 0 ? 1 / m_tail_weight : 1e6F;
+    if (candidate.slowdown > m_settings.max_slowdown * slack) {
         return true;
     }
     if (request.is_probe || growth <= m_settings.max_growth * slack) {
         return false;
     }
     return std::any_of(candidate.services.begin(), candidate.services.end(), [&](const service_load& load) {
-        return interference.get_evidence(load.service, request.batch) >= m_settings.least_evidence;
+        return interference.get_evidence(load.service, request.batch) >= m_settings.min_evidence;
     });
 }
 
 float cost_placer::get_cost(const placement_candidate& candidate, const placement_request& request,
                             float growth) const {
-    const float trouble = std::max(candidate.slowdown - 1, 0.0F) * m_settings.trouble_weight;
-    const float tail =
-        m_tail * (growth + trouble * get_share(request.need.millicores, candidate.capacity.millicores));
-    const float time = m_throughput * (candidate.speed - 1);
+    const float slowdown_cost = std::max(candidate.slowdown - 1, 0.0F) * m_settings.slowdown_weight;
+    const float tail = m_tail_weight * (growth + slowdown_cost * get_share(request.need.millicores,
+                                                                           candidate.capacity.millicores));
+    const float time = m_throughput_weight * (candidate.speed - 1);
     // Waste: how differently cores and memory would be used up, so that neither is left without the other.
     const auto left = candidate.free - request.need;
     const float cores = get_share(left.millicores, candidate.capacity.millicores);
@@ -69,7 +69,7 @@
         waste += m_settings.accelerator_weight;
     }
     const float spread = m_settings.spread_weight * static_cast<float>(candidate.same_job_tenant);
-    return tail + time + waste * m_throughput + spread;
+    return tail + time + waste * m_throughput_weight + spread;
 }
 
 std::optional<std::size_t> cost_placer::pick(std::span<const placement_candidate> candidates,
--- a/poplarpitch/policy/cost_placer.h
+++ b/poplarpitch/policy/cost_placer.h
@@ -11,10 +11,10 @@
     float waste_weight = 0.3F;   ///< for leaving one resource idle while another is used up
     float accelerator_weight =
         0.5F;                     ///< for putting a task that needs none on a worker with free accelerators
-    float trouble_weight = 2.0F;  ///< for a worker whose services run slower than expected already
-    float refuse_slowdown = 3.0F; ///< with full tail weight, a worker this slow gets no more tasks
+    float slowdown_weight = 2.0F; ///< for a worker whose services run slower than expected already
+    float max_slowdown = 3.0F;    ///< with full tail weight, a worker this slow gets no more tasks
     float max_growth = 0.6F;      ///< with full tail weight, a predicted growth above this is refused
-    double least_evidence =
+    double min_evidence =
         50; ///< samples of a pair before its growth may refuse: what is never tried is never learned
 
     friend auto operator<=>(const cost_placer_settings&, const cost_placer_settings&) = default;
@@ -46,8 +46,8 @@
                                  float growth) const;
 
     cost_placer_settings m_settings;
-    float m_tail = 0.5F; ///< objective's tail weight over tail plus throughput
-    float m_throughput = 0.5F;
+    float m_tail_weight = 0.5F; ///< objective's tail weight over tail plus throughput
+    float m_throughput_weight = 0.5F;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/policy/decaying_histogram.cpp
+++ b/poplarpitch/policy/decaying_histogram.cpp
@@ -23,8 +23,8 @@
     using histogram_type =
         decltype(boost::histogram::make_histogram_with(std::vector<double>(), std::declval<log_axis>()));
 
-    storage(int bins, double from, double to, double memory)
-        : low(from), high(to), growth(std::exp(1.0 / memory)),
+    storage(int bins, double from, double to, double memory_samples)
+        : low(from), high(to), growth(std::exp(1.0 / memory_samples)),
           histogram(boost::histogram::make_histogram_with(std::vector<double>(), log_axis(bins, from, to))) {}
 
     double low;
@@ -35,10 +35,10 @@
     histogram_type histogram;
 };
 
-decaying_histogram::decaying_histogram(double low, double high, double memory) {
-    assert(low > 0 && high > low && memory >= 1);
+decaying_histogram::decaying_histogram(double low, double high, double memory_samples) {
+    assert(low > 0 && high > low && memory_samples >= 1);
     const int bins = static_cast<int>(std::ceil(std::log2(high / low))) * bins_per_octave;
-    m_storage = std::make_unique<storage>(bins, low, high, memory);
+    m_storage = std::make_unique<storage>(bins, low, high, memory_samples);
 }
 
 decaying_histogram::~decaying_histogram() = default;
@@ -62,11 +62,11 @@
 int decaying_histogram::find_bin(double q) const {
     const auto& data = *m_storage;
     const int bins = data.histogram.axis(0).size();
-    const double goal = std::clamp(q, 0.0, 1.0) * data.total;
+    const double wanted_weight = std::clamp(q, 0.0, 1.0) * data.total;
     double sum = 0;
     for (int bin = 0; bin < bins; ++bin) {
         sum += data.histogram.at(bin);
-        if (sum >= goal) {
+        if (sum >= wanted_weight) {
             return bin;
         }
     }
@@ -78,7 +78,7 @@
     return data.total <= 0 ? 0 : data.histogram.axis(0).bin(find_bin(q)).upper();
 }
 
-double decaying_histogram::get_middle_quantile(double q) const {
+double decaying_histogram::get_quantile_midpoint(double q) const {
     const auto& data = *m_storage;
     if (data.total <= 0) {
         return 0;
--- a/poplarpitch/policy/decaying_histogram.h
+++ b/poplarpitch/policy/decaying_histogram.h
@@ -11,7 +11,7 @@
 public:
     /// Preconditions: 0 < `low` < `high`; `memory` is the number of samples after which weights have faded to
     /// 1/e.
-    decaying_histogram(double low, double high, double memory);
+    decaying_histogram(double low, double high, double memory_samples);
     ~decaying_histogram();
     decaying_histogram(decaying_histogram&& other) noexcept;
     decaying_histogram& operator=(decaying_histogram&& other) noexcept;
@@ -22,7 +22,7 @@
     [[nodiscard]] double get_quantile(double q) const;
     /// Returns the middle of the bin that holds the quantile: the best guess, where `get_quantile` is the
     /// safe one.
-    [[nodiscard]] double get_middle_quantile(double q) const;
+    [[nodiscard]] double get_quantile_midpoint(double q) const;
     /// Returns the share of the weight at or below `value`; 1 when nothing was added.
     [[nodiscard]] double get_share_below(double value) const;
     /// Returns the faded number of samples.
--- a/poplarpitch/policy/interference_model.cpp
+++ b/poplarpitch/policy/interference_model.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double default_prior = 0.2;
-constexpr double highest_coefficient = 20;
-constexpr double tiny_share = 1e-6;
+constexpr double max_coefficient = 20;
+constexpr double min_share = 1e-6;
 
 } // namespace
 
@@ -52,11 +52,11 @@
 }
 
 void interference_model::add(std::uint32_t service, std::span<const co_runner> runners, double slowdown) {
-    double power = 0;
+    double square_sum = 0;
     for (const auto& runner : runners) {
-        power += runner.share * runner.share;
+        square_sum += runner.share * runner.share;
     }
-    if (power < tiny_share) {
+    if (square_sum < min_share) {
         return;
     }
     const double growth = std::clamp(slowdown, 0.0, m_settings.max_slowdown) - 1;
@@ -68,12 +68,12 @@
     for (const auto& runner : runners) {
         auto& pair = get(service, runner.batch);
         // A class with a large share explains more of the error and learns more from it.
-        const double weight = runner.share * runner.share / power;
-        pair.evidence = std::min(pair.evidence + weight, m_settings.memory);
+        const double weight = runner.share * runner.share / square_sum;
+        pair.evidence = std::min(pair.evidence + weight, m_settings.memory_samples);
         const double step = weight / pair.evidence;
-        pair.coefficient += step * error / std::max(runner.share, tiny_share);
-        pair.coefficient = std::clamp(pair.coefficient, 0.0, highest_coefficient);
-        const double scaled = error / std::max(std::sqrt(power), tiny_share);
+        pair.coefficient += step * error / std::max(runner.share, min_share);
+        pair.coefficient = std::clamp(pair.coefficient, 0.0, max_coefficient);
+        const double scaled = error / std::max(std::sqrt(square_sum), min_share);
         pair.variance += step * (scaled * scaled - pair.variance);
     }
 }
@@ -81,8 +81,8 @@
 void interference_model::set_estimate(std::uint32_t service, std::uint32_t batch, double coefficient,
                                       double evidence) {
     auto& pair = get(service, batch);
-    pair.coefficient = std::clamp(coefficient, 0.0, highest_coefficient);
-    pair.evidence = m_settings.prior_weight + std::clamp(evidence, 0.0, m_settings.memory);
+    pair.coefficient = std::clamp(coefficient, 0.0, max_coefficient);
+    pair.evidence = m_settings.prior_weight + std::clamp(evidence, 0.0, m_settings.memory_samples);
 }
 
 double interference_model::predict(std::uint32_t service, std::span<const co_runner> runners) const {
@@ -98,12 +98,13 @@
     return pair == nullptr ? get_prior(batch) : pair->coefficient;
 }
 
-double interference_model::get_cautious_coefficient(std::uint32_t service, std::uint32_t batch) const {
+double interference_model::get_coefficient_upper_bound(std::uint32_t service, std::uint32_t batch) const {
     const auto* pair = find(service, batch);
     if (pair == nullptr) {
-        return get_prior(batch) * (1 + m_settings.caution);
+        return get_prior(batch) * (1 + m_settings.upper_bound_errors);
     }
-    return pair->coefficient + m_settings.caution * std::sqrt(std::max(pair->variance, 0.0) / pair->evidence);
+    return pair->coefficient +
+           m_settings.upper_bound_errors * std::sqrt(std::max(pair->variance, 0.0) / pair->evidence);
 }
 
 double interference_model::get_evidence(std::uint32_t service, std::uint32_t batch) const {
--- a/poplarpitch/policy/interference_model.h
+++ b/poplarpitch/policy/interference_model.h
@@ -20,10 +20,10 @@
 
 /// Learning of the interference model.
 struct interference_settings {
-    double prior_weight = 20; ///< samples that the operators' prior counts for
-    double memory = 5000;     ///< samples after which old ones have faded: pairings change with load
-    double max_slowdown = 20; ///< samples above are cut, so one outlier cannot poison an estimate
-    double caution = 1.0;     ///< standard errors added to an estimate when placing
+    double prior_weight = 20;        ///< samples that the operators' prior counts for
+    double memory_samples = 5000;    ///< samples after which old ones have faded: pairings change with load
+    double max_slowdown = 20;        ///< samples above are cut, so one outlier cannot poison an estimate
+    double upper_bound_errors = 1.0; ///< standard errors added to an estimate when placing
 
     friend auto operator<=>(const interference_settings&, const interference_settings&) = default;
 };
@@ -51,7 +51,7 @@
     /// Returns the coefficient of a pair: the growth at a share of 1.
     [[nodiscard]] double get_coefficient(std::uint32_t service, std::uint32_t batch) const;
     /// Returns the coefficient with the uncertainty added that placement should fear.
-    [[nodiscard]] double get_cautious_coefficient(std::uint32_t service, std::uint32_t batch) const;
+    [[nodiscard]] double get_coefficient_upper_bound(std::uint32_t service, std::uint32_t batch) const;
     /// Returns how many samples, faded, stand behind a pair.
     [[nodiscard]] double get_evidence(std::uint32_t service, std::uint32_t batch) const;
 
--- a/poplarpitch/policy/latency_model.cpp
+++ b/poplarpitch/policy/latency_model.cpp
@@ -3,11 +3,11 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double low_us = 10;     // shorter times are all alike to a deadline
-constexpr double high_us = 600e6; // ten minutes
+constexpr double min_us = 10;    // shorter times are all alike to a deadline
+constexpr double max_us = 600e6; // ten minutes
 constexpr double memory_samples =
     2000; // forgets a load shift within seconds at hundreds of requests a second
-constexpr std::uint64_t refresh_every = 32;
+constexpr std::uint64_t samples_per_refresh = 32;
 
 duration from_us(double value) {
     return duration{static_cast<std::int64_t>(value * 1000)};
@@ -15,12 +15,12 @@
 
 } // namespace
 
-latency_model::latency_model() : m_histogram(low_us, high_us, memory_samples) {}
+latency_model::latency_model() : m_histogram(min_us, max_us, memory_samples) {}
 
 void latency_model::add(duration time) {
     m_histogram.add(to_microseconds(time));
     ++m_count;
-    if (m_count < refresh_every || m_count % refresh_every == 0) {
+    if (m_count < samples_per_refresh || m_count % samples_per_refresh == 0) {
         refresh();
     }
 }
--- a/poplarpitch/policy/speed_model.cpp
+++ b/poplarpitch/policy/speed_model.cpp
@@ -5,7 +5,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double base_memory = 2000;
+constexpr double base_memory_samples = 2000;
 constexpr double outlier_factor = 4; // one very slow request says more about itself than about its worker
 
 } // namespace
@@ -29,12 +29,12 @@
         base = {alone_us / speed.value, 1};
         return;
     }
-    const double cut_us = std::min(alone_us, outlier_factor * base.value * speed.value);
-    base.evidence = std::min(base.evidence + 1, base_memory);
-    base.value += (cut_us / speed.value - base.value) / base.evidence;
-    speed.evidence = std::min(speed.evidence + 1, m_settings.memory);
-    speed.value += (cut_us / std::max(base.value, 1.0) - speed.value) / speed.evidence;
-    speed.value = std::clamp(speed.value, m_settings.lowest, m_settings.highest);
+    const double clipped_us = std::min(alone_us, outlier_factor * base.value * speed.value);
+    base.evidence = std::min(base.evidence + 1, base_memory_samples);
+    base.value += (clipped_us / speed.value - base.value) / base.evidence;
+    speed.evidence = std::min(speed.evidence + 1, m_settings.memory_samples);
+    speed.value += (clipped_us / std::max(base.value, 1.0) - speed.value) / speed.evidence;
+    speed.value = std::clamp(speed.value, m_settings.min_factor, m_settings.max_factor);
 }
 
 void speed_model::reset(std::uint32_t worker) {
--- a/poplarpitch/policy/speed_model.h
+++ b/poplarpitch/policy/speed_model.h
@@ -8,10 +8,10 @@
 
 /// Learning of speeds.
 struct speed_settings {
-    double memory = 300;      ///< samples after which old ones have faded
-    double prior_weight = 10; ///< samples that the assumption of an ordinary worker counts for
-    double lowest = 0.2;      ///< a worker is taken as at most five times as fast
-    double highest = 10;      ///< or ten times as slow as the ordinary one
+    double memory_samples = 300; ///< samples after which old ones have faded
+    double prior_weight = 10;    ///< samples that the assumption of an ordinary worker counts for
+    double min_factor = 0.2;     ///< a worker is taken as at most five times as fast
+    double max_factor = 10;      ///< or ten times as slow as the ordinary one
 
     friend auto operator<=>(const speed_settings&, const speed_settings&) = default;
 };
--- a/poplarpitch/policy/usage_model.cpp
+++ b/poplarpitch/policy/usage_model.cpp
@@ -8,22 +8,22 @@
 
 // Twelve octaves, shifted by half a bin of the histogram: a job that takes what it declares has a ratio of 1,
 // and with 1 in the middle of a bin exactly that is set aside for it.
-constexpr double lowest_ratio = 0.01496255; // 2^(-6 - 1/16)
-constexpr double highest_ratio = 61.2866;   // 2^(6 - 1/16)
+constexpr double min_ratio = 0.01496255; // 2^(-6 - 1/16)
+constexpr double max_ratio = 61.2866;    // 2^(6 - 1/16)
 constexpr double memory_samples = 200;
-constexpr std::int64_t least_millicores = 50;
-constexpr std::int64_t least_memory = 16LL << 20;
+constexpr std::int64_t min_millicores = 50;
+constexpr std::int64_t min_memory_bytes = 16LL << 20;
 
-std::int64_t scale(std::int64_t declared, double ratio, std::int64_t least) {
+std::int64_t scale(std::int64_t declared, double ratio, std::int64_t minimum) {
     const auto scaled = static_cast<std::int64_t>(std::llround(static_cast<double>(declared) * ratio));
-    return declared == 0 ? 0 : std::max(scaled, std::min(least, declared));
+    return declared == 0 ? 0 : std::max(scaled, std::min(minimum, declared));
 }
 
 } // namespace
 
 usage_model::ratios::ratios()
-    : cores(lowest_ratio, highest_ratio, memory_samples), memory(lowest_ratio, highest_ratio, memory_samples),
-      time(lowest_ratio, highest_ratio, memory_samples) {}
+    : cores(min_ratio, max_ratio, memory_samples), memory(min_ratio, max_ratio, memory_samples),
+      time(min_ratio, max_ratio, memory_samples) {}
 
 usage_model::usage_model(const usage_settings& settings) : m_settings(settings) {}
 
@@ -51,17 +51,17 @@
     }
     auto reservation = declared;
     reservation.millicores = scale(
-        declared.millicores, known->cores.get_middle_quantile(m_settings.cores_quantile), least_millicores);
+        declared.millicores, known->cores.get_quantile_midpoint(m_settings.cores_quantile), min_millicores);
     reservation.memory =
         scale(declared.memory,
-              known->memory.get_middle_quantile(m_settings.memory_quantile) * m_settings.memory_headroom,
-              least_memory);
+              known->memory.get_quantile_midpoint(m_settings.memory_quantile) * m_settings.memory_headroom,
+              min_memory_bytes);
     return reservation;
 }
 
 double usage_model::get_time_ratio(const std::string& tenant, const std::string& batch) const {
     const auto* known = find(tenant, batch);
-    return known == nullptr ? 1.0 : known->time.get_middle_quantile(0.5);
+    return known == nullptr ? 1.0 : known->time.get_quantile_midpoint(0.5);
 }
 
 } // namespace poplarpitch
--- a/unit_tests/policy/models_test.cpp
+++ b/unit_tests/policy/models_test.cpp
@@ -60,14 +60,14 @@
     }
     EXPECT_NEAR(model.get_coefficient(0, 0), 3.0, 0.4);
     EXPECT_NEAR(model.get_coefficient(0, 1), 0.1, 0.3);
-    EXPECT_GE(model.get_cautious_coefficient(0, 0), model.get_coefficient(0, 0));
+    EXPECT_GE(model.get_coefficient_upper_bound(0, 0), model.get_coefficient(0, 0));
 }
 
 TEST(interference_model, starts_from_the_prior_and_fears_the_unknown) {
     interference_model model;
     model.set_prior(4, 0.5);
     EXPECT_EQ(model.get_coefficient(0, 4), 0.5);
-    EXPECT_GT(model.get_cautious_coefficient(0, 4), 0.5);
+    EXPECT_GT(model.get_coefficient_upper_bound(0, 4), 0.5);
     const std::vector<co_runner> none;
     EXPECT_EQ(model.predict(0, none), 1.0);
 }
