--- a/poplarpitch/policy/best_fit_router.cpp
+++ b/poplarpitch/policy/best_fit_router.cpp
@@ -11,23 +11,23 @@
 
 std::optional<std::size_t> best_fit_router::pick(std::span<const routing_candidate> candidates,
                                                  routing_random& random) {
-    // The hot loop: one pass; among near-equals each gets the same chance (reservoir sampling).
+    // The hot loop: one pass; among near-tied_count each gets the same chance (reservoir sampling).
     std::size_t best = candidates.size();
     float best_score = 0;
-    std::uint32_t equals = 0;
+    std::uint32_t tied_count = 0;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         const auto& candidate = candidates[index];
         if (candidate.free_slots <= 0) {
             continue;
         }
         const float score = get_score(candidate);
-        if (equals == 0 || score < best_score * (1.0F - m_settings.tie_width)) {
+        if (tied_count == 0 || score < best_score * (1.0F - m_settings.tie_width)) {
             best = index;
             best_score = score;
-            equals = 1;
+            tied_count = 1;
         } else if (score <= best_score * (1.0F + m_settings.tie_width)) {
-            ++equals;
-            if (random() % equals == 0) {
+            ++tied_count;
+            if (random() % tied_count == 0) {
                 best = index;
             }
         }
--- a/poplarpitch/policy/dependency_graph.cpp
+++ b/poplarpitch/policy/dependency_graph.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 /// Adds what `name` needs to `needs`, each once.
-void collect(const configuration& settings, const std::string& name, std::vector<std::string>& needs) {
+void collect(const configuration& settings, const std::string& name, std::vector<std::string>& dependencies) {
     const auto* service = settings.find_service(name);
     if (service == nullptr) {
         return;
     }
     for (const auto& next : service->depends) {
-        if (std::find(needs.begin(), needs.end(), next) == needs.end()) {
-            needs.push_back(next);
-            collect(settings, next, needs);
+        if (std::find(dependencies.begin(), dependencies.end(), next) == dependencies.end()) {
+            dependencies.push_back(next);
+            collect(settings, next, dependencies);
         }
     }
 }
@@ -25,14 +25,14 @@
 
 dependency_graph::dependency_graph(const configuration& settings) {
     for (const auto& service : settings.services) {
-        collect(settings, service.name, m_needs[service.name]);
+        collect(settings, service.name, m_dependencies[service.name]);
     }
 }
 
-const std::vector<std::string>& dependency_graph::get_needs(const std::string& service) const {
+const std::vector<std::string>& dependency_graph::get_dependencies(const std::string& service) const {
     static const std::vector<std::string> none;
-    const auto found = m_needs.find(service);
-    return found == m_needs.end() ? none : found->second;
+    const auto found = m_dependencies.find(service);
+    return found == m_dependencies.end() ? none : found->second;
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/policy/dependency_graph.h
+++ b/poplarpitch/policy/dependency_graph.h
@@ -22,18 +22,18 @@
     /// none.
     template <std::predicate<const std::string&> Predicate>
     [[nodiscard]] std::string find_unavailable(const std::string& service, Predicate can_serve) const {
-        for (const auto& need : get_needs(service)) {
-            if (!can_serve(need)) {
-                return need;
+        for (const auto& dependency : get_dependencies(service)) {
+            if (!can_serve(dependency)) {
+                return dependency;
             }
         }
         return {};
     }
     /// Returns all services that `service` needs, over any number of steps.
-    [[nodiscard]] const std::vector<std::string>& get_needs(const std::string& service) const;
+    [[nodiscard]] const std::vector<std::string>& get_dependencies(const std::string& service) const;
 
 private:
-    absl::flat_hash_map<std::string, std::vector<std::string>> m_needs;
+    absl::flat_hash_map<std::string, std::vector<std::string>> m_dependencies;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/policy/worker_ledger.cpp
+++ b/poplarpitch/policy/worker_ledger.cpp
@@ -20,7 +20,7 @@
     if (!m_grants.emplace(id, need).second) {
         return false;
     }
-    m_given += need;
+    m_granted += need;
     return true;
 }
 
@@ -29,7 +29,7 @@
     if (found == m_grants.end()) {
         return false;
     }
-    m_given -= found->second;
+    m_granted -= found->second;
     m_grants.erase(found);
     return true;
 }
@@ -40,7 +40,7 @@
     if (found == m_grants.end() || !(get_free() + found->second).holds(need)) {
         return false;
     }
-    m_given += need - found->second;
+    m_granted += need - found->second;
     found->second = need;
     return true;
 }
--- a/poplarpitch/policy/worker_ledger.h
+++ b/poplarpitch/policy/worker_ledger.h
@@ -41,14 +41,14 @@
     [[nodiscard]] bool is_open() const { return m_is_open; }
     [[nodiscard]] bool has(grant_id id) const { return m_grants.contains(id); }
     [[nodiscard]] const resources& get_capacity() const { return m_capacity; }
-    [[nodiscard]] const resources& get_given() const { return m_given; }
+    [[nodiscard]] const resources& get_given() const { return m_granted; }
     /// Returns what may still be given; negative where the worker holds too much already.
-    [[nodiscard]] resources get_free() const { return m_capacity - m_given - m_foreign; }
+    [[nodiscard]] resources get_free() const { return m_capacity - m_granted - m_foreign; }
     [[nodiscard]] std::size_t get_grant_count() const { return m_grants.size(); }
 
 private:
     resources m_capacity;
-    resources m_given;   ///< sum of the grants
+    resources m_granted; ///< sum of the grants
     resources m_foreign; ///< reported by the worker as started under older epochs
     absl::flat_hash_map<grant_id, resources> m_grants;
     bool m_is_open = false;
