--- a/poplarpitch/scheduling/crash_history.h
+++ b/poplarpitch/scheduling/crash_history.h
@@ -26,7 +26,7 @@
 
     /// Takes how long a run had surely been at work, milliseconds, however it ended or goes on. Thread
     /// safety: none.
-    void note_age(std::int64_t age_ms) {
+    void record_run_age(std::int64_t age_ms) {
         if (crashes > 0 && age_ms >= get_peace_ms()) {
             *this = {0, 0, 0, last_run};
         }
@@ -34,7 +34,7 @@
 
     /// Takes that a worker crashed under run `run`, which had been there for `age_ms`. Returns false when
     /// that was counted before. Thread safety: none.
-    bool note_crash(std::uint32_t run, crash_evidence evidence, std::int64_t age_ms) {
+    bool record_crash(std::uint32_t run, crash_evidence evidence, std::int64_t age_ms) {
         if (run == last_run) {
             return false;
         }
@@ -48,24 +48,25 @@
     /// Returns how long a run must last to refute the crashes, milliseconds. Thread safety: any thread while
     /// nobody changes it.
     [[nodiscard]] std::int64_t get_peace_ms() const {
-        return std::clamp(peace_multiple * longest_ms, least_peace_ms, most_peace_ms);
+        return std::clamp(reset_run_multiple * longest_ms, min_reset_run_ms, max_reset_run_ms);
     }
 
     /// Returns true when the task is to be given up, by the evidence of its last crash. Thread safety: as
     /// above.
-    [[nodiscard]] bool is_settled(crash_evidence last) const {
-        const bool is_proved =
-            last == crash_evidence::clear || (last == crash_evidence::likely && crashes >= proving_crashes);
-        return (sure >= fewest_crashes && is_proved) || crashes >= most_crashes;
+    [[nodiscard]] bool should_give_up(crash_evidence last) const {
+        const bool is_attributed = last == crash_evidence::clear ||
+                                   (last == crash_evidence::likely && crashes >= min_crashes_if_likely);
+        return (sure >= min_crashes && is_attributed) || crashes >= max_crashes;
     }
 
-    static constexpr std::uint32_t fewest_crashes = 2;    ///< after which a task may be given up
-    static constexpr std::uint32_t proving_crashes = 3;   ///< a task is started at most twice more after them
-    static constexpr std::uint32_t most_crashes = 4;      ///< whether it surely ran at them or not
-    static constexpr std::int64_t peace_multiple = 4;     ///< of the longest run that ended in a crash
-    static constexpr std::int64_t least_peace_ms = 5'000; ///< no run that is shorter refutes anything
+    static constexpr std::uint32_t min_crashes = 2; ///< after which a task may be given up
+    static constexpr std::uint32_t min_crashes_if_likely =
+        3;                                                ///< a task is started at most twice more after them
+    static constexpr std::uint32_t max_crashes = 4;       ///< whether it surely ran at them or not
+    static constexpr std::int64_t reset_run_multiple = 4; ///< of the longest run that ended in a crash
+    static constexpr std::int64_t min_reset_run_ms = 5'000; ///< no run that is shorter refutes anything
     // Machines fail on their own, too: a task that lasts for days meets that more than once.
-    static constexpr std::int64_t most_peace_ms = 60'000; ///< any run that is longer does
+    static constexpr std::int64_t max_reset_run_ms = 60'000; ///< any run that is longer does
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduling/job_book.cpp
+++ b/poplarpitch/scheduling/job_book.cpp
@@ -70,7 +70,7 @@
         m_pressure = decode(command.pressure());
         return command_outcome::applied;
     case job_wire::job_command::kCrash:
-        return note_crash(read_crash(command.crash()), events);
+        return record_crash(read_crash(command.crash()), events);
     case job_wire::job_command::kForget:
         m_jobs.erase(command.forget().id());
         return command_outcome::applied;
@@ -170,7 +170,7 @@
     if (!saved.empty()) {
         task->saved = saved;
     }
-    task->crash.note_age(ended.age_ms);
+    task->crash.record_run_age(ended.age_ms);
     if (ended.crash != crash_evidence::none && count_crash(record, *task, ended, events)) {
         return command_outcome::applied;
     }
@@ -199,7 +199,7 @@
     return command_outcome::applied;
 }
 
-command_outcome job_book::note_crash(const book_event& crashed, std::vector<book_event>& events) {
+command_outcome job_book::record_crash(const book_event& crashed, std::vector<book_event>& events) {
     const auto found = m_jobs.find(crashed.run.task.step.job);
     if (found == m_jobs.end() || found->second.phase != job_phase::open) {
         return command_outcome::repeated;
@@ -215,14 +215,14 @@
 
 bool job_book::count_crash(job_record& record, task_record& task, const book_event& crashed,
                            std::vector<book_event>& events) {
-    if (!task.crash.note_crash(crashed.run.run, crashed.crash, crashed.age_ms)) {
+    if (!task.crash.record_crash(crashed.run.run, crashed.crash, crashed.age_ms)) {
         return false;
     }
     auto event = crashed;
     event.what = book_event::kind::task_crashed;
     event.number = task.crash.crashes;
     events.push_back(std::move(event));
-    if (!task.crash.is_settled(crashed.crash) || record.phase != job_phase::open) {
+    if (!task.crash.should_give_up(crashed.crash) || record.phase != job_phase::open) {
         return false;
     }
     // Started again it would only take the next worker along, with all that runs there.
--- a/poplarpitch/scheduling/job_book.h
+++ b/poplarpitch/scheduling/job_book.h
@@ -60,7 +60,7 @@
     command_outcome retire(const worker_life& worker, std::vector<book_event>& events);
     command_outcome end(const book_event& ended, const std::string& saved, std::vector<book_event>& events);
     /// Takes a crash that was found out after its run had been given up.
-    command_outcome note_crash(const book_event& crashed, std::vector<book_event>& events);
+    command_outcome record_crash(const book_event& crashed, std::vector<book_event>& events);
     /// Counts a crash under a task. Returns true when its job is given up for it.
     bool count_crash(job_record& record, task_record& task, const book_event& crashed,
                      std::vector<book_event>& events);
--- a/unit_tests/scheduling/crash_history_test.cpp
+++ b/unit_tests/scheduling/crash_history_test.cpp
@@ -11,11 +11,11 @@
 constexpr std::int64_t quick_ms = 10;
 
 /// Returns after how many of these crashes the task is given up; 0 for never.
-std::size_t count_until_settled(const std::vector<crash_evidence>& crashes) {
+std::size_t count_until_given_up(const std::vector<crash_evidence>& crashes) {
     crash_history history;
     for (std::size_t number = 0; number < crashes.size(); ++number) {
-        EXPECT_TRUE(history.note_crash(static_cast<std::uint32_t>(number + 1), crashes[number], quick_ms));
-        if (history.is_settled(crashes[number])) {
+        EXPECT_TRUE(history.record_crash(static_cast<std::uint32_t>(number + 1), crashes[number], quick_ms));
+        if (history.should_give_up(crashes[number])) {
             return number + 1;
         }
     }
@@ -23,58 +23,59 @@
 }
 
 TEST(crash_history, settles_after_two_crashes_that_are_clear) {
-    EXPECT_EQ(count_until_settled({crash_evidence::clear, crash_evidence::clear}), 2U);
-    EXPECT_EQ(count_until_settled({crash_evidence::shared, crash_evidence::clear}), 2U);
+    EXPECT_EQ(count_until_given_up({crash_evidence::clear, crash_evidence::clear}), 2U);
+    EXPECT_EQ(count_until_given_up({crash_evidence::shared, crash_evidence::clear}), 2U);
 }
 
 TEST(crash_history, settles_after_three_of_which_the_last_makes_it_likely) {
-    EXPECT_EQ(count_until_settled({crash_evidence::shared, crash_evidence::shared, crash_evidence::likely}),
+    EXPECT_EQ(count_until_given_up({crash_evidence::shared, crash_evidence::shared, crash_evidence::likely}),
               3U);
-    EXPECT_EQ(count_until_settled({crash_evidence::shared, crash_evidence::shared, crash_evidence::shared}),
+    EXPECT_EQ(count_until_given_up({crash_evidence::shared, crash_evidence::shared, crash_evidence::shared}),
               0U);
 }
 
 TEST(crash_history, settles_after_four_whatever_is_known_of_them) {
-    EXPECT_EQ(count_until_settled(std::vector(4, crash_evidence::shared)), 4U);
-    EXPECT_EQ(count_until_settled(std::vector(4, crash_evidence::possible)), 4U);
+    EXPECT_EQ(count_until_given_up(std::vector(4, crash_evidence::shared)), 4U);
+    EXPECT_EQ(count_until_given_up(std::vector(4, crash_evidence::possible)), 4U);
 }
 
 TEST(crash_history, needs_two_at_which_the_task_surely_ran_before_the_fourth) {
     EXPECT_EQ(
-        count_until_settled({crash_evidence::possible, crash_evidence::possible, crash_evidence::clear}), 0U);
-    EXPECT_EQ(count_until_settled({crash_evidence::possible, crash_evidence::clear, crash_evidence::clear}),
+        count_until_given_up({crash_evidence::possible, crash_evidence::possible, crash_evidence::clear}),
+        0U);
+    EXPECT_EQ(count_until_given_up({crash_evidence::possible, crash_evidence::clear, crash_evidence::clear}),
               3U);
 }
 
 TEST(crash_history, counts_a_run_once_that_is_told_twice) {
     crash_history history;
-    EXPECT_TRUE(history.note_crash(7, crash_evidence::clear, quick_ms));
-    EXPECT_FALSE(history.note_crash(7, crash_evidence::clear, quick_ms));
+    EXPECT_TRUE(history.record_crash(7, crash_evidence::clear, quick_ms));
+    EXPECT_FALSE(history.record_crash(7, crash_evidence::clear, quick_ms));
     EXPECT_EQ(history.crashes, 1U);
 }
 
 TEST(crash_history, is_refuted_by_a_run_that_lasts_well_beyond_those_that_crashed) {
     crash_history history;
-    history.note_crash(1, crash_evidence::shared, 3'000);
-    history.note_age(5'000);
+    history.record_crash(1, crash_evidence::shared, 3'000);
+    history.record_run_age(5'000);
     EXPECT_EQ(history.crashes, 1U) << "less than four times as long";
-    history.note_age(12'000);
+    history.record_run_age(12'000);
     EXPECT_EQ(history.crashes, 0U);
 }
 
 TEST(crash_history, is_refuted_by_any_run_of_a_minute) {
     crash_history history;
-    history.note_crash(1, crash_evidence::shared, 3'600'000);
-    history.note_age(60'000);
+    history.record_crash(1, crash_evidence::shared, 3'600'000);
+    history.record_run_age(60'000);
     EXPECT_EQ(history.crashes, 0U);
 }
 
 TEST(crash_history, is_refuted_by_no_run_shorter_than_five_seconds) {
     crash_history history;
-    history.note_crash(1, crash_evidence::shared, quick_ms);
-    history.note_age(4'999);
+    history.record_crash(1, crash_evidence::shared, quick_ms);
+    history.record_run_age(4'999);
     EXPECT_EQ(history.crashes, 1U);
-    history.note_age(5'000);
+    history.record_run_age(5'000);
     EXPECT_EQ(history.crashes, 0U);
 }
 
