--- a/poplarpitch/scheduling/configuration_checker.cpp
+++ b/poplarpitch/scheduling/configuration_checker.cpp
@@ -11,7 +11,7 @@
     if (configuration.version == 0) {
         return "the version is 0";
     }
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> host_prefixes;
     for (const auto& queue : configuration.queues) {
         if (configuration.find_pool(queue.pool) == nullptr) {
             return "queue " + queue.name + " names the unknown pool " + queue.pool;
@@ -19,7 +19,7 @@
         if (queue.timeout <= duration{0}) {
             return "queue " + queue.name + " has no timeout";
         }
-        if (!places.emplace(queue.host, queue.prefix).second) {
+        if (!host_prefixes.emplace(queue.host, queue.prefix).second) {
             return "queue " + queue.name + " shares host and prefix with another";
         }
     }
--- a/poplarpitch/scheduling/job_id.cpp
+++ b/poplarpitch/scheduling/job_id.cpp
@@ -10,8 +10,8 @@
 
 std::string format_job_id(job_id id) {
     std::string text(digit_count, '0');
-    for (std::size_t place = digit_count; place > 0; --place) {
-        text[place - 1] = digits[id & 0xfU];
+    for (std::size_t position = digit_count; position > 0; --position) {
+        text[position - 1] = digits[id & 0xfU];
         id >>= 4U;
     }
     return text;
@@ -22,8 +22,8 @@
         return std::nullopt;
     }
     job_id id = 0;
-    for (const char letter : text) {
-        const auto value = digits.find(letter);
+    for (const char character : text) {
+        const auto value = digits.find(character);
         if (value == std::string_view::npos) {
             return std::nullopt; // upper case too: an id has one spelling
         }
--- a/poplarpitch/scheduling/step_job.cpp
+++ b/poplarpitch/scheduling/step_job.cpp
@@ -5,9 +5,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_payload = 4000;    // bytes; what callers are told they may send
-constexpr std::size_t max_steps = 1000;      // keeps one job's record small
-constexpr std::uint32_t max_tasks = 100'000; // of a step; the same
+constexpr std::size_t max_payload_bytes = 4000;       // bytes; what callers are told they may send
+constexpr std::size_t max_steps = 1000;               // keeps one job's record small
+constexpr std::uint32_t max_tasks_per_step = 100'000; // of a step; the same
 constexpr std::uint32_t max_occurrences = 1'000'000;
 
 } // namespace
@@ -24,7 +24,7 @@
     return sum;
 }
 
-std::int64_t step_job::get_chain_ms(const std::vector<std::int64_t>& lengths_ms) const {
+std::int64_t step_job::get_critical_path_ms(const std::vector<std::int64_t>& lengths_ms) const {
     std::vector<std::int64_t> ends;
     ends.reserve(steps.size());
     for (std::size_t number = 0; number < steps.size(); ++number) {
@@ -38,7 +38,7 @@
 }
 
 duration step_job::get_objective(const std::vector<std::int64_t>& lengths_ms) const {
-    const auto stretched = queue.stretch * static_cast<double>(get_chain_ms(lengths_ms));
+    const auto stretched = queue.stretch * static_cast<double>(get_critical_path_ms(lengths_ms));
     return queue.target_latency + duration{milliseconds{static_cast<std::int64_t>(stretched)}};
 }
 
@@ -58,7 +58,7 @@
 }
 
 std::optional<std::string> find_job_error(const step_job& job) {
-    if (job.payload.size() > max_payload) {
+    if (job.payload.size() > max_payload_bytes) {
         return "the payload is longer than 4,000 bytes";
     }
     if (job.steps.empty() || job.steps.size() > max_steps) {
@@ -66,7 +66,7 @@
     }
     for (std::size_t number = 0; number < job.steps.size(); ++number) {
         const auto& step = job.steps[number];
-        if (step.count == 0 || step.count > max_tasks) {
+        if (step.count == 0 || step.count > max_tasks_per_step) {
             return "a step has 1 to 100,000 tasks";
         }
         if (step.millicores < 0 || step.memory_mb < 0 || step.accelerators < 0 || step.estimate_ms < 0) {
--- a/poplarpitch/scheduling/step_job.h
+++ b/poplarpitch/scheduling/step_job.h
@@ -38,7 +38,7 @@
     [[nodiscard]] std::int64_t get_lasting_millicores() const;
     /// Returns the time of the longest chain of steps, milliseconds, by what each of them takes.
     /// Precondition: one length for each step. Thread safety: any thread.
-    [[nodiscard]] std::int64_t get_chain_ms(const std::vector<std::int64_t>& lengths_ms) const;
+    [[nodiscard]] std::int64_t get_critical_path_ms(const std::vector<std::int64_t>& lengths_ms) const;
     /// Returns how long after acceptance the job, or an occurrence after it fell due, may end and still be
     /// in time, by what each step takes. Precondition: one length for each step. Thread safety: any thread.
     [[nodiscard]] duration get_objective(const std::vector<std::int64_t>& lengths_ms) const;
--- a/unit_tests/scheduling/configuration_test.cpp
+++ b/unit_tests/scheduling/configuration_test.cpp
@@ -72,7 +72,7 @@
     job.steps[1].depends_on = {0};
     job.steps[2].depends_on = {0};
     job.steps[3].depends_on = {2};
-    EXPECT_EQ(job.get_chain_ms(lengths), 600);
+    EXPECT_EQ(job.get_critical_path_ms(lengths), 600);
     EXPECT_EQ(job.get_rest_ms(2, lengths), 250);
     EXPECT_EQ(job.get_rest_ms(0, lengths), 600);
 }
