--- a/poplarpitch/policy/admission_queue.cpp
+++ b/poplarpitch/policy/admission_queue.cpp
@@ -61,7 +61,7 @@
 std::size_t admission_queue::count_before(time_point deadline) const {
     std::size_t count = 0;
     for (const auto& [name, queue] : m_tenants) {
-        // Exact counts would cost a walk; a queue wholly before or behind the deadline needs none.
+        // The entries are walked only where the deadline falls inside a queue, since the walk is linear.
         if (queue.waiting.empty() || queue.waiting.begin()->first.first > deadline) {
             continue;
         }
--- a/poplarpitch/policy/admission_queue.h
+++ b/poplarpitch/policy/admission_queue.h
@@ -11,39 +11,41 @@
 
 namespace poplarpitch {
 
-/// One waiting request.
+/// A request that waits for admission.
 struct admission_ticket {
-    std::uint64_t id = 0; ///< unique; later ones are larger
+    std::uint64_t id = 0; ///< unique; increases with each request
     std::string tenant;
     time_point deadline{};
 
     friend auto operator<=>(const admission_ticket&, const admission_ticket&) = default;
 };
 
-/// The requests of one service that wait for a free slot. Earliest deadline first, since that misses the
-/// fewest deadlines as long as the load can be served at all (Liu and Layland, 1973); among tenants, those
-/// that hold more than their weighted share of what is running stand back while another waits, so one
-/// tenant's burst cannot starve the rest. Costs O(tenants + log waiting). Thread safety: none, as for all
-/// methods.
+/// Queue of the requests to one service that wait for a free slot. The earliest deadline goes first, which
+/// misses the fewest deadlines as long as the load can be served at all (Liu and Layland, 1973). A tenant
+/// that holds more than its weighted share of the running requests yields to waiting tenants that do not, so
+/// one tenant's burst cannot starve the others. Operations cost O(tenants + log waiting). Thread safety:
+/// none, as for all methods.
 class admission_queue {
 public:
-    /// Sets the weight of a tenant; 1 for those never set. Precondition: `weight` is positive.
+    /// Sets the weight of a tenant, which is 1 by default. Precondition: `weight` is positive.
     void set_weight(const std::string& tenant, double weight);
 
-    /// Adds a waiting request. Precondition: its id is not waiting.
+    /// Adds a waiting request. Precondition: no request with its id is waiting.
     void push(const admission_ticket& ticket);
-    /// Takes out a request that gave up. Returns false when it is not waiting.
+    /// Removes a waiting request, for instance one that gave up. Returns false when it is not waiting.
     bool remove(const admission_ticket& ticket);
-    /// Returns the request that is next, and leaves it; empty when none waits.
+    /// Returns the next request without removing it; empty when none waits.
     [[nodiscard]] std::optional<admission_ticket> peek() const;
-    /// Returns how many requests wait that would go before one with this deadline.
+    /// Returns the number of waiting requests whose deadline is at or before `deadline`.
     [[nodiscard]] std::size_t count_before(time_point deadline) const;
+    /// Returns the number of waiting requests.
     [[nodiscard]] std::size_t get_size() const { return m_size; }
 
-    /// Notes that a request of `tenant` started or ended, for the shares.
+    /// Records that a request of `tenant` started or ended; the shares are computed from these counts.
+    /// Precondition of `on_ended`: a request of `tenant` is running.
     void on_started(const std::string& tenant);
     void on_ended(const std::string& tenant);
-    /// Returns the running requests of a tenant.
+    /// Returns the number of running requests of a tenant.
     [[nodiscard]] std::int64_t get_running(const std::string& tenant) const;
 
 private:
--- a/poplarpitch/policy/baseline_placers.h
+++ b/poplarpitch/policy/baseline_placers.h
@@ -4,14 +4,14 @@
 
 namespace poplarpitch {
 
-/// Baseline: the first worker that holds the task. Thread safety: any thread.
+/// Baseline placer: picks the first worker that the task fits on. Thread safety: any thread.
 struct first_fit_placer {
     std::optional<std::size_t> pick(std::span<const placement_candidate> candidates,
                                     const placement_request& request,
                                     const interference_model& interference) const;
 };
 
-/// Baseline: the worker with the most free cores. Thread safety: any thread.
+/// Baseline placer: picks the worker with the most free cores. Thread safety: any thread.
 struct least_loaded_placer {
     std::optional<std::size_t> pick(std::span<const placement_candidate> candidates,
                                     const placement_request& request,
--- a/poplarpitch/policy/baseline_routers.cpp
+++ b/poplarpitch/policy/baseline_routers.cpp
@@ -3,7 +3,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Returns the first candidate with a free slot from `start` on, around the end.
+/// Returns the first candidate with a free slot at or after `start`, wrapping around at the end.
 std::optional<std::size_t> find_free(std::span<const routing_candidate> candidates, std::size_t start) {
     for (std::size_t step = 0; step < candidates.size(); ++step) {
         const auto index = (start + step) % candidates.size();
--- a/poplarpitch/policy/best_fit_router.cpp
+++ b/poplarpitch/policy/best_fit_router.cpp
@@ -11,7 +11,7 @@
 
 std::optional<std::size_t> best_fit_router::pick(std::span<const routing_candidate> candidates,
                                                  routing_random& random) {
-    // The hot loop: one pass; among near-tied_count each gets the same chance (reservoir sampling).
+    // Hot loop: one pass. Reservoir sampling gives each of the tied candidates the same chance.
     std::size_t best = candidates.size();
     float best_score = 0;
     std::uint32_t tied_count = 0;
--- a/poplarpitch/policy/concurrency_limit.cpp
+++ b/poplarpitch/policy/concurrency_limit.cpp
@@ -24,12 +24,12 @@
     }
     m_short_us += (latency_us - m_short_us) * short_mean_weight;
     m_long_us += (latency_us - m_long_us) * long_mean_weight;
-    // Coming out of a slow time, the long mean must not stay high for minutes.
+    // After a slow period, the long-term mean must not stay high for minutes.
     if (m_long_us > 2 * m_short_us) {
         m_long_us *= 1 - long_mean_weight * 10;
     }
     if (in_flight < m_limit / 2) {
-        return; // the limit was not what held requests back, so this says nothing about it
+        return; // too few requests for the limit to matter, so the sample says nothing about it
     }
     const double gradient = std::clamp(m_settings.tolerance * m_long_us / m_short_us, min_gradient, 1.0);
     const double new_limit = m_limit * gradient + std::sqrt(m_limit);
--- a/poplarpitch/policy/cost_placer.cpp
+++ b/poplarpitch/policy/cost_placer.cpp
@@ -6,12 +6,13 @@
 namespace poplarpitch {
 namespace {
 
-/// Returns `part / whole`, 0 for an empty whole.
+/// Returns `part / whole`, or 0 when `whole` is not positive.
 float get_share(std::int64_t part, std::int64_t whole) {
     return whole > 0 ? static_cast<float>(part) / static_cast<float>(whole) : 0.0F;
 }
 
-constexpr float min_request_rate = 0.01F; // requests a second; below, a service does not count
+constexpr float min_request_rate =
+    0.01F; // requests per second; a service with a lower rate is weighted with this one
 
 } // namespace
 
@@ -41,7 +42,7 @@
 
 bool cost_placer::is_refused(const placement_candidate& candidate, const placement_request& request,
                              float growth, const interference_model& interference) const {
-    // The bounds tighten with the weight of the tail: with equal weights they stand at twice the settings.
+    // The bounds tighten as the weight of the tail grows: with equal weights they are twice the settings.
     const float slack = m_tail_weight > 0 ? 1 / m_tail_weight : 1e6F;
     if (candidate.slowdown > m_settings.max_slowdown * slack) {
         return true;
@@ -60,7 +61,8 @@
     const float tail = m_tail_weight * (growth + slowdown_cost * get_share(request.need.millicores,
                                                                            candidate.capacity.millicores));
     const float time = m_throughput_weight * (candidate.speed - 1);
-    // Waste: how differently cores and memory would be used up, so that neither is left without the other.
+    // Waste is the difference between the shares of cores and memory that stay free, so that neither is left
+    // without the other.
     const auto left = candidate.free - request.need;
     const float cores = get_share(left.millicores, candidate.capacity.millicores);
     const float memory = get_share(left.memory, candidate.capacity.memory);
--- a/poplarpitch/policy/cost_placer.h
+++ b/poplarpitch/policy/cost_placer.h
@@ -5,36 +5,38 @@
 
 namespace poplarpitch {
 
-/// Weights of the placement cost, on top of the operators' objective.
+/// Weights and bounds of the placement cost, besides the operators' objective.
 struct cost_placer_settings {
-    float spread_weight = 0.02F; ///< for each task of the tenant in the same rack: a rack may be lost
-    float waste_weight = 0.3F;   ///< for leaving one resource idle while another is used up
+    float spread_weight =
+        0.02F; ///< for each task of the tenant in the same rack, since a whole rack may be lost
+    float waste_weight = 0.3F; ///< for leaving one resource idle while another is used up
     float accelerator_weight =
-        0.5F;                     ///< for putting a task that needs none on a worker with free accelerators
-    float slowdown_weight = 2.0F; ///< for a worker whose services run slower than expected already
-    float max_slowdown = 3.0F;    ///< with full tail weight, a worker this slow gets no more tasks
-    float max_growth = 0.6F;      ///< with full tail weight, a predicted growth above this is refused
-    double min_evidence =
-        50; ///< samples of a pair before its growth may refuse: what is never tried is never learned
+        0.5F; ///< for placing a task that needs no accelerators on a worker with free ones
+    float slowdown_weight = 2.0F; ///< for a worker whose services are already slower than expected
+    float max_slowdown = 3.0F; ///< with full tail weight, a worker with a higher slowdown gets no more tasks
+    float max_growth = 0.6F;   ///< with full tail weight, a higher predicted growth of latency is refused
+    double min_evidence = 50; ///< samples of a pair before its predicted growth may lead to a refusal: a pair
+                              ///< that never runs is never learned
 
     friend auto operator<=>(const cost_placer_settings&, const cost_placer_settings&) = default;
 };
 
-/// Picks the worker with the lowest predicted cost: the growth of its services' latency that the learned
-/// interference predicts, weighed against how long the task would run there, how it spreads and what it
-/// wastes. The operators' objective weighs tail against throughput; urgent tasks ignore the refusal bounds,
-/// and a probe ignores what was learned: a class that is refused everywhere would never be seen to have
-/// changed. Thread safety: none.
+/// Picks the worker with the lowest predicted cost. The cost weighs the growth of the services' latency,
+/// predicted from the learned interference, against the task's run time on that worker, its spread over racks
+/// and the resources it wastes. The operators' objective sets the weight of tail latency against throughput.
+/// Urgent tasks ignore the refusal bounds. A probe ignores the bound of the learned growth: a class that is
+/// refused everywhere would never be seen to have changed. Thread safety: none.
 class cost_placer {
 public:
     explicit cost_placer(const objective_settings& objective, const cost_placer_settings& settings = {});
 
-    /// Returns the index of the worker, or nothing when none may take the task now.
+    /// Returns the index of the picked worker, or nothing when no worker may take the task now.
     std::optional<std::size_t> pick(std::span<const placement_candidate> candidates,
                                     const placement_request& request,
                                     const interference_model& interference) const;
 
-    /// Returns the predicted growth of the services' latency on `candidate`, weighed by their request rates.
+    /// Returns the predicted growth of the latency of the services on `candidate`, weighted by their request
+    /// rates.
     [[nodiscard]] static float get_growth(const placement_candidate& candidate,
                                           const placement_request& request,
                                           const interference_model& interference);
@@ -46,7 +48,7 @@
                                  float growth) const;
 
     cost_placer_settings m_settings;
-    float m_tail_weight = 0.5F; ///< objective's tail weight over tail plus throughput
+    float m_tail_weight = 0.5F; ///< the objective's tail weight divided by the sum of tail and throughput
     float m_throughput_weight = 0.5F;
 };
 
--- a/poplarpitch/policy/decaying_histogram.cpp
+++ b/poplarpitch/policy/decaying_histogram.cpp
@@ -15,7 +15,8 @@
     boost::histogram::axis::regular<double, boost::histogram::axis::transform::log,
                                     boost::histogram::use_default, boost::histogram::axis::option::none_t>;
 constexpr int bins_per_octave = 8;
-constexpr double rescale_limit = 1e12; // new samples weigh ever more; scale back before precision suffers
+constexpr double rescale_limit =
+    1e12; // the weight of new samples grows; all are rescaled before precision suffers
 
 } // namespace
 
@@ -29,8 +30,8 @@
 
     double low;
     double high;
-    double growth;       ///< factor by which a sample outweighs the one before
-    double weight = 1.0; ///< of the next sample
+    double growth;       ///< ratio of a sample's weight to that of the one before
+    double weight = 1.0; ///< of the newest sample
     double total = 0.0;
     histogram_type histogram;
 };
@@ -47,7 +48,7 @@
 
 void decaying_histogram::add(double value) {
     auto& data = *m_storage;
-    constexpr double edge = 1e-9; // keeps the ends inside the half-open bins
+    constexpr double edge = 1e-9; // keeps both ends inside the half-open bins
     const double inside = std::clamp(value, data.low * (1 + edge), data.high * (1 - edge));
     data.weight *= data.growth;
     data.histogram(inside, boost::histogram::weight(data.weight));
@@ -70,7 +71,7 @@
             return bin;
         }
     }
-    return bins - 1; // rounding left the sum below the total
+    return bins - 1; // rounding can leave the sum below the total
 }
 
 double decaying_histogram::get_quantile(double q) const {
--- a/poplarpitch/policy/decaying_histogram.h
+++ b/poplarpitch/policy/decaying_histogram.h
@@ -4,34 +4,35 @@
 
 namespace poplarpitch {
 
-/// A histogram of positive numbers whose old samples fade, for quantiles of what is true at present. Kept in
-/// Boost.Histogram with a logarithmic axis: 8 bins an octave give quantiles within 9%, at a fixed cost for
-/// each sample. Thread safety: none, as for all methods.
+/// Histogram of positive numbers whose old samples decay exponentially, for quantiles of the current
+/// distribution. It uses Boost.Histogram with a logarithmic axis: 8 bins per octave give quantiles within 9%,
+/// at a fixed cost for each sample. Thread safety: none, as for all methods.
 class decaying_histogram {
 public:
-    /// Preconditions: 0 < `low` < `high`; `memory` is the number of samples after which weights have faded to
-    /// 1/e.
+    /// Preconditions: 0 < `low` < `high`; `memory_samples`, at least 1, is the number of samples after which
+    /// the weight of a sample has decayed to 1/e.
     decaying_histogram(double low, double high, double memory_samples);
     ~decaying_histogram();
     decaying_histogram(decaying_histogram&& other) noexcept;
     decaying_histogram& operator=(decaying_histogram&& other) noexcept;
 
-    /// Adds one sample; values outside the axis count at its ends.
+    /// Adds one sample; a value outside the axis is counted in the first or last bin.
     void add(double value);
-    /// Returns the value that the share `q` of the weight does not exceed; 0 when nothing was added.
+    /// Returns the value that the share `q` of the weight does not exceed: the upper edge of the quantile's
+    /// bin. Returns 0 when nothing was added.
     [[nodiscard]] double get_quantile(double q) const;
-    /// Returns the middle of the bin that holds the quantile: the best guess, where `get_quantile` is the
-    /// safe one.
+    /// Returns the middle of the bin that holds the quantile. This is the best estimate, whereas
+    /// `get_quantile` is the conservative one. Returns 0 when nothing was added.
     [[nodiscard]] double get_quantile_midpoint(double q) const;
     /// Returns the share of the weight at or below `value`; 1 when nothing was added.
     [[nodiscard]] double get_share_below(double value) const;
-    /// Returns the faded number of samples.
+    /// Returns the number of samples after decay.
     [[nodiscard]] double get_weight() const;
 
 private:
     struct storage;
 
-    /// Returns the bin that holds the quantile. Precondition: something was added.
+    /// Returns the index of the bin that holds the quantile. Precondition: the histogram is not empty.
     [[nodiscard]] int find_bin(double q) const;
 
     std::unique_ptr<storage> m_storage;
--- a/poplarpitch/policy/dependency_graph.cpp
+++ b/poplarpitch/policy/dependency_graph.cpp
@@ -7,7 +7,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Adds what `name` needs to `needs`, each once.
+/// Appends the direct and indirect dependencies of `name` to `dependencies`, each once.
 void collect(const configuration& settings, const std::string& name, std::vector<std::string>& dependencies) {
     const auto* service = settings.find_service(name);
     if (service == nullptr) {
--- a/poplarpitch/policy/eviction_candidate.cpp
+++ b/poplarpitch/policy/eviction_candidate.cpp
@@ -3,8 +3,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double min_growth = 0.02;        // a task that slows nobody is not worth moving
-constexpr double move_cost_seconds = 5;    // cost of a move beside the lost work
+constexpr double min_growth = 0.02;        // moving a task that slows the services less is not worth its cost
+constexpr double move_cost_seconds = 5;    // cost of a move besides the lost work
 constexpr double repeat_cost_seconds = 30; // added for each earlier eviction
 
 } // namespace
--- a/poplarpitch/policy/interference_model.cpp
+++ b/poplarpitch/policy/interference_model.cpp
@@ -67,7 +67,7 @@
     const double error = growth - predicted;
     for (const auto& runner : runners) {
         auto& pair = get(service, runner.batch);
-        // A class with a large share explains more of the error and learns more from it.
+        // A class with a larger share explains more of the error, so its coefficient changes more.
         const double weight = runner.share * runner.share / square_sum;
         pair.evidence = std::min(pair.evidence + weight, m_settings.memory_samples);
         const double step = weight / pair.evidence;
--- a/poplarpitch/policy/latency_model.cpp
+++ b/poplarpitch/policy/latency_model.cpp
@@ -3,10 +3,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double min_us = 10;    // shorter times are all alike to a deadline
+constexpr double min_us = 10;    // shorter times make no difference to a deadline
 constexpr double max_us = 600e6; // ten minutes
 constexpr double memory_samples =
-    2000; // forgets a load shift within seconds at hundreds of requests a second
+    2000; // adapts to a load shift within seconds at hundreds of requests per second
 constexpr std::uint64_t samples_per_refresh = 32;
 
 duration from_us(double value) {
--- a/poplarpitch/policy/probe_timer.cpp
+++ b/poplarpitch/policy/probe_timer.cpp
@@ -5,9 +5,10 @@
 namespace poplarpitch {
 
 void probe_timer::set_objective(const objective_settings& objective) {
-    constexpr double balanced_s = 60; // when tail and throughput weigh the same
-    constexpr double min_s = 20;      // a probe must end before the next tells anything new
-    constexpr double max_s = 1800;    // even a tail-first fleet wants to know within a few of these
+    constexpr double balanced_s = 60; // interval when tail and throughput have the same weight
+    constexpr double min_s = 20;      // a probe must end before the next gives new information
+    constexpr double max_s =
+        1800; // even with most weight on the tail, a change must show within a few of these
     constexpr double min_weight = 1e-6;
     const double ratio = objective.tail / std::max(objective.throughput, min_weight);
     const double interval_s = std::clamp(balanced_s * ratio * ratio * ratio, min_s, max_s);
--- a/poplarpitch/policy/probing_pick.h
+++ b/poplarpitch/policy/probing_pick.h
@@ -8,8 +8,8 @@
 
 namespace poplarpitch {
 
-/// Returns the candidate that `placer` picks; where it picks none and a probe of the task's class is due, the
-/// one that it picks for a probe. Thread safety: none.
+/// Returns the candidate that `placer` picks. Where it picks none and a probe of the task's class is due,
+/// returns the one that it picks for a probe. Thread safety: none.
 template <task_placer Placer>
 std::optional<std::size_t> pick_or_probe(const Placer& placer,
                                          std::span<const placement_candidate> candidates,
--- a/poplarpitch/policy/request_router.h
+++ b/poplarpitch/policy/request_router.h
@@ -10,11 +10,11 @@
 
 namespace poplarpitch {
 
-/// Source of random numbers for routing; seeded, so that the same input gives the same choices.
+/// Random number generator for routing; seeded, so that the same input gives the same choices.
 using routing_random = std::minstd_rand;
 
-/// Anything that picks a worker with a free slot for a request, or none. The shipped one is
-/// `best_fit_router`; the baselines stay in the tree to be measured against.
+/// A type that picks a worker with a free slot for a request, or none. Production uses `best_fit_router`; the
+/// baselines are kept for comparison.
 template <class T>
 concept request_router = requires(T& router, std::span<const routing_candidate> candidates,
                                   routing_random& random) {
--- a/poplarpitch/policy/routing_candidate.h
+++ b/poplarpitch/policy/routing_candidate.h
@@ -5,9 +5,9 @@
 
 namespace poplarpitch {
 
-/// One worker as routing sees it: a row of a dense table.
+/// A worker as input to routing: a row of a dense table.
 struct routing_candidate {
-    float factor = 1; ///< expected time over the ordinary: speed times interference
+    float factor = 1; ///< expected time relative to a typical worker: speed times interference
     std::int32_t free_slots = 0;
     std::int32_t total_slots = 0;
     std::int32_t outstanding = 0; ///< requests in flight
--- a/poplarpitch/policy/speed_model.cpp
+++ b/poplarpitch/policy/speed_model.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double base_memory_samples = 2000;
-constexpr double outlier_factor = 4; // one very slow request says more about itself than about its worker
+constexpr double outlier_factor = 4; // a slower request says more about itself than about its worker
 
 } // namespace
 
--- a/poplarpitch/policy/speed_model.h
+++ b/poplarpitch/policy/speed_model.h
@@ -6,33 +6,33 @@
 
 namespace poplarpitch {
 
-/// Learning of speeds.
+/// Settings of the speed model.
 struct speed_settings {
-    double memory_samples = 300; ///< samples after which old ones have faded
-    double prior_weight = 10;    ///< samples that the assumption of an ordinary worker counts for
-    double min_factor = 0.2;     ///< a worker is taken as at most five times as fast
-    double max_factor = 10;      ///< or ten times as slow as the ordinary one
+    double memory_samples = 300; ///< samples after which old ones have decayed
+    double prior_weight = 10;    ///< number of samples that the prior, a typical worker, counts as
+    double min_factor = 0.2;     ///< a worker is assumed to be at most five times as fast as a typical one
+    double max_factor = 10;      ///< and at most ten times as slow
 
     friend auto operator<=>(const speed_settings&, const speed_settings&) = default;
 };
 
-/// How long each worker takes over the ordinary one, so that old and new hardware mix: 2 means twice as long.
-/// A sample is a request's time over the service's ordinary time, with the predicted interference taken out.
-/// The ordinary time of a service is itself the running mean of times with speed and interference taken out.
-/// Thread safety: none, as for all methods.
+/// Learned time factor of each worker relative to a typical one, so that old and new hardware can be mixed: 2
+/// means twice as long. A sample is a request's time divided by the base time of its service, with the
+/// predicted interference taken out. The base time of a service is the running mean of its request times with
+/// speed and interference taken out. Thread safety: none, as for all methods.
 class speed_model {
 public:
     explicit speed_model(const speed_settings& settings = {});
 
-    /// Takes one request of `service` on `worker`: its time, and the factor that interference is thought to
-    /// have had.
+    /// Adds one request of `service` on `worker`: its time, and the factor by which interference is estimated
+    /// to have slowed it.
     void add(std::uint32_t service, std::uint32_t worker, double time_us, double interference);
-    /// Forgets what is known of a worker, whose number may be given to another.
+    /// Discards the estimate of a worker, whose index may be reused for another.
     void reset(std::uint32_t worker);
 
-    /// Returns the worker's factor; 1 is ordinary.
+    /// Returns the worker's time factor; 1 is typical.
     [[nodiscard]] double get_factor(std::uint32_t worker) const;
-    /// Returns the service's ordinary time in microseconds; 0 while nothing is known.
+    /// Returns the service's base time in microseconds; 0 before the first sample.
     [[nodiscard]] double get_base_us(std::uint32_t service) const;
 
 private:
--- a/poplarpitch/policy/task_placer.h
+++ b/poplarpitch/policy/task_placer.h
@@ -9,8 +9,8 @@
 
 namespace poplarpitch {
 
-/// Anything that picks a worker for a task, or none. The shipped one is `cost_placer`; the baselines stay in
-/// the tree to be measured against.
+/// A type that picks a worker for a task, or none. Production uses `cost_placer`; the baselines are kept for
+/// comparison.
 template <class T>
 concept task_placer = requires(T& placer, std::span<const placement_candidate> candidates,
                                const placement_request& request, const interference_model& interference) {
--- a/poplarpitch/policy/usage_model.cpp
+++ b/poplarpitch/policy/usage_model.cpp
@@ -6,8 +6,8 @@
 namespace poplarpitch {
 namespace {
 
-// Twelve octaves, shifted by half a bin of the histogram: a job that takes what it declares has a ratio of 1,
-// and with 1 in the middle of a bin exactly that is set aside for it.
+// Twelve octaves, shifted by half a bin of the histogram. A job that uses what it declares has a ratio of 1,
+// which lies in the middle of a bin, so exactly the declared amount is reserved for it.
 constexpr double min_ratio = 0.01496255; // 2^(-6 - 1/16)
 constexpr double max_ratio = 61.2866;    // 2^(6 - 1/16)
 constexpr double memory_samples = 200;
--- a/poplarpitch/policy/worker_ledger.h
+++ b/poplarpitch/policy/worker_ledger.h
@@ -8,41 +8,44 @@
 
 namespace poplarpitch {
 
-/// Number of a grant in one ledger.
+/// Identifies a grant within one ledger.
 using grant_id = std::uint64_t;
 
-/// The account of one worker, kept by its one owner: what it holds and what is given out, requests and tasks
-/// together. "Never more than it can hold" is this class's invariant and nobody else's, so it needs no
-/// agreement between entries. The invariant: given + foreign never grows beyond capacity. When a worker
-/// shrinks, or reports more foreign work than is free, nothing new is given until enough has come back.
-/// Thread safety: none, as for all methods.
+/// Accounts for the resources of one worker, on behalf of its only owner: the capacity and what is granted to
+/// requests and tasks together. This class alone ensures that a worker is not given more than it can hold, so
+/// entries need no agreement on it. The invariant: no new or larger grant lets granted + foreign exceed the
+/// capacity. When the capacity shrinks, or the worker reports more foreign work than is free, nothing new is
+/// granted until enough has been released. Thread safety: none, as for all methods.
 class worker_ledger {
 public:
-    /// Starts closed: nothing is given before the worker has reported all that it runs.
+    /// Starts closed: nothing is granted before the worker has reported everything it runs.
     explicit worker_ledger(const resources& capacity = {});
 
-    /// Gives `need` under `id`. Returns false, changing nothing, when it does not fit, the ledger is closed
+    /// Grants `need` under `id`. Returns false and changes nothing when it does not fit, the ledger is closed
     /// or `id` is in use. Precondition: `need` is valid.
     bool try_acquire(grant_id id, const resources& need);
-    /// Notes something that runs already, whether it fits or not. Returns false when `id` is in use.
+    /// Adds a grant for work that already runs, whether it fits or not. Returns false when `id` is in use.
     bool adopt(grant_id id, const resources& need);
-    /// Takes back what `id` holds. Returns false when there is no such grant, so nothing is taken back twice.
+    /// Releases the grant `id`. Returns false when there is no such grant, so nothing is released twice.
     bool release(grant_id id);
-    /// Changes what a grant holds, as usage shows it. Growing beyond what is free is refused.
+    /// Changes the resources of a grant to match its usage. Returns false and changes nothing when there is
+    /// no such grant or when the growth exceeds what is free. Precondition: `need` is valid.
     bool resize(grant_id id, const resources& need);
 
-    /// Takes the worker's present capacity. Precondition: it is valid.
+    /// Sets the worker's current capacity. Precondition: it is valid.
     void set_capacity(const resources& capacity) { m_capacity = capacity; }
-    /// Takes what the worker runs for earlier owners. Precondition: it is valid.
+    /// Sets the resources of what the worker runs for earlier owners. Precondition: they are valid.
     void set_foreign(const resources& foreign) { m_foreign = foreign; }
     /// Opens or closes the ledger for new grants.
     void set_open(bool is_open) { m_is_open = is_open; }
 
     [[nodiscard]] bool is_open() const { return m_is_open; }
+    /// Returns true when there is a grant `id`.
     [[nodiscard]] bool has(grant_id id) const { return m_grants.contains(id); }
     [[nodiscard]] const resources& get_capacity() const { return m_capacity; }
+    /// Returns the sum of the grants.
     [[nodiscard]] const resources& get_given() const { return m_granted; }
-    /// Returns what may still be given; negative where the worker holds too much already.
+    /// Returns what may still be granted; negative where the worker is overcommitted.
     [[nodiscard]] resources get_free() const { return m_capacity - m_granted - m_foreign; }
     [[nodiscard]] std::size_t get_grant_count() const { return m_grants.size(); }
 
