--- a/poplarpitch/scheduling/advice_outcome.h
+++ b/poplarpitch/scheduling/advice_outcome.h
@@ -6,7 +6,7 @@
 
 namespace poplarpitch {
 
-/// A worker that may run a step, with the ticket that a start there has to carry.
+/// A worker that is allowed to run a step, with the ticket that a start there must carry.
 struct advice_ticket {
     std::string worker;
     std::string ticket;
@@ -14,9 +14,9 @@
     friend auto operator<=>(const advice_ticket&, const advice_ticket&) = default;
 };
 
-/// What the advice service answered for the workers that were named.
+/// The advice service's answer about the workers that it was asked about.
 struct advice_outcome {
-    bool is_answered = false; ///< false: it was busy or out of reach, and nothing is known
+    bool is_answered = false; ///< false: the service was busy or unreachable, and nothing is known
     std::vector<advice_ticket> allowed;
 
     friend bool operator==(const advice_outcome&, const advice_outcome&) = default;
--- a/poplarpitch/scheduling/book_event.h
+++ b/poplarpitch/scheduling/book_event.h
@@ -11,19 +11,20 @@
 
 namespace poplarpitch {
 
-/// What a committed command changed, for the leader's own bookkeeping.
+/// A change made by a committed command, for the leader's own bookkeeping.
 struct book_event {
     enum class kind : std::uint8_t {
         job_accepted, ///< `run.task.step.job`
         job_ended,    ///< `run.task.step.job`: completed, failed or cancelled
         run_assigned, ///< `run` to `worker`
-        run_refused,  ///< `run` to `worker` was not assigned: its job or task had moved on
-        run_ended,    ///< `run` on `worker` with `end`; `number` of the worker's list
-        task_crashed, ///< `worker` crashed under `run`, the `number`th one under its task
+        run_refused,  ///< `run` was not assigned to `worker`: its job or task had changed, or the worker is
+                      ///< retired
+        run_ended,    ///< `run` on `worker` ended with `end`; `number` in the worker's list of ends
+        task_crashed, ///< `worker` crashed under `run`; it is the `number`th crash counted for the task
         step_done,    ///< `run.task.step`
         config_changed,
         worker_retired, ///< `worker`
-        fence_raised,   ///< orders may carry a fence that none carried before
+        fence_raised,   ///< orders may now carry a higher fence than any before
     };
 
     kind what = kind::job_accepted;
@@ -31,8 +32,8 @@
     worker_life worker;
     run_end end = run_end::done;
     std::uint64_t number = 0;
-    crash_evidence crash = crash_evidence::none; ///< of an end, or of `task_crashed`
-    std::int64_t age_ms = 0;                     ///< how long the run was there; 0 while unknown
+    crash_evidence crash = crash_evidence::none; ///< of `run_ended` or `task_crashed`
+    std::int64_t age_ms = 0;                     ///< how long the run had been on the worker; 0 when unknown
 
     friend auto operator<=>(const book_event&, const book_event&) = default;
 };
--- a/poplarpitch/scheduling/command_outcome.h
+++ b/poplarpitch/scheduling/command_outcome.h
@@ -4,11 +4,11 @@
 
 namespace poplarpitch {
 
-/// What became of a committed command.
+/// Result of applying a committed command.
 enum class command_outcome : std::uint8_t {
     applied,
-    repeated, ///< it had been applied before; the answer is the same
-    refused,  ///< it does not fit what was committed before it
+    repeated, ///< already applied before; the answer is the same
+    refused,  ///< conflicts with the state after earlier commands, or is of a newer version
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduling/control_call.h
+++ b/poplarpitch/scheduling/control_call.h
@@ -13,7 +13,7 @@
 struct heartbeat_call {
     worker_report report;
 };
-/// A worker's goodbye: it ends.
+/// A worker deregisters because its process ends.
 struct goodbye_call {
     worker_life worker;
 };
@@ -21,20 +21,20 @@
 struct put_config_call {
     job_configuration configuration;
 };
-/// An operator asks for the configuration.
+/// An operator's request for the configuration.
 struct get_config_call {};
-/// A call of the deployment that this version does not carry out.
+/// A known call that this version does not implement.
 struct unsupported_call {
     std::string reason;
 };
-/// A call that is known but cannot be read.
+/// A known call that cannot be parsed.
 struct malformed_call {
     std::string reason;
 };
-/// No such call.
+/// A call that is not known.
 struct unknown_call {};
 
-/// What workers and operators ask the control instances.
+/// A call by a worker or an operator to the control instances.
 using control_call = std::variant<heartbeat_call, goodbye_call, put_config_call, get_config_call,
                                   unsupported_call, malformed_call, unknown_call>;
 
--- a/poplarpitch/scheduling/crash_evidence.h
+++ b/poplarpitch/scheduling/crash_evidence.h
@@ -4,16 +4,18 @@
 
 namespace poplarpitch {
 
-/// What the loss of a run's worker says of the run. The numbers stand in the log.
+/// How strongly the loss of a run's worker suggests that the run crashed it. The numeric values are stored in
+/// the log.
 enum class crash_evidence : std::uint8_t {
-    none = 0,     ///< no crash, or the run was surely not there: it left, was cut off, never got the start
-    possible = 1, ///< the worker crashed, and the run may have been there: its start had no answer
-    shared = 2,   ///< the worker crashed with the run there, and other tasks may be at fault as well
-    likely = 3,   ///< it was alone there, or had just begun and was the only one that was at a crash before
-    clear = 4,    ///< it was alone there and had just begun, now and at the crash before
+    none = 0,     ///< no crash (the worker left or was cut off), or the run surely never got its start
+    possible = 1, ///< the worker crashed and the run may have been there: its start was not answered
+    shared = 2,   ///< the worker crashed while the run was there, but other tasks may be the cause as well
+    likely = 3,   ///< the run was alone there, or had just started and was the only one whose task was at an
+                  ///< earlier crash
+    clear = 4,    ///< the run was alone there and had just started, now and at the earlier crash
 };
 
-/// Returns the evidence's name for logs. Thread safety: any thread.
+/// Returns the name of the evidence in logs. Thread safety: any thread.
 constexpr const char* get_evidence_name(crash_evidence evidence) {
     switch (evidence) {
     case crash_evidence::none:
--- a/poplarpitch/scheduling/hold_answer.h
+++ b/poplarpitch/scheduling/hold_answer.h
@@ -11,19 +11,20 @@
 
 namespace poplarpitch {
 
-/// A run that a worker says is going on.
+/// A run that a worker reports as running.
 struct run_row {
     run_key run;
     std::string saved;        ///< newest checkpoint; empty for none
-    std::int64_t percent = 0; ///< of its work; of a long-running task, 100 when it is at work
-    std::int64_t level = 0; ///< serving: tail of its answers, ms; others: millicores in use. Last half second
+    std::int64_t percent = 0; ///< progress of its work; for a long-running task, 100 when it is working
+    std::int64_t level = 0;   ///< over the last half second; serving tasks: tail latency of their answers in
+                              ///< ms; others: millicores in use
 
     friend auto operator<=>(const run_row&, const run_row&) = default;
 };
 
-/// A run that a worker says has ended, until that is acknowledged.
+/// A run that a worker reports as ended, until the end is acknowledged.
 struct end_row {
-    std::uint64_t number = 0; ///< rises from 1 in each life of the worker
+    std::uint64_t number = 0; ///< increases from 1 in each incarnation of the worker
     run_key run;
     run_end end = run_end::done;
     std::string saved;
@@ -31,16 +32,17 @@
     friend auto operator<=>(const end_row&, const end_row&) = default;
 };
 
-/// A worker's complete list.
+/// A worker's complete list of runs.
 struct hold_answer {
     std::int64_t clock_ms = 0; ///< the worker's clock
     std::vector<run_row> running;
-    std::vector<end_row> ended; ///< at most `max_ended_rows` at a time
-    std::int64_t born_ms = 0;   ///< Unix time at which the worker's process started; 0 when not told
+    std::vector<end_row> ended; ///< at most `max_ended_rows` in one answer
+    std::int64_t born_ms = 0;   ///< Unix time at which the worker's process started; 0 when not reported
 
     friend bool operator==(const hold_answer&, const hold_answer&) = default;
 
-    /// Returns all runs that it names, in order. Thread safety: any thread while nobody changes it.
+    /// Returns the keys of all listed runs, sorted. Thread safety: any thread while no thread modifies the
+    /// object.
     [[nodiscard]] std::vector<run_key> get_listed() const {
         std::vector<run_key> listed;
         listed.reserve(running.size() + ended.size());
@@ -55,7 +57,7 @@
     }
 };
 
-/// A worker lists no more ends than this in one answer.
+/// Maximum number of ends that a worker lists in one answer.
 inline constexpr std::size_t max_ended_rows = 500;
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduling/job_book.cpp
+++ b/poplarpitch/scheduling/job_book.cpp
@@ -55,7 +55,8 @@
         return end(read_end(command.end()), command.end().saved(), events);
     case job_wire::job_command::kConfig:
         if (command.config().version() <= m_configuration.version) {
-            return command_outcome::repeated; // overtaken or sent again: acknowledged, and changes nothing
+            return command_outcome::repeated; // an older or repeated version is acknowledged and changes
+                                              // nothing
         }
         m_configuration = decode(command.config());
         events.push_back(make_job_event(book_event::kind::config_changed, 0));
@@ -75,7 +76,7 @@
         m_jobs.erase(command.forget().id());
         return command_outcome::applied;
     default:
-        return command_outcome::refused; // of a newer version
+        return command_outcome::refused; // a command of a newer version
     }
 }
 
@@ -147,7 +148,7 @@
 
 command_outcome job_book::end(const book_event& ended, const std::string& saved,
                               std::vector<book_event>& events) {
-    events.push_back(ended); // also when nothing changes: the worker may forget it then
+    events.push_back(ended); // even when nothing changes, so that the worker may forget the end
     const auto found = m_jobs.find(ended.run.task.step.job);
     if (found == m_jobs.end()) {
         return command_outcome::repeated;
@@ -165,7 +166,7 @@
         return command_outcome::repeated;
     }
     if (task->phase != task_phase::active) {
-        return command_outcome::applied; // a copy ended before, or the job was cancelled
+        return command_outcome::applied; // another copy ended before, or the job was cancelled
     }
     if (!saved.empty()) {
         task->saved = saved;
@@ -225,7 +226,7 @@
     if (!task.crash.should_give_up(crashed.crash) || record.phase != job_phase::open) {
         return false;
     }
-    // Started again it would only take the next worker along, with all that runs there.
+    // Another start would only crash the next worker, with everything that runs there.
     task.phase = task_phase::failed;
     end_job(record, job_phase::failed, events);
     return true;
@@ -234,13 +235,14 @@
 std::uint32_t job_book::count_failures(job_record& record, const step_key& key) {
     std::uint32_t failures = 0;
     for (const auto& task : record.get_occurrence(key.occurrence).steps[key.step].tasks) {
-        failures += task.failures; // of a run of a gang one member fails, the others are broken off
+        failures += task.failures; // when one member of a gang fails, the others end as `broken`, which does
+                                   // not count
     }
     return failures;
 }
 
 void job_book::finish_gang(job_record& record, const step_key& key, std::vector<book_event>& events) {
-    // The members end together, so one end stands for all: the others may be lost with their workers.
+    // The members finish together, so one end counts for all: the others may be lost with their workers.
     auto& step = record.get_occurrence(key.occurrence).steps[key.step];
     for (auto& task : step.tasks) {
         task.phase = task_phase::done;
@@ -279,7 +281,8 @@
 }
 
 void job_book::drop_idle_tasks(job_record& record) {
-    // Only tasks that may still run somewhere are kept: the rest would be memory until the job is forgotten.
+    // Only occurrences with runs that may still exist are kept; the rest would use memory until the job is
+    // forgotten.
     std::erase_if(record.occurrences, [](const auto& item) {
         const auto& steps = item.second.steps;
         return std::all_of(steps.begin(), steps.end(), [](const step_record& step) {
@@ -325,7 +328,7 @@
     for (const auto& [id, record] : m_jobs) {
         ordered.push_back(&record);
     }
-    // The map's order differs between processes; equal states are to give equal bytes.
+    // The map's order differs between processes, and equal states must give equal bytes.
     std::sort(ordered.begin(), ordered.end(),
               [](const auto* left, const auto* right) { return left->sequence < right->sequence; });
     for (const auto* record : ordered) {
--- a/poplarpitch/scheduling/job_book.h
+++ b/poplarpitch/scheduling/job_book.h
@@ -21,36 +21,38 @@
 
 namespace poplarpitch {
 
-/// The replicated state of jobs, configuration and maintenance: what every control instance agrees on.
+/// The replicated state of jobs, configuration and maintenance, on which all control instances agree.
 ///
-/// Commands change it in the order of the log, on every instance alike; nothing in it depends on a clock. A
-/// run is assigned here before it is started anywhere, and its end is entered here before the worker may
-/// forget it, so a new leader knows of every run that may exist. Thread safety: none, as for all methods.
+/// Commands are applied in the order of the log, with the same result on every instance; nothing depends on a
+/// clock. A run is assigned here before it is started on a worker, and its end is recorded here before the
+/// worker may forget it, so a new leader knows of every run that may exist. Thread safety: none, as for all
+/// methods.
 class job_book {
 public:
     /// Applies a committed command and appends what it changed to `events`.
     command_outcome apply(const job_wire::job_command& command, std::vector<book_event>& events);
 
-    /// Returns all state as bytes.
+    /// Serialises the whole state.
     [[nodiscard]] std::string save() const;
-    /// Replaces all state by what `save` returned. Returns false and keeps nothing when the bytes are no
-    /// snapshot.
+    /// Replaces the whole state by one that `save` returned. Returns false and leaves the state empty when
+    /// `bytes` is not a snapshot.
     bool load(std::string_view bytes);
 
     [[nodiscard]] const job_configuration& get_configuration() const { return m_configuration; }
-    /// Returns the job, or null when none of that id is known.
+    /// Returns the job, or null when the id is not known.
     [[nodiscard]] const job_record* find_job(job_id id) const;
     [[nodiscard]] const absl::node_hash_map<job_id, job_record>& get_jobs() const { return m_jobs; }
     /// Returns the task, or null when it is not known or its occurrence has ended.
     [[nodiscard]] const task_record* find_task(const task_key& key) const;
-    /// Returns true when the worker has said that it leaves: nothing is started on it any more.
+    /// Returns true when the worker has announced that it leaves; nothing more is started on it.
     [[nodiscard]] bool is_retired(const worker_life& worker) const { return m_retired.contains(worker); }
-    /// Returns how often the fence was raised within terms of leaders. With the leader's term added it is
-    /// higher than any fence that an earlier leader used, or this one before the last raise.
+    /// Returns how often the fence was raised within the terms of leaders. Added to the leader's term, it
+    /// gives a fence that is higher than any that an earlier leader used, or that this leader used before the
+    /// last raise.
     [[nodiscard]] std::uint64_t get_fence_raises() const { return m_fence_raises; }
-    /// Returns what a leader has noted of images that press on others; a new leader begins with it.
+    /// Returns the pressure factors that a leader has recorded; a new leader starts with them.
     [[nodiscard]] const std::vector<pressure_factor>& get_pressure() const { return m_pressure; }
-    /// Returns the runs that were assigned and have not ended, in the order of their keys.
+    /// Returns the runs that were assigned and have not ended, sorted by their keys.
     [[nodiscard]] std::vector<std::pair<run_key, assigned_run>> get_assigned_runs() const;
 
 private:
@@ -59,9 +61,9 @@
     command_outcome assign(const run_key& key, assigned_run run, std::vector<book_event>& events);
     command_outcome retire(const worker_life& worker, std::vector<book_event>& events);
     command_outcome end(const book_event& ended, const std::string& saved, std::vector<book_event>& events);
-    /// Takes a crash that was found out after its run had been given up.
+    /// Records a crash that was detected after its run had been given up.
     command_outcome record_crash(const book_event& crashed, std::vector<book_event>& events);
-    /// Counts a crash under a task. Returns true when its job is given up for it.
+    /// Counts a crash of a worker under a task. Returns true when the job fails because of it.
     bool count_crash(job_record& record, task_record& task, const book_event& crashed,
                      std::vector<book_event>& events);
     static std::uint32_t count_failures(job_record& record, const step_key& key);
--- a/poplarpitch/scheduling/job_codec.h
+++ b/poplarpitch/scheduling/job_codec.h
@@ -18,7 +18,7 @@
 
 namespace poplarpitch {
 
-/// Between jobs and their protobuf messages. Thread safety: any thread, for all.
+/// Conversions between jobs and their protobuf messages. Thread safety: any thread, for all functions.
 void encode(const step_job& job, job_wire::step_job& message);
 [[nodiscard]] step_job decode(const job_wire::step_job& message);
 void encode(const task_key& key, job_wire::task_name& message);
--- a/poplarpitch/scheduling/job_configuration.h
+++ b/poplarpitch/scheduling/job_configuration.h
@@ -10,19 +10,19 @@
 
 namespace poplarpitch {
 
-/// The operators' configuration of queues and pools. The highest version is in force.
+/// The operators' configuration of queues and pools. The highest version is in effect.
 struct job_configuration {
-    std::uint64_t version = 0; ///< 0 while there is none
-    std::string document;      ///< as the operator sent it; given back on a read
+    std::uint64_t version = 0; ///< 0 when there is none
+    std::string document;      ///< as the operator sent it; returned on a read
     std::vector<queue_settings> queues;
     std::vector<pool_settings> pools;
 
     friend bool operator==(const job_configuration&, const job_configuration&) = default;
 
-    /// Returns the queue whose host matches and whose prefix is the longest that `path` begins with, or null.
-    /// Thread safety: any thread.
+    /// Returns the queue of `host` with the longest prefix that `path` begins with, or null when there is
+    /// none. Thread safety: any thread.
     [[nodiscard]] const queue_settings* find_queue(std::string_view host, std::string_view path) const;
-    /// Returns the pool of that name, or null. Thread safety: any thread.
+    /// Returns the pool of that name, or null when there is none. Thread safety: any thread.
     [[nodiscard]] const pool_settings* find_pool(std::string_view name) const;
 };
 
--- a/poplarpitch/scheduling/job_id.cpp
+++ b/poplarpitch/scheduling/job_id.cpp
@@ -25,7 +25,7 @@
     for (const char character : text) {
         const auto value = digits.find(character);
         if (value == std::string_view::npos) {
-            return std::nullopt; // upper case too: an id has one spelling
+            return std::nullopt; // also for upper case, so that an id has one spelling
         }
         id = (id << 4U) | value;
     }
--- a/poplarpitch/scheduling/job_phase.h
+++ b/poplarpitch/scheduling/job_phase.h
@@ -4,23 +4,23 @@
 
 namespace poplarpitch {
 
-/// How far a job is. The numbers stand in snapshots.
+/// State of a job. The numeric values are stored in snapshots.
 enum class job_phase : std::uint8_t {
-    open = 0, ///< accepted, not all of it is done
+    open = 0, ///< accepted and not yet finished
     completed = 1,
     failed = 2,
     cancelled = 3,
 };
 
-/// How far a task is. The numbers stand in snapshots.
+/// State of a task. The numeric values are stored in snapshots.
 enum class task_phase : std::uint8_t {
-    waiting = 0, ///< nothing of it is assigned
+    waiting = 0, ///< no run is assigned
     active = 1,  ///< at least one run is assigned to a worker
     done = 2,
-    failed = 3, ///< it failed as often as its queue allows, or crashed its workers
+    failed = 3, ///< failed as often as its queue allows, or crashed its workers
 };
 
-/// Returns the phase's name for logs. Thread safety: any thread.
+/// Returns the name of the phase in logs. Thread safety: any thread.
 constexpr const char* get_phase_name(job_phase phase) {
     switch (phase) {
     case job_phase::open:
--- a/poplarpitch/scheduling/job_progress.h
+++ b/poplarpitch/scheduling/job_progress.h
@@ -4,7 +4,7 @@
 
 namespace poplarpitch {
 
-/// How far a job is, as its caller sees it.
+/// State of a job as its caller sees it.
 enum class job_progress : std::uint8_t { queued, running, completed, failed, cancelled };
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduling/job_record.h
+++ b/poplarpitch/scheduling/job_record.h
@@ -17,58 +17,59 @@
 struct assigned_run {
     std::uint32_t run = 0;
     worker_life worker;
-    std::string address; ///< of the worker, so that a new leader can ask there what became of it
+    std::string address; ///< of the worker, so that a new leader can ask it about the run
 
     friend auto operator<=>(const assigned_run&, const assigned_run&) = default;
 };
 
-/// What is known of one task for good.
+/// The replicated state of one task.
 struct task_record {
     task_phase phase = task_phase::waiting;
-    std::uint32_t last_run = 0;     ///< highest number given out
-    std::uint32_t failures = 0;     ///< ends that count against the attempts
+    std::uint32_t last_run = 0;     ///< highest run number assigned so far
+    std::uint32_t failures = 0;     ///< ended runs that count against the queue's `max_attempts`
     std::string saved;              ///< newest checkpoint; empty for none
-    std::vector<assigned_run> runs; ///< more than one only for copies
-    crash_history crash;            ///< workers that crashed under it
+    std::vector<assigned_run> runs; ///< more than one only for speculative copies
+    crash_history crash;            ///< crashes of workers under the task
 
     friend bool operator==(const task_record&, const task_record&) = default;
 };
 
-/// The tasks of a step of one occurrence.
+/// The tasks of one step in one occurrence.
 struct step_record {
     std::vector<task_record> tasks;
-    std::uint32_t done = 0; ///< how many are done; derived
+    std::uint32_t done = 0; ///< number of done tasks; derived from `tasks`
 
     friend bool operator==(const step_record&, const step_record&) = default;
 
-    /// Returns true when all tasks are done. Thread safety: any thread while nobody changes it.
+    /// Returns true when all tasks are done. Thread safety: any thread while no thread modifies the object.
     [[nodiscard]] bool is_done() const { return done == tasks.size(); }
 };
 
-/// One occurrence that is due or has begun.
+/// An occurrence that is due or has started.
 struct occurrence_record {
     std::vector<step_record> steps;
-    bool is_done = false; ///< its steps are dropped then
+    bool is_done = false; ///< all of its steps are done
 
     friend bool operator==(const occurrence_record&, const occurrence_record&) = default;
 };
 
-/// A job with all that is known of it for good.
+/// The replicated state of one job.
 struct job_record {
     std::shared_ptr<const step_job> job;
     job_phase phase = job_phase::open;
     std::uint64_t sequence = 0; ///< order of acceptance
     std::uint32_t occurrences_done = 0;
-    std::map<std::uint32_t, occurrence_record> occurrences; ///< those touched so far
+    std::map<std::uint32_t, occurrence_record> occurrences; ///< those created so far
 
-    /// Returns the task, or null when the occurrence has not begun, has ended or the numbers are out of
+    /// Returns the task, or null when the occurrence has not started, was dropped or a number is out of
     /// range. Thread safety: none.
     [[nodiscard]] task_record* find_task(std::uint32_t occurrence, std::uint32_t step, std::uint32_t index);
-    /// Returns the step, or null as above. Thread safety: any thread while nobody changes it.
+    /// Returns the step, or null as above. Thread safety: any thread while no thread modifies the object.
     [[nodiscard]] const step_record* find_step(std::uint32_t occurrence, std::uint32_t step) const;
-    /// Returns true when all steps that this one depends on are done. Thread safety: as above.
+    /// Returns true when all steps that `step` depends on are done. Thread safety: as above.
     [[nodiscard]] bool may_begin(std::uint32_t occurrence, std::uint32_t step) const;
-    /// Returns the occurrence, made when it is missing. Precondition: the number is below the job's count.
+    /// Returns the occurrence; creates it when it is missing. Precondition: the number is below the job's
+    /// count.
     occurrence_record& get_occurrence(std::uint32_t occurrence);
 };
 
--- a/poplarpitch/scheduling/job_timing.h
+++ b/poplarpitch/scheduling/job_timing.h
@@ -8,7 +8,7 @@
 
 namespace poplarpitch {
 
-/// How long something in a job's life took, for histograms.
+/// Duration of one stage in the life of a job, for histograms.
 struct job_timing {
     enum class kind : std::uint8_t {
         first_start, ///< from acceptance to the first start
@@ -19,7 +19,7 @@
     kind what = kind::first_start;
     std::string queue;
     duration length{};
-    bool is_in_time = false; ///< within the objective by the caller's estimates
+    bool is_in_time = false; ///< within the objective, by the caller's estimates
 
     friend auto operator<=>(const job_timing&, const job_timing&) = default;
 };
--- a/poplarpitch/scheduling/order_failure.h
+++ b/poplarpitch/scheduling/order_failure.h
@@ -4,22 +4,22 @@
 
 namespace poplarpitch {
 
-/// Why an order to a worker was not carried out, or why that is not known.
+/// Why an order to a worker was not carried out, or why its result is unknown.
 enum class order_failure : std::uint8_t {
-    unreachable = 1, ///< no connection: nothing was sent
-    not_sent,        ///< it has surely not left this side; nothing is known of the worker
-    unanswered,      ///< sent: it may have been carried out, or be carried out seconds later
-    other_life,      ///< another life of a worker answers at that address
+    unreachable = 1, ///< no connection; nothing was sent
+    not_sent,        ///< surely not sent; nothing is known about the worker
+    unanswered,      ///< sent without an answer: it may have been carried out, or may be seconds later
+    other_life,      ///< another incarnation of a worker answers at that address
     lower_fence,     ///< the worker has seen a higher fence
-    old_run,         ///< a run at least as high was stopped or ended there
-    late_lease,      ///< the lease in the order had run out
+    old_run,         ///< a run with the same or a higher number was stopped or ended there
+    late_lease,      ///< the lease in the order had expired
     no_room,
     no_ticket,
-    unhealthy, ///< the worker refuses everything at present; it has done nothing
-    malformed, ///< the worker cannot read the order
+    unhealthy, ///< the worker refuses all orders at present and did not carry this one out
+    malformed, ///< the worker cannot parse the order
 };
 
-/// Returns the failure's name for logs. Thread safety: any thread.
+/// Returns the name of the failure in logs. Thread safety: any thread.
 constexpr const char* get_failure_name(order_failure failure) {
     switch (failure) {
     case order_failure::unreachable:
--- a/poplarpitch/scheduling/pressure_factor.h
+++ b/poplarpitch/scheduling/pressure_factor.h
@@ -5,11 +5,11 @@
 
 namespace poplarpitch {
 
-/// How strongly filling tasks of one image slow serving tasks of another, as learned by a leader.
+/// How much filling tasks of one image slow serving tasks of another, as learned by a leader.
 struct pressure_factor {
     std::string serving; ///< image
     std::string filling; ///< image
-    double mean = 0;     ///< slowdown for each share of the worker's processor time
+    double mean = 0;     ///< slowdown per share of the worker's processor time
     double variance = 0; ///< of `mean`
 
     friend auto operator<=>(const pressure_factor&, const pressure_factor&) = default;
--- a/poplarpitch/scheduling/queue_settings.h
+++ b/poplarpitch/scheduling/queue_settings.h
@@ -9,27 +9,28 @@
 
 namespace poplarpitch {
 
-/// How the service that names the workers allowed for a step answers for one queue.
+/// Response times and ticket validity of the advice service for one queue. The service tells which workers
+/// are allowed to run a step.
 struct advice_settings {
-    duration decide{}; ///< fixed part of an answer's time
-    duration each{};   ///< for each worker named
-    duration valid{};  ///< how long a ticket holds
+    duration decide{}; ///< fixed part of the response time
+    duration each{};   ///< additional response time for each worker in the request
+    duration valid{};  ///< validity of a ticket
 
     friend auto operator<=>(const advice_settings&, const advice_settings&) = default;
 };
 
-/// A queue of jobs as the operators configured it.
+/// A job queue as configured by the operators.
 struct queue_settings {
     std::string name;
-    std::string host;               ///< of the callers' requests
-    std::string prefix;             ///< of their paths
-    std::string pool;               ///< whose workers run the tasks
-    int priority = 0;               ///< 0 goes first
-    std::uint32_t max_attempts = 1; ///< a task that failed this often fails its job
-    double stretch = 1.0;           ///< the objective allows this multiple of the longest chain of work
-    duration target_latency{};      ///< and this much more
-    duration timeout{};             ///< of a caller's request
-    std::optional<advice_settings> advice; ///< set: only workers with a ticket may run a step
+    std::string host;                      ///< host name in the callers' requests
+    std::string prefix;                    ///< prefix of the paths in the callers' requests
+    std::string pool;                      ///< pool whose workers run the tasks
+    int priority = 0;                      ///< 0 is served first
+    std::uint32_t max_attempts = 1;        ///< a task that fails this often fails its job
+    double stretch = 1.0;                  ///< the objective allows this multiple of the critical path
+    duration target_latency{};             ///< and this time on top
+    duration timeout{};                    ///< of a caller's request
+    std::optional<advice_settings> advice; ///< if set, only workers with a ticket may run a step
 
     friend auto operator<=>(const queue_settings&, const queue_settings&) = default;
 };
--- a/poplarpitch/scheduling/run_end.h
+++ b/poplarpitch/scheduling/run_end.h
@@ -4,19 +4,19 @@
 
 namespace poplarpitch {
 
-/// How a run ended. The numbers stand in the log.
+/// How a run ended. The numeric values are stored in the log.
 enum class run_end : std::uint8_t {
     done = 1,
-    failed = 2,      ///< by its own fault or the worker's; counts against the queue's attempts
-    stopped = 3,     ///< by our order
-    lapsed = 4,      ///< its worker's lease ran out
+    failed = 2,      ///< by its own fault or the worker's; counts against the queue's `max_attempts`
+    stopped = 3,     ///< by the leader's order
+    lapsed = 4,      ///< its worker's lease expired
     broken = 5,      ///< another member of its gang ended
-    alone = 6,       ///< it waited too long for its gang
+    alone = 6,       ///< it waited too long for the other members of its gang
     not_started = 7, ///< it surely never ran and never will
-    lost = 8,        ///< its worker is gone, or was out of reach until its lease had surely run out
+    lost = 8,        ///< its worker is gone, or was unreachable until its lease had surely expired
 };
 
-/// Returns the end's name for logs. Thread safety: any thread.
+/// Returns the name of the end in logs. Thread safety: any thread.
 constexpr const char* get_end_name(run_end end) {
     switch (end) {
     case run_end::done:
--- a/poplarpitch/scheduling/step_job.cpp
+++ b/poplarpitch/scheduling/step_job.cpp
@@ -5,9 +5,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_payload_bytes = 4000;       // bytes; what callers are told they may send
-constexpr std::size_t max_steps = 1000;               // keeps one job's record small
-constexpr std::uint32_t max_tasks_per_step = 100'000; // of a step; the same
+constexpr std::size_t max_payload_bytes = 4000;       // the limit that callers are told
+constexpr std::size_t max_steps = 1000;               // bounds the size of one job's record
+constexpr std::uint32_t max_tasks_per_step = 100'000; // bounds it as well
 constexpr std::uint32_t max_occurrences = 1'000'000;
 
 } // namespace
@@ -43,7 +43,7 @@
 }
 
 std::int64_t step_job::get_rest_ms(std::uint32_t first, const std::vector<std::int64_t>& lengths_ms) const {
-    std::vector<std::int64_t> ends(steps.size(), -1); // -1: not behind `first`
+    std::vector<std::int64_t> ends(steps.size(), -1); // -1: does not depend on `first`
     ends[first] = lengths_ms[first];
     auto last = ends[first];
     for (std::size_t number = first + 1; number < steps.size(); ++number) {
--- a/poplarpitch/scheduling/step_job.h
+++ b/poplarpitch/scheduling/step_job.h
@@ -12,44 +12,47 @@
 
 namespace poplarpitch {
 
-/// When a job runs again and again.
+/// Recurrence of a job.
 struct job_schedule {
-    std::uint32_t count = 0;      ///< occurrences
+    std::uint32_t count = 0;      ///< number of occurrences
     std::int64_t first_ms = 0;    ///< wall time of occurrence 0, milliseconds since 1970
     std::int64_t interval_ms = 0; ///< between two occurrences, which may overlap
 
     friend auto operator<=>(const job_schedule&, const job_schedule&) = default;
 };
 
-/// A job as its caller submitted it.
+/// A job as submitted by its caller.
 struct step_job {
     job_id id = 0;
-    std::string payload; ///< for the tasks; not read here
+    std::string payload; ///< passed to the tasks; not interpreted here
     std::vector<step_spec> steps;
-    std::optional<job_schedule> schedule; ///< nothing: runs once, at once
-    queue_settings queue;                 ///< as it stood at acceptance
-    std::int64_t accepted_ms = 0;         ///< wall time of the instance that accepted it
+    std::optional<job_schedule> schedule; ///< nothing: the job runs once, immediately
+    queue_settings queue;                 ///< as configured at acceptance
+    std::int64_t accepted_ms = 0;         ///< wall time on the instance that accepted it
 
     friend bool operator==(const step_job&, const step_job&) = default;
 
-    /// Returns how many occurrences there are in all. Thread safety: any thread.
+    /// Returns the total number of occurrences. Thread safety: any thread.
     [[nodiscard]] std::uint32_t get_occurrence_count() const;
-    /// Returns what the job reserves for as long as it lasts, millicores. Thread safety: any thread.
+    /// Returns the millicores that the job's long-running steps reserve, except for filling ones. Thread
+    /// safety: any thread.
     [[nodiscard]] std::int64_t get_lasting_millicores() const;
-    /// Returns the time of the longest chain of steps, milliseconds, by what each of them takes.
-    /// Precondition: one length for each step. Thread safety: any thread.
+    /// Returns the duration of the critical path, in milliseconds; `lengths_ms` has the duration of each
+    /// step. Precondition: one length for each step. Thread safety: any thread.
     [[nodiscard]] std::int64_t get_critical_path_ms(const std::vector<std::int64_t>& lengths_ms) const;
-    /// Returns how long after acceptance the job, or an occurrence after it fell due, may end and still be
-    /// in time, by what each step takes. Precondition: one length for each step. Thread safety: any thread.
+    /// Returns the time within which the job has to end after its acceptance, or an occurrence after it
+    /// became due, to meet the objective; `lengths_ms` has the duration of each step. Precondition: one
+    /// length for each step. Thread safety: any thread.
     [[nodiscard]] duration get_objective(const std::vector<std::int64_t>& lengths_ms) const;
-    /// Returns the time from the start of a step to the end of the last one behind it, milliseconds, by what
-    /// each step takes. Precondition: one length for each step. Thread safety: any thread.
+    /// Returns the time from the start of step `first` to the end of the last step that depends on it, in
+    /// milliseconds; `lengths_ms` has the duration of each step. Precondition: one length for each step.
+    /// Thread safety: any thread.
     [[nodiscard]] std::int64_t get_rest_ms(std::uint32_t first,
                                            const std::vector<std::int64_t>& lengths_ms) const;
 };
 
-/// Returns why a job cannot be taken, or nothing when it is sound: counts, dependencies on earlier steps
-/// only, no negative amounts. Thread safety: any thread.
+/// Returns why a job is invalid, or nothing when it is valid. Checks sizes and counts, that steps depend on
+/// earlier steps only, and that no amount is negative. Thread safety: any thread.
 [[nodiscard]] std::optional<std::string> find_job_error(const step_job& job);
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduling/task_key.h
+++ b/poplarpitch/scheduling/task_key.h
@@ -8,7 +8,7 @@
 
 namespace poplarpitch {
 
-/// Names a step of one occurrence of a job.
+/// Identifies a step of one occurrence of a job.
 struct step_key {
     job_id job = 0;
     std::uint32_t occurrence = 0; ///< 0 for a job that runs once
@@ -23,7 +23,7 @@
     }
 };
 
-/// Names a task: one of the equal parts of a step.
+/// Identifies a task: one of the equal parts of a step.
 struct task_key {
     step_key step;
     std::uint32_t index = 0;
@@ -37,7 +37,7 @@
     }
 };
 
-/// Names one start of a task. Runs are numbered from 1 and rise; a number is never used twice.
+/// Identifies one run (one start) of a task. Run numbers start at 1 and increase; a number is never reused.
 struct run_key {
     task_key task;
     std::uint32_t run = 0;
--- a/poplarpitch/scheduling/worker_life.h
+++ b/poplarpitch/scheduling/worker_life.h
@@ -8,18 +8,19 @@
 
 namespace poplarpitch {
 
-/// Names one life of a worker's process: its incarnation.
+/// Identifies one incarnation of a worker: one start of its process.
 ///
-/// A worker may start again under the id that it had and then knows nothing of before, so what is kept of one
-/// life says nothing of the next. The start time is of the worker's own clock, which may be stepped back:
-/// only equal times mean the same life, and which of two is the later one is not told by their order.
+/// A worker may restart under the same id and then knows nothing of its earlier runs, so the state of one
+/// incarnation says nothing about the next. The start time is taken from the worker's own clock, which may be
+/// set back: only equal times mean the same incarnation, and their order does not tell which of two is the
+/// later one.
 struct worker_life {
     std::string id;
-    std::int64_t born_ms = 0; ///< Unix time at which the process started; 0 where workers do not tell it
+    std::int64_t born_ms = 0; ///< Unix time at which the process started; 0 where workers do not report it
 
     friend auto operator<=>(const worker_life&, const worker_life&) = default;
 
-    /// Returns what comes before all lives of a worker in order. Thread safety: any thread.
+    /// Returns a key that sorts before all incarnations of the worker. Thread safety: any thread.
     [[nodiscard]] static worker_life before_all(const std::string& id) {
         return {id, std::numeric_limits<std::int64_t>::min()};
     }
--- a/poplarpitch/scheduling/worker_order.h
+++ b/poplarpitch/scheduling/worker_order.h
@@ -17,41 +17,42 @@
 
 struct step_job;
 
-/// What every order to a worker names.
+/// The fields that every order to a worker has.
 struct order_target {
-    worker_life worker; ///< the life it is meant for; a worker of another id refuses
+    worker_life worker; ///< the incarnation it is meant for; a worker with another id refuses it
     std::string address;
-    std::uint64_t fence = 0; ///< rises with each leader and each life of the worker; it refuses a lower one
+    std::uint64_t fence = 0; ///< fencing token: increases with each leader and each incarnation of the
+                             ///< worker, which refuses a lower one
     bool is_fresh = false;   ///< use a new connection
     duration timeout{};
 
     friend bool operator==(const order_target&, const order_target&) = default;
 };
 
-/// Prolongs the lease, acknowledges ends, and asks for the worker's list.
+/// Renews the lease, acknowledges ends and requests the worker's list of runs.
 struct hold_order {
     order_target target;
     std::optional<std::int64_t>
-        until_ms;                   ///< end of the lease on the worker's clock; nothing while that is unknown
-    std::uint64_t acknowledged = 0; ///< ends up to this number may be forgotten
-    duration wait{};                ///< the worker answers at the next end, at the latest after this
+        until_ms; ///< end of the lease on the worker's clock; nothing while that clock is unknown
+    std::uint64_t acknowledged = 0; ///< the worker may forget ends up to this number
+    duration wait{};                ///< the worker answers at the next end, at the latest after this time
 
     friend bool operator==(const hold_order&, const hold_order&) = default;
 };
 
-/// Starts a run. Sent twice it starts once.
+/// Starts a run. Sending it twice starts the run once.
 struct start_order {
     order_target target;
     run_key run;
     std::shared_ptr<const step_job> job; ///< for its payload
     std::int64_t until_ms = 0;
-    std::string saved;  ///< checkpoint to go on from; empty for none
+    std::string saved;  ///< checkpoint to resume from; empty for none
     std::string ticket; ///< from the advice service; empty for none
 
     friend bool operator==(const start_order&, const start_order&) = default;
 };
 
-/// Stops a run; one that is not there yet never starts.
+/// Stops a run. A run that has not arrived there yet never starts.
 struct stop_order {
     order_target target;
     run_key run;
@@ -59,7 +60,7 @@
     friend bool operator==(const stop_order&, const stop_order&) = default;
 };
 
-/// Lets a run work at a share of its speed.
+/// Limits a run to a share of its speed.
 struct pace_order {
     order_target target;
     run_key run;
@@ -68,7 +69,8 @@
     friend bool operator==(const pace_order&, const pace_order&) = default;
 };
 
-/// Asks the advice service which of these workers may run a step. It answers one such call at a time.
+/// Asks the advice service which of these workers may run a step. The service handles one such call at a
+/// time.
 struct advise_order {
     std::uint64_t fence = 0; ///< term of the leader that asks
     step_key step;
@@ -78,12 +80,13 @@
     friend bool operator==(const advise_order&, const advise_order&) = default;
 };
 
+/// An order to a worker, or a request to the advice service.
 using worker_order = std::variant<hold_order, start_order, stop_order, pace_order, advise_order>;
 
-/// A worker's answer to an order without a list.
+/// A worker's answer to any order but a hold.
 struct order_answer {
-    std::optional<order_failure> failure; ///< nothing: carried out
-    std::int64_t clock_ms = 0;            ///< the worker's clock; 0 when it did not say
+    std::optional<order_failure> failure; ///< nothing: the order was carried out
+    std::int64_t clock_ms = 0;            ///< the worker's clock; 0 when not reported
 
     friend auto operator<=>(const order_answer&, const order_answer&) = default;
 };
--- a/poplarpitch/scheduling/worker_report.h
+++ b/poplarpitch/scheduling/worker_report.h
@@ -10,7 +10,7 @@
 
 namespace poplarpitch {
 
-/// What a worker can hold, or what a task takes of it.
+/// Resources of a worker, or those that a task uses.
 struct worker_amounts {
     std::int64_t millicores = 0;
     std::int64_t memory_mb = 0;
@@ -40,30 +40,30 @@
     }
 };
 
-/// A heartbeat that says nothing new but its time.
+/// A heartbeat that repeats an earlier report and changes only its time.
 struct sign_of_life {
     worker_life worker;
-    std::uint64_t sequence = 0; ///< as in the whole report
-    std::uint64_t told = 0;     ///< sequence of the whole report that it repeats
+    std::uint64_t sequence = 0; ///< as in a full report
+    std::uint64_t told = 0;     ///< sequence of the full report that it repeats
     std::int64_t clock_ms = 0;  ///< the worker's own clock
 
     friend bool operator==(const sign_of_life&, const sign_of_life&) = default;
 };
 
-/// What a worker says of itself in a heartbeat.
+/// A worker's full report in a heartbeat.
 struct worker_report {
     worker_life life;
     std::string address; ///< IPv4 address and port for orders
     std::string pool;
     std::string data_centre;
-    std::string machine;             ///< stays the same over the lives of its workers; empty when not told
+    std::string machine; ///< stays the same over the incarnations of its workers; empty when not reported
     std::vector<std::string> labels; ///< its kind and its rack
     std::string rack;
     worker_amounts capacity;
-    bool is_leaving = false;       ///< takes no new work
-    std::int64_t remaining_ms = 0; ///< while leaving: how long it stays at least
+    bool is_leaving = false;       ///< accepts no new work
+    std::int64_t remaining_ms = 0; ///< while leaving: minimum time for which it stays
     std::int64_t clock_ms = 0;     ///< its own clock
-    std::uint64_t sequence = 0;    ///< rises with each heartbeat, so a late one is known
+    std::uint64_t sequence = 0;    ///< increases with each heartbeat, so that a late one is recognised
 
     friend bool operator==(const worker_report&, const worker_report&) = default;
 
