--- a/unit_tests/policy/admission_queue_test.cpp
+++ b/unit_tests/policy/admission_queue_test.cpp
@@ -52,7 +52,7 @@
     EXPECT_NEAR(static_cast<double>(queue.get_running("heavy")), 30, 1);
 }
 
-RC_GTEST_PROP(admission_queue, loses_and_doubles_nobody, ()) {
+RC_GTEST_PROP(admission_queue, neither_loses_nor_duplicates_requests, ()) {
     admission_queue queue;
     std::set<std::uint64_t> waiting;
     std::uint64_t last = 0;
--- a/unit_tests/policy/choices_test.cpp
+++ b/unit_tests/policy/choices_test.cpp
@@ -41,7 +41,7 @@
     }
 }
 
-RC_GTEST_PROP(routers, pick_only_what_is_free_and_whenever_something_is, ()) {
+RC_GTEST_PROP(routers, pick_a_free_worker_whenever_there_is_one, ()) {
     check_router(best_fit_router());
     check_router(random_router());
     check_router(round_robin_router());
@@ -81,7 +81,7 @@
     return candidate;
 }
 
-TEST(cost_placer, keeps_noise_away_from_busy_services) {
+TEST(cost_placer, keeps_interfering_tasks_away_from_busy_services) {
     interference_model model;
     model.set_estimate(0, 0, 2.0, 1000);
     auto quiet = make_candidate(0.0F);
@@ -105,9 +105,9 @@
     EXPECT_EQ(cost_placer({1, 9, 1}).pick(candidates, request, model), 0U);
 }
 
-TEST(cost_placer, tries_what_it_knows_nothing_of) {
-    // A class whose declared size makes its prior look ruinous must be placed once, or nothing is ever
-    // learned of it.
+TEST(cost_placer, tries_a_class_without_samples) {
+    // A class whose declared size makes its prior look harmful must be placed once, or nothing is ever
+    // learned about it.
     interference_model model;
     model.set_prior(0, 5);
     const std::vector<placement_candidate> candidates = {make_candidate(100)};
@@ -117,7 +117,7 @@
     EXPECT_FALSE(cost_placer({3, 1, 1}).pick(candidates, request, model).has_value());
 }
 
-TEST(cost_placer, refuses_ruinous_places_but_not_to_urgent_work) {
+TEST(cost_placer, refuses_harmful_placements_except_for_urgent_tasks) {
     interference_model model;
     model.set_estimate(0, 0, 20, 1000);
     const std::vector<placement_candidate> candidates = {make_candidate(100)};
@@ -128,7 +128,7 @@
     EXPECT_TRUE(placer.pick(candidates, request, model).has_value());
 }
 
-RC_GTEST_PROP(cost_placer, never_picks_what_does_not_hold_the_task, ()) {
+RC_GTEST_PROP(cost_placer, never_picks_a_worker_that_the_task_does_not_fit_on, ()) {
     interference_model model;
     std::vector<placement_candidate> candidates;
     for (int index = 0; index < *rc::gen::inRange(0, 10); ++index) {
--- a/unit_tests/policy/limits_test.cpp
+++ b/unit_tests/policy/limits_test.cpp
@@ -19,7 +19,7 @@
     return time_point{} + duration{static_cast<std::int64_t>(s * 1e9)} + seconds{100};
 }
 
-TEST(retry_budget, keeps_a_retry_storm_at_a_tenth) {
+TEST(retry_budget, limits_a_retry_storm_to_a_tenth) {
     retry_budget budget;
     int retries = 0;
     for (int request = 0; request < 1000; ++request) {
@@ -55,9 +55,9 @@
     EXPECT_EQ(limit.get_limit(), before);
 }
 
-TEST(relief_ladder, climbs_only_under_lasting_pressure) {
+TEST(relief_ladder, escalates_only_under_lasting_pressure) {
     relief_ladder ladder;
-    // Waves shorter than the hold time: it never climbs.
+    // Waves shorter than `escalate_after` never escalate.
     for (int wave = 0; wave < 20; ++wave) {
         ladder.update(3.0, at(wave * 2));
         ladder.update(1.0, at(wave * 2 + 1));
@@ -73,7 +73,7 @@
     EXPECT_TRUE(ladder.is_eviction_due(at(115)));
 }
 
-TEST(relief_ladder, bears_more_where_throughput_weighs_more) {
+TEST(relief_ladder, tolerates_more_slowdown_where_throughput_weighs_more) {
     EXPECT_EQ(make_relief_settings({3, 1, 1}).enter_slowdown, relief_settings{}.enter_slowdown);
     EXPECT_GT(make_relief_settings({1, 3, 3}).enter_slowdown, 2.5);
     EXPECT_LT(make_relief_settings({1, 3, 3}).exit_slowdown, make_relief_settings({1, 3, 3}).enter_slowdown);
@@ -95,20 +95,20 @@
     for (int tick = 0; tick < 600; ++tick) {
         taken += budget.try_take(at(tick * 0.1)) ? 1 : 0;
     }
-    EXPECT_LE(taken, 8); // a minute: the burst of 3 and 4 a minute
+    EXPECT_LE(taken, 8); // in one minute: the burst of 3 and 4 per minute
     EXPECT_GE(taken, 6);
 }
 
 TEST(pick_eviction, weighs_relief_against_lost_work) {
     const std::vector<eviction_candidate> candidates = {
-        {0.5, seconds{600}, 0, true}, // hurts most, but much would be lost
+        {0.5, seconds{600}, 0, true}, // causes the most interference, but much work would be lost
         {0.4, seconds{1}, 0, true},
-        {0.4, seconds{1}, 5, true}, // was hunted already
+        {0.4, seconds{1}, 5, true}, // was evicted often before
         {0.9, seconds{0}, 0, false},
     };
     EXPECT_EQ(pick_eviction(candidates), 1U);
-    const std::vector<eviction_candidate> innocent = {{0.001, seconds{0}, 0, true}};
-    EXPECT_FALSE(pick_eviction(innocent).has_value());
+    const std::vector<eviction_candidate> harmless = {{0.001, seconds{0}, 0, true}};
+    EXPECT_FALSE(pick_eviction(harmless).has_value());
 }
 
 TEST(worker_health, quarantines_a_worker_that_fails_everything) {
@@ -124,7 +124,7 @@
     EXPECT_EQ(health.get_trust(at(2)), worker_trust::quarantined);
     EXPECT_EQ(health.get_trust(at(7)), worker_trust::probation);
     health.on_failure(at(7));
-    EXPECT_EQ(health.get_trust(at(13)), worker_trust::quarantined); // twice as long now
+    EXPECT_EQ(health.get_trust(at(13)), worker_trust::quarantined); // the second quarantine is twice as long
     EXPECT_EQ(health.get_trust(at(18)), worker_trust::probation);
     for (int index = 0; index < 3; ++index) {
         health.on_success();
@@ -132,7 +132,7 @@
     EXPECT_EQ(health.get_trust(at(18)), worker_trust::trusted);
 }
 
-TEST(dependency_graph, finds_what_is_down_over_any_number_of_steps) {
+TEST(dependency_graph, finds_unavailable_direct_and_indirect_dependencies) {
     const auto parsed =
         parse_configuration("[service a]\ndepends = b\n[service b]\ndepends = c\n[service c]\n[service d]\n");
     const dependency_graph graph(parsed.value);
@@ -144,20 +144,20 @@
     EXPECT_EQ(graph.find_unavailable("a", all_but("")), "");
     EXPECT_EQ(graph.find_unavailable("a", all_but("c")), "c");
     EXPECT_EQ(graph.find_unavailable("b", all_but("c")), "c");
-    EXPECT_EQ(graph.find_unavailable("a", all_but("a")), ""); // it does not need itself
+    EXPECT_EQ(graph.find_unavailable("a", all_but("a")), ""); // a service is not its own dependency
     EXPECT_EQ(graph.find_unavailable("d", all_but("c")), "");
 }
 
-TEST(probe_timer, probes_a_class_once_in_an_interval_that_grows_with_the_tails_weight) {
+TEST(probe_timer, probes_a_class_once_in_an_interval_that_grows_with_the_tail_weight) {
     const time_point begin{seconds{100}};
     probe_timer timer;
     timer.set_objective({1, 1, 1});
-    EXPECT_FALSE(timer.is_due(3, begin)); // here its interval begins
+    EXPECT_FALSE(timer.is_due(3, begin)); // the first call starts its interval
     EXPECT_FALSE(timer.is_due(3, begin + seconds{59}));
     EXPECT_TRUE(timer.is_due(3, begin + seconds{60}));
     timer.on_probed(3, begin + seconds{60});
     EXPECT_FALSE(timer.is_due(3, begin + seconds{119}));
-    EXPECT_FALSE(timer.is_due(2, begin + seconds{119})); // each class by itself
+    EXPECT_FALSE(timer.is_due(2, begin + seconds{119})); // each class has its own interval
     EXPECT_TRUE(timer.is_due(3, begin + seconds{120}));
     timer.set_objective({3, 1, 1});
     EXPECT_FALSE(timer.is_due(3, begin + seconds{1679}));
@@ -165,7 +165,7 @@
     timer.set_objective({1, 3, 3});
     EXPECT_FALSE(timer.is_due(3, begin + seconds{79}));
     EXPECT_TRUE(timer.is_due(3, begin + seconds{80}));
-    timer.set_objective({1, 0, 1}); // tail alone: rare, not never
+    timer.set_objective({1, 0, 1}); // tail only: rare, but not never
     EXPECT_TRUE(timer.is_due(3, begin + seconds{1860}));
 }
 
--- a/unit_tests/policy/models_test.cpp
+++ b/unit_tests/policy/models_test.cpp
@@ -25,7 +25,7 @@
     RC_ASSERT(found <= values[25] * 1.1);
 }
 
-TEST(decaying_histogram, forgets_what_was) {
+TEST(decaying_histogram, forgets_old_samples) {
     decaying_histogram histogram(1, 1e6, 100);
     for (int index = 0; index < 1000; ++index) {
         histogram.add(10);
@@ -49,7 +49,7 @@
     EXPECT_NEAR(to_seconds(model.get_median()), 0.05, 0.006);
 }
 
-TEST(interference_model, learns_which_pair_hurts) {
+TEST(interference_model, learns_which_pair_interferes) {
     interference_model model;
     std::mt19937 random(7);
     std::uniform_real_distribution<double> share(0, 0.5);
@@ -63,7 +63,7 @@
     EXPECT_GE(model.get_coefficient_upper_bound(0, 0), model.get_coefficient(0, 0));
 }
 
-TEST(interference_model, starts_from_the_prior_and_fears_the_unknown) {
+TEST(interference_model, starts_from_the_prior_and_is_conservative_without_samples) {
     interference_model model;
     model.set_prior(4, 0.5);
     EXPECT_EQ(model.get_coefficient(0, 4), 0.5);
@@ -85,7 +85,7 @@
     EXPECT_EQ(model.get_factor(3), 1.0);
 }
 
-TEST(usage_model, sizes_by_what_was_used) {
+TEST(usage_model, reserves_by_past_usage) {
     usage_model model;
     const resources declared{0, 4000, 4LL << 30, 1};
     EXPECT_EQ(model.get_reservation("t", "b", declared), declared);
@@ -100,7 +100,7 @@
     EXPECT_EQ(model.get_reservation("other", "b", declared), declared);
 }
 
-TEST(usage_model, job_that_takes_what_it_declares_gets_that) {
+TEST(usage_model, reserves_the_declared_amount_for_a_job_that_uses_it) {
     usage_model model;
     const resources declared{0, 4000, 4LL << 30, 0};
     for (int index = 0; index < 50; ++index) {
--- a/unit_tests/policy/worker_ledger_test.cpp
+++ b/unit_tests/policy/worker_ledger_test.cpp
@@ -21,14 +21,14 @@
             *rc::gen::inRange(0, 3)};
 }
 
-TEST(worker_ledger, gives_nothing_before_it_is_opened) {
+TEST(worker_ledger, grants_nothing_before_it_is_opened) {
     worker_ledger ledger(capacity);
     EXPECT_FALSE(ledger.try_acquire(1, {1, 0, 0, 0}));
     ledger.set_open(true);
     EXPECT_TRUE(ledger.try_acquire(1, {1, 0, 0, 0}));
 }
 
-TEST(worker_ledger, takes_nothing_back_twice) {
+TEST(worker_ledger, releases_nothing_twice) {
     auto ledger = make_open();
     ASSERT_TRUE(ledger.try_acquire(1, {8, 0, 0, 0}));
     EXPECT_TRUE(ledger.release(1));
@@ -36,7 +36,7 @@
     EXPECT_EQ(ledger.get_free(), capacity);
 }
 
-TEST(worker_ledger, gives_nothing_new_while_it_holds_too_much) {
+TEST(worker_ledger, grants_nothing_new_while_overcommitted) {
     auto ledger = make_open();
     ASSERT_TRUE(ledger.try_acquire(1, {6, 0, 0, 0}));
     ledger.set_capacity({4, 64000, 1000, 2});
@@ -48,7 +48,7 @@
     EXPECT_TRUE(ledger.try_acquire(2, {1, 0, 0, 0}));
 }
 
-RC_GTEST_PROP(worker_ledger, never_gives_more_than_is_there, ()) {
+RC_GTEST_PROP(worker_ledger, never_grants_more_than_the_capacity, ()) {
     auto ledger = make_open();
     std::map<grant_id, resources> model;
     resources foreign;
--- a/unit_tests/scheduling/configuration_test.cpp
+++ b/unit_tests/scheduling/configuration_test.cpp
@@ -32,14 +32,14 @@
     EXPECT_EQ(configuration.find_queue("mill.example", "/other/1"), nullptr);
 }
 
-TEST(configuration_checker, accepts_a_sound_configuration_and_names_what_is_wrong_with_others) {
+TEST(configuration_checker, accepts_a_valid_configuration_and_refuses_invalid_ones) {
     EXPECT_FALSE(find_configuration_error(make_configuration()).has_value());
     auto unknown_pool = make_configuration();
     unknown_pool.queues[0].pool = "none";
     EXPECT_TRUE(find_configuration_error(unknown_pool).has_value());
-    auto same_place = make_configuration();
-    same_place.queues[1].prefix = same_place.queues[0].prefix;
-    EXPECT_TRUE(find_configuration_error(same_place).has_value());
+    auto same_host_prefix = make_configuration();
+    same_host_prefix.queues[1].prefix = same_host_prefix.queues[0].prefix;
+    EXPECT_TRUE(find_configuration_error(same_host_prefix).has_value());
     auto no_timeout = make_configuration();
     no_timeout.queues[0].timeout = duration{0};
     EXPECT_TRUE(find_configuration_error(no_timeout).has_value());
@@ -48,7 +48,7 @@
     EXPECT_TRUE(find_configuration_error(no_version).has_value());
 }
 
-TEST(step_job, names_what_is_wrong_with_a_job) {
+TEST(step_job, reports_what_is_wrong_with_a_job) {
     step_job job;
     EXPECT_TRUE(find_job_error(job).has_value()); // no steps
     job.steps.resize(2);
@@ -65,7 +65,7 @@
     EXPECT_TRUE(find_job_error(job).has_value());
 }
 
-TEST(step_job, adds_up_the_longest_chain) {
+TEST(step_job, computes_the_critical_path) {
     step_job job;
     job.steps.resize(4);
     const std::vector<std::int64_t> lengths = {100, 500, 200, 50};
--- a/unit_tests/scheduling/crash_history_test.cpp
+++ b/unit_tests/scheduling/crash_history_test.cpp
@@ -1,4 +1,4 @@
-// When crashes are enough to give a task up, and what takes them back.
+// When a task is given up for its crashes, and what resets their count.
 #include "poplarpitch/scheduling/crash_history.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t quick_ms = 10;
 
-/// Returns after how many of these crashes the task is given up; 0 for never.
+/// Returns after how many of these crashes the task is given up; 0 when it is not.
 std::size_t count_until_given_up(const std::vector<crash_evidence>& crashes) {
     crash_history history;
     for (std::size_t number = 0; number < crashes.size(); ++number) {
@@ -22,24 +22,24 @@
     return 0;
 }
 
-TEST(crash_history, settles_after_two_crashes_that_are_clear) {
+TEST(crash_history, gives_up_after_two_crashes_that_are_clear) {
     EXPECT_EQ(count_until_given_up({crash_evidence::clear, crash_evidence::clear}), 2U);
     EXPECT_EQ(count_until_given_up({crash_evidence::shared, crash_evidence::clear}), 2U);
 }
 
-TEST(crash_history, settles_after_three_of_which_the_last_makes_it_likely) {
+TEST(crash_history, gives_up_after_three_crashes_if_the_last_is_likely) {
     EXPECT_EQ(count_until_given_up({crash_evidence::shared, crash_evidence::shared, crash_evidence::likely}),
               3U);
     EXPECT_EQ(count_until_given_up({crash_evidence::shared, crash_evidence::shared, crash_evidence::shared}),
               0U);
 }
 
-TEST(crash_history, settles_after_four_whatever_is_known_of_them) {
+TEST(crash_history, gives_up_after_four_crashes_whatever_the_evidence) {
     EXPECT_EQ(count_until_given_up(std::vector(4, crash_evidence::shared)), 4U);
     EXPECT_EQ(count_until_given_up(std::vector(4, crash_evidence::possible)), 4U);
 }
 
-TEST(crash_history, needs_two_at_which_the_task_surely_ran_before_the_fourth) {
+TEST(crash_history, needs_two_crashes_at_which_the_task_surely_ran_before_the_fourth) {
     EXPECT_EQ(
         count_until_given_up({crash_evidence::possible, crash_evidence::possible, crash_evidence::clear}),
         0U);
@@ -47,14 +47,14 @@
               3U);
 }
 
-TEST(crash_history, counts_a_run_once_that_is_told_twice) {
+TEST(crash_history, counts_a_run_once_that_is_reported_twice) {
     crash_history history;
     EXPECT_TRUE(history.record_crash(7, crash_evidence::clear, quick_ms));
     EXPECT_FALSE(history.record_crash(7, crash_evidence::clear, quick_ms));
     EXPECT_EQ(history.crashes, 1U);
 }
 
-TEST(crash_history, is_refuted_by_a_run_that_lasts_well_beyond_those_that_crashed) {
+TEST(crash_history, is_reset_by_a_run_that_lasts_well_beyond_those_that_crashed) {
     crash_history history;
     history.record_crash(1, crash_evidence::shared, 3'000);
     history.record_run_age(5'000);
@@ -63,14 +63,14 @@
     EXPECT_EQ(history.crashes, 0U);
 }
 
-TEST(crash_history, is_refuted_by_any_run_of_a_minute) {
+TEST(crash_history, is_reset_by_any_run_of_a_minute) {
     crash_history history;
     history.record_crash(1, crash_evidence::shared, 3'600'000);
     history.record_run_age(60'000);
     EXPECT_EQ(history.crashes, 0U);
 }
 
-TEST(crash_history, is_refuted_by_no_run_shorter_than_five_seconds) {
+TEST(crash_history, is_reset_by_no_run_shorter_than_five_seconds) {
     crash_history history;
     history.record_crash(1, crash_evidence::shared, quick_ms);
     history.record_run_age(4'999);
--- a/unit_tests/scheduling/job_book_test.cpp
+++ b/unit_tests/scheduling/job_book_test.cpp
@@ -1,5 +1,5 @@
-// The replicated state of jobs: the same commands give the same state, also through a snapshot; nothing is
-// done twice.
+// The replicated state of jobs: the same commands give the same state, also through a snapshot, and no
+// command takes effect twice.
 #include "poplarpitch/scheduling/job_book.h"
 #include "poplarpitch/scheduling/job_codec.h"
 #include "poplarpitch/wire/scheduling.pb.h"
@@ -57,7 +57,7 @@
     return book.apply(command, events);
 }
 
-TEST(job_book, takes_the_same_submission_twice_for_one_job) {
+TEST(job_book, creates_one_job_for_a_repeated_submission) {
     job_book book;
     EXPECT_EQ(apply(book, make_submit(make_job(1, 2))), command_outcome::applied);
     EXPECT_EQ(apply(book, make_submit(make_job(1, 2))), command_outcome::repeated);
@@ -71,7 +71,7 @@
     EXPECT_EQ(apply(book, make_assign(task, 1, "w1")), command_outcome::applied);
     EXPECT_EQ(apply(book, make_assign(task, 2, "w2")), command_outcome::refused);
     EXPECT_EQ(apply(book, make_end(task, 1, "w1", run_end::lost)), command_outcome::applied);
-    EXPECT_EQ(apply(book, make_assign(task, 1, "w2")), command_outcome::refused); // numbers rise
+    EXPECT_EQ(apply(book, make_assign(task, 1, "w2")), command_outcome::refused); // run numbers must increase
     EXPECT_EQ(apply(book, make_assign(task, 2, "w2")), command_outcome::applied);
 }
 
@@ -99,7 +99,7 @@
     return command;
 }
 
-TEST(job_book, counts_a_crash_once_that_is_told_twice_or_by_two_ways) {
+TEST(job_book, counts_a_crash_once_that_is_reported_twice_or_by_two_commands) {
     job_book book;
     apply(book, make_submit(make_job(1, 1)));
     const task_key task{{1, 0, 0}, 0};
@@ -110,7 +110,7 @@
     EXPECT_EQ(book.find_task(task)->crash.crashes, 1U);
 }
 
-TEST(job_book, counts_a_crash_that_is_found_out_after_the_run_was_given_up) {
+TEST(job_book, counts_a_crash_that_is_detected_after_the_run_was_given_up) {
     job_book book;
     apply(book, make_submit(make_job(1, 1)));
     const task_key task{{1, 0, 0}, 0};
@@ -119,10 +119,10 @@
     apply(book, make_assign(task, 2, "w2"));
     apply(book, make_late_crash(task, 1, "w1"));
     EXPECT_EQ(book.find_task(task)->crash.crashes, 1U);
-    EXPECT_EQ(book.find_task(task)->runs.size(), 1U) << "its next run goes on";
+    EXPECT_EQ(book.find_task(task)->runs.size(), 1U) << "its next run continues";
 }
 
-TEST(job_book, keeps_crashes_through_a_snapshot_and_takes_one_of_an_older_version_for_none) {
+TEST(job_book, keeps_crashes_in_a_snapshot_and_reads_none_from_an_older_version) {
     job_book book;
     apply(book, make_submit(make_job(1, 1)));
     const task_key task{{1, 0, 0}, 0};
@@ -138,7 +138,7 @@
     EXPECT_EQ(other.find_task(task)->crash, crash_history{});
 }
 
-TEST(job_book, fails_a_job_whose_task_crashed_its_workers_and_keeps_it_so) {
+TEST(job_book, fails_a_job_whose_task_crashed_its_workers_and_keeps_it_failed) {
     job_book book;
     apply(book, make_submit(make_job(1, 2)));
     const task_key task{{1, 0, 0}, 0};
@@ -184,7 +184,7 @@
     EXPECT_EQ(book.find_job(1)->phase, job_phase::failed);
 }
 
-TEST(job_book, refuses_bytes_that_are_no_snapshot) {
+TEST(job_book, refuses_bytes_that_are_not_a_snapshot) {
     job_book book;
     apply(book, make_submit(make_job(1, 1)));
     EXPECT_FALSE(book.load("\xff\xff\xff not one"));
@@ -198,7 +198,7 @@
     return command;
 }
 
-TEST(job_book, retires_one_life_of_a_worker_and_no_other) {
+TEST(job_book, retires_one_incarnation_of_a_worker_and_no_other) {
     job_book book;
     apply(book, make_retire({"w1", 100}));
     EXPECT_TRUE(book.is_retired({"w1", 100}));
@@ -225,17 +225,17 @@
     EXPECT_EQ(book.find_task(task)->phase, task_phase::done);
 }
 
-TEST(job_book, reads_a_snapshot_of_a_version_that_knew_of_no_start_times) {
+TEST(job_book, reads_a_snapshot_of_a_version_without_start_times) {
     job_wire::job_book_snapshot snapshot;
     snapshot.add_retired("w1");
     job_book book;
     ASSERT_TRUE(book.load(snapshot.SerializeAsString()));
     EXPECT_TRUE(book.is_retired({"w1", 0}));
-    EXPECT_FALSE(book.is_retired({"w1", 100})) << "it tells again that it leaves";
+    EXPECT_FALSE(book.is_retired({"w1", 100})) << "it reports again that it leaves";
     EXPECT_EQ(book.get_fence_raises(), 0U);
 }
 
-TEST(job_book, keeps_how_often_the_fence_was_raised_through_a_snapshot) {
+TEST(job_book, keeps_the_number_of_fence_raises_in_a_snapshot) {
     job_book book;
     job_wire::job_command raise;
     raise.mutable_raise_fence();
@@ -246,7 +246,7 @@
     EXPECT_EQ(restored.get_fence_raises(), 2U);
 }
 
-/// Applies random commands that a leader may propose, sound or not.
+/// Applies a random command that a leader may propose, valid or not.
 void apply_random(job_book& book, std::mt19937& random) {
     const auto draw = [&](std::uint32_t end) {
         return static_cast<std::uint32_t>(random() % end);
