--- a/poplarpitch/policy/admission_queue.cpp
+++ b/poplarpitch/policy/admission_queue.cpp
@@ -41,18 +41,19 @@
         }
     }
     const admission_ticket* best = nullptr;
-    bool is_best_over = true;
+    bool is_best_over_share = true;
     for (const auto& [name, queue] : m_tenants) {
         if (queue.waiting.empty()) {
             continue;
         }
         const auto& candidate = queue.waiting.begin()->second;
-        const bool is_over = is_over_share(queue, running_total, weight_total);
+        const bool is_candidate_over_share = is_over_share(queue, running_total, weight_total);
         const bool is_earlier = best == nullptr || std::pair(candidate.deadline, candidate.id) <
                                                        std::pair(best->deadline, best->id);
-        if (best == nullptr || (is_best_over && !is_over) || (is_best_over == is_over && is_earlier)) {
+        if (best == nullptr || (is_best_over_share && !is_candidate_over_share) ||
+            (is_best_over_share == is_candidate_over_share && is_earlier)) {
             best = &candidate;
-            is_best_over = is_over;
+            is_best_over_share = is_candidate_over_share;
         }
     }
     return best == nullptr ? std::nullopt : std::optional(*best);
--- a/poplarpitch/policy/concurrency_limit.h
+++ b/poplarpitch/policy/concurrency_limit.h
@@ -12,7 +12,7 @@
     double minimum = 4;     ///< lower bound: some requests must run for the limit to adapt
     double maximum = 10000; ///< upper bound, set by the operator
     double tolerance = 2.0; ///< the limit shrinks once latency exceeds this multiple of its long-term mean
-    double smoothing = 0.1; ///< share of the step to a new limit that each update takes
+    double smoothing = 0.1; ///< share of the difference to a new limit that each update applies
 
     friend auto operator<=>(const concurrency_limit_settings&, const concurrency_limit_settings&) = default;
 };
--- a/poplarpitch/policy/decaying_histogram.cpp
+++ b/poplarpitch/policy/decaying_histogram.cpp
@@ -25,13 +25,13 @@
         decltype(boost::histogram::make_histogram_with(std::vector<double>(), std::declval<log_axis>()));
 
     storage(int bins, double from, double to, double memory_samples)
-        : low(from), high(to), growth(std::exp(1.0 / memory_samples)),
+        : low(from), high(to), weight_growth(std::exp(1.0 / memory_samples)),
           histogram(boost::histogram::make_histogram_with(std::vector<double>(), log_axis(bins, from, to))) {}
 
     double low;
     double high;
-    double growth;       ///< ratio of a sample's weight to that of the one before
-    double weight = 1.0; ///< of the newest sample
+    double weight_growth; ///< ratio of a sample's weight to that of the one before
+    double weight = 1.0;  ///< of the newest sample
     double total = 0.0;
     histogram_type histogram;
 };
@@ -50,7 +50,7 @@
     auto& data = *m_storage;
     constexpr double edge = 1e-9; // keeps both ends inside the half-open bins
     const double inside = std::clamp(value, data.low * (1 + edge), data.high * (1 - edge));
-    data.weight *= data.growth;
+    data.weight *= data.weight_growth;
     data.histogram(inside, boost::histogram::weight(data.weight));
     data.total += data.weight;
     if (data.weight > rescale_limit) {
--- a/poplarpitch/policy/dependency_graph.cpp
+++ b/poplarpitch/policy/dependency_graph.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 /// Appends the direct and indirect dependencies of `name` to `dependencies`, each once.
-void collect(const configuration& settings, const std::string& name, std::vector<std::string>& dependencies) {
+void collect_dependencies(const configuration& settings, const std::string& name,
+                          std::vector<std::string>& dependencies) {
     const auto* service = settings.find_service(name);
     if (service == nullptr) {
         return;
@@ -16,7 +17,7 @@
     for (const auto& next : service->depends) {
         if (std::find(dependencies.begin(), dependencies.end(), next) == dependencies.end()) {
             dependencies.push_back(next);
-            collect(settings, next, dependencies);
+            collect_dependencies(settings, next, dependencies);
         }
     }
 }
@@ -25,7 +26,7 @@
 
 dependency_graph::dependency_graph(const configuration& settings) {
     for (const auto& service : settings.services) {
-        collect(settings, service.name, m_dependencies[service.name]);
+        collect_dependencies(settings, service.name, m_dependencies[service.name]);
     }
 }
 
--- a/poplarpitch/policy/interference_model.cpp
+++ b/poplarpitch/policy/interference_model.cpp
@@ -34,7 +34,8 @@
     return pair.evidence > 0 ? &pair : nullptr;
 }
 
-interference_model::pair_estimate& interference_model::get(std::uint32_t service, std::uint32_t batch) {
+interference_model::pair_estimate& interference_model::get_or_create(std::uint32_t service,
+                                                                     std::uint32_t batch) {
     if (m_pairs.size() <= service) {
         m_pairs.resize(service + 1);
     }
@@ -62,11 +63,11 @@
     const double growth = std::clamp(slowdown, 0.0, m_settings.max_slowdown) - 1;
     double predicted = 0;
     for (const auto& runner : runners) {
-        predicted += get(service, runner.batch).coefficient * runner.share;
+        predicted += get_or_create(service, runner.batch).coefficient * runner.share;
     }
     const double error = growth - predicted;
     for (const auto& runner : runners) {
-        auto& pair = get(service, runner.batch);
+        auto& pair = get_or_create(service, runner.batch);
         // A class with a larger share explains more of the error, so its coefficient changes more.
         const double weight = runner.share * runner.share / square_sum;
         pair.evidence = std::min(pair.evidence + weight, m_settings.memory_samples);
@@ -80,7 +81,7 @@
 
 void interference_model::set_estimate(std::uint32_t service, std::uint32_t batch, double coefficient,
                                       double evidence) {
-    auto& pair = get(service, batch);
+    auto& pair = get_or_create(service, batch);
     pair.coefficient = std::clamp(coefficient, 0.0, max_coefficient);
     pair.evidence = m_settings.prior_weight + std::clamp(evidence, 0.0, m_settings.memory_samples);
 }
--- a/poplarpitch/policy/interference_model.h
+++ b/poplarpitch/policy/interference_model.h
@@ -67,7 +67,7 @@
     };
 
     [[nodiscard]] const pair_estimate* find(std::uint32_t service, std::uint32_t batch) const;
-    pair_estimate& get(std::uint32_t service, std::uint32_t batch);
+    pair_estimate& get_or_create(std::uint32_t service, std::uint32_t batch);
     [[nodiscard]] double get_prior(std::uint32_t batch) const;
 
     interference_settings m_settings;
--- a/poplarpitch/policy/relief_ladder.cpp
+++ b/poplarpitch/policy/relief_ladder.cpp
@@ -23,15 +23,17 @@
     if (is_under_pressure != m_is_under_pressure || has_recovered != m_has_recovered) {
         m_is_under_pressure = is_under_pressure;
         m_has_recovered = has_recovered;
-        m_since = now;
+        m_state_since = now;
         return m_step;
     }
-    if (is_under_pressure && now - m_since >= m_settings.escalate_after && m_step != relief_step::evict) {
+    if (is_under_pressure && now - m_state_since >= m_settings.escalate_after &&
+        m_step != relief_step::evict) {
         m_step = static_cast<relief_step>(static_cast<int>(m_step) + 1);
-        m_since = now;
-    } else if (has_recovered && now - m_since >= m_settings.deescalate_after && m_step != relief_step::none) {
+        m_state_since = now;
+    } else if (has_recovered && now - m_state_since >= m_settings.deescalate_after &&
+               m_step != relief_step::none) {
         m_step = static_cast<relief_step>(static_cast<int>(m_step) - 1);
-        m_since = now;
+        m_state_since = now;
     }
     return m_step;
 }
--- a/poplarpitch/policy/relief_ladder.h
+++ b/poplarpitch/policy/relief_ladder.h
@@ -33,7 +33,7 @@
 [[nodiscard]] relief_settings make_relief_settings(const objective_settings& objective);
 
 /// Escalation of the relief of one worker: goes up one step when pressure lasts and down one step when
-/// recovery lasts. Hysteresis in level and in time keeps waves of noisy tasks from causing waves of
+/// recovery lasts. Hysteresis in level and in time keeps bursts of interfering tasks from causing bursts of
 /// evictions. Thread safety: none, as for all methods.
 class relief_ladder {
 public:
@@ -57,7 +57,7 @@
     relief_step m_step = relief_step::none;
     bool m_is_under_pressure = false; ///< slowdown was at or above `enter_slowdown` at the last update
     bool m_has_recovered = false;     ///< slowdown was at or below `exit_slowdown` at the last update
-    time_point m_since{};             ///< when this state began or the last step was taken
+    time_point m_state_since{};       ///< when this state began or the last step was taken
     time_point m_last_eviction{};
 };
 
--- a/poplarpitch/policy/worker_ledger.h
+++ b/poplarpitch/policy/worker_ledger.h
@@ -13,9 +13,9 @@
 
 /// Accounts for the resources of one worker, on behalf of its only owner: the capacity and what is granted to
 /// requests and tasks together. This class alone ensures that a worker is not given more than it can hold, so
-/// entries need no agreement on it. The invariant: no new or larger grant lets granted + foreign exceed the
-/// capacity. When the capacity shrinks, or the worker reports more foreign work than is free, nothing new is
-/// granted until enough has been released. Thread safety: none, as for all methods.
+/// entries need no agreement on it. The invariant: `try_acquire` and `resize` never let granted + foreign
+/// exceed the capacity. When the capacity shrinks, or the worker reports more foreign work than is free,
+/// nothing new is granted until enough has been released. Thread safety: none, as for all methods.
 class worker_ledger {
 public:
     /// Starts closed: nothing is granted before the worker has reported everything it runs.
--- a/unit_tests/policy/choices_test.cpp
+++ b/unit_tests/policy/choices_test.cpp
@@ -16,7 +16,7 @@
               request_router<two_choices_router>);
 static_assert(task_placer<cost_placer> && task_placer<first_fit_placer> && task_placer<least_loaded_placer>);
 
-std::vector<routing_candidate> any_candidates() {
+std::vector<routing_candidate> generate_candidates() {
     std::vector<routing_candidate> candidates(static_cast<std::size_t>(*rc::gen::inRange(0, 20)));
     for (auto& candidate : candidates) {
         candidate.total_slots = 8;
@@ -29,7 +29,7 @@
 
 template <request_router Router>
 void check_router(Router router) {
-    const auto candidates = any_candidates();
+    const auto candidates = generate_candidates();
     routing_random random(5);
     const auto picked = router.pick(candidates, random);
     const bool is_any_free =
--- a/unit_tests/policy/worker_ledger_test.cpp
+++ b/unit_tests/policy/worker_ledger_test.cpp
@@ -10,13 +10,13 @@
 
 const resources capacity{8, 64000, 1000, 2};
 
-worker_ledger make_open() {
+worker_ledger make_open_ledger() {
     worker_ledger ledger(capacity);
     ledger.set_open(true);
     return ledger;
 }
 
-resources any_need() {
+resources generate_need() {
     return {*rc::gen::inRange(0, 6), *rc::gen::inRange(0, 40000), *rc::gen::inRange(0, 600),
             *rc::gen::inRange(0, 3)};
 }
@@ -29,7 +29,7 @@
 }
 
 TEST(worker_ledger, releases_nothing_twice) {
-    auto ledger = make_open();
+    auto ledger = make_open_ledger();
     ASSERT_TRUE(ledger.try_acquire(1, {8, 0, 0, 0}));
     EXPECT_TRUE(ledger.release(1));
     EXPECT_FALSE(ledger.release(1));
@@ -37,7 +37,7 @@
 }
 
 TEST(worker_ledger, grants_nothing_new_while_overcommitted) {
-    auto ledger = make_open();
+    auto ledger = make_open_ledger();
     ASSERT_TRUE(ledger.try_acquire(1, {6, 0, 0, 0}));
     ledger.set_capacity({4, 64000, 1000, 2});
     EXPECT_FALSE(ledger.try_acquire(2, {1, 0, 0, 0}));
@@ -49,13 +49,13 @@
 }
 
 RC_GTEST_PROP(worker_ledger, never_grants_more_than_the_capacity, ()) {
-    auto ledger = make_open();
+    auto ledger = make_open_ledger();
     std::map<grant_id, resources> model;
     resources foreign;
     const int steps = *rc::gen::inRange(1, 300);
     for (int step = 0; step < steps; ++step) {
         const auto id = static_cast<grant_id>(*rc::gen::inRange(1, 12));
-        const auto need = any_need();
+        const auto need = generate_need();
         resources sum = foreign;
         for (const auto& [key, held] : model) {
             sum += held;
--- a/unit_tests/scheduling/crash_history_test.cpp
+++ b/unit_tests/scheduling/crash_history_test.cpp
@@ -8,13 +8,14 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::int64_t quick_ms = 10;
+constexpr std::int64_t short_run_ms = 10;
 
 /// Returns after how many of these crashes the task is given up; 0 when it is not.
 std::size_t count_until_given_up(const std::vector<crash_evidence>& crashes) {
     crash_history history;
     for (std::size_t number = 0; number < crashes.size(); ++number) {
-        EXPECT_TRUE(history.record_crash(static_cast<std::uint32_t>(number + 1), crashes[number], quick_ms));
+        EXPECT_TRUE(
+            history.record_crash(static_cast<std::uint32_t>(number + 1), crashes[number], short_run_ms));
         if (history.should_give_up(crashes[number])) {
             return number + 1;
         }
@@ -49,8 +50,8 @@
 
 TEST(crash_history, counts_a_run_once_that_is_reported_twice) {
     crash_history history;
-    EXPECT_TRUE(history.record_crash(7, crash_evidence::clear, quick_ms));
-    EXPECT_FALSE(history.record_crash(7, crash_evidence::clear, quick_ms));
+    EXPECT_TRUE(history.record_crash(7, crash_evidence::clear, short_run_ms));
+    EXPECT_FALSE(history.record_crash(7, crash_evidence::clear, short_run_ms));
     EXPECT_EQ(history.crashes, 1U);
 }
 
@@ -72,7 +73,7 @@
 
 TEST(crash_history, is_reset_by_no_run_shorter_than_five_seconds) {
     crash_history history;
-    history.record_crash(1, crash_evidence::shared, quick_ms);
+    history.record_crash(1, crash_evidence::shared, short_run_ms);
     history.record_run_age(4'999);
     EXPECT_EQ(history.crashes, 1U);
     history.record_run_age(5'000);
