--- a/unit_tests/scheduling/job_book_test.cpp
+++ b/unit_tests/scheduling/job_book_test.cpp
@@ -119,7 +119,7 @@
     apply(book, make_assign(task, 2, "w2"));
     apply(book, make_late_crash(task, 1, "w1"));
     EXPECT_EQ(book.find_task(task)->crash.crashes, 1U);
-    EXPECT_EQ(book.find_task(task)->runs.size(), 1U) << "its next run continues";
+    EXPECT_EQ(book.find_task(task)->runs.size(), 1U) << "its next run goes on";
 }
 
 TEST(job_book, keeps_crashes_in_a_snapshot_and_reads_none_from_an_older_version) {
