--- a/poplarpitch/scheduling/job_book.h
+++ b/poplarpitch/scheduling/job_book.h
@@ -42,7 +42,7 @@
     /// Returns the job, or null when the id is not known.
     [[nodiscard]] const job_record* find_job(job_id id) const;
     [[nodiscard]] const absl::node_hash_map<job_id, job_record>& get_jobs() const { return m_jobs; }
-    /// Returns the task, or null when it is not known or its occurrence has ended.
+    /// Returns the task, or null when it is not known or no longer kept.
     [[nodiscard]] const task_record* find_task(const task_key& key) const;
     /// Returns true when the worker has announced that it leaves; nothing more is started on it.
     [[nodiscard]] bool is_retired(const worker_life& worker) const { return m_retired.contains(worker); }
