--- a/poplarpitch/policy/admission_queue.cpp
+++ b/poplarpitch/policy/admission_queue.cpp
@@ -41,18 +41,19 @@
         }
     }
     const admission_ticket* best = nullptr;
-    bool is_best_over = true;
+    bool is_best_over_share = true;
     for (const auto& [name, queue] : m_tenants) {
         if (queue.waiting.empty()) {
             continue;
         }
         const auto& candidate = queue.waiting.begin()->second;
-        const bool is_over = is_over_share(queue, running_total, weight_total);
+        const bool is_candidate_over_share = is_over_share(queue, running_total, weight_total);
         const bool is_earlier = best == nullptr || std::pair(candidate.deadline, candidate.id) <
                                                        std::pair(best->deadline, best->id);
-        if (best == nullptr || (is_best_over && !is_over) || (is_best_over == is_over && is_earlier)) {
+        if (best == nullptr || (is_best_over_share && !is_candidate_over_share) ||
+            (is_best_over_share == is_candidate_over_share && is_earlier)) {
             best = &candidate;
-            is_best_over = is_over;
+            is_best_over_share = is_candidate_over_share;
         }
     }
     return best == nullptr ? std::nullopt : std::optional(*best);
@@ -61,7 +62,7 @@
 std::size_t admission_queue::count_before(time_point deadline) const {
     std::size_t count = 0;
     for (const auto& [name, queue] : m_tenants) {
-        // Exact counts would cost a walk; a queue wholly before or behind the deadline needs none.
+        // The entries are walked only where the deadline falls inside a queue, since the walk is linear.
         if (queue.waiting.empty() || queue.waiting.begin()->first.first > deadline) {
             continue;
         }
--- a/poplarpitch/policy/decaying_histogram.cpp
+++ b/poplarpitch/policy/decaying_histogram.cpp
@@ -15,7 +15,8 @@
     boost::histogram::axis::regular<double, boost::histogram::axis::transform::log,
                                     boost::histogram::use_default, boost::histogram::axis::option::none_t>;
 constexpr int bins_per_octave = 8;
-constexpr double rescale_limit = 1e12; // new samples weigh ever more; scale back before precision suffers
+constexpr double rescale_limit =
+    1e12; // the weight of new samples grows; all are rescaled before precision suffers
 
 } // namespace
 
@@ -23,22 +24,22 @@
     using histogram_type =
         decltype(boost::histogram::make_histogram_with(std::vector<double>(), std::declval<log_axis>()));
 
-    storage(int bins, double from, double to, double memory)
-        : low(from), high(to), growth(std::exp(1.0 / memory)),
+    storage(int bins, double from, double to, double memory_samples)
+        : low(from), high(to), weight_growth(std::exp(1.0 / memory_samples)),
           histogram(boost::histogram::make_histogram_with(std::vector<double>(), log_axis(bins, from, to))) {}
 
     double low;
     double high;
-    double growth;       ///< factor by which a sample outweighs the one before
-    double weight = 1.0; ///< of the next sample
+    double weight_growth; ///< ratio of a sample's weight to that of the one before
+    double weight = 1.0;  ///< of the newest sample
     double total = 0.0;
     histogram_type histogram;
 };
 
-decaying_histogram::decaying_histogram(double low, double high, double memory) {
-    assert(low > 0 && high > low && memory >= 1);
+decaying_histogram::decaying_histogram(double low, double high, double memory_samples) {
+    assert(low > 0 && high > low && memory_samples >= 1);
     const int bins = static_cast<int>(std::ceil(std::log2(high / low))) * bins_per_octave;
-    m_storage = std::make_unique<storage>(bins, low, high, memory);
+    m_storage = std::make_unique<storage>(bins, low, high, memory_samples);
 }
 
 decaying_histogram::~decaying_histogram() = default;
@@ -47,9 +48,9 @@
 
 void decaying_histogram::add(double value) {
     auto& data = *m_storage;
-    constexpr double edge = 1e-9; // keeps the ends inside the half-open bins
+    constexpr double edge = 1e-9; // keeps both ends inside the half-open bins
     const double inside = std::clamp(value, data.low * (1 + edge), data.high * (1 - edge));
-    data.weight *= data.growth;
+    data.weight *= data.weight_growth;
     data.histogram(inside, boost::histogram::weight(data.weight));
     data.total += data.weight;
     if (data.weight > rescale_limit) {
@@ -62,15 +63,15 @@
 int decaying_histogram::find_bin(double q) const {
     const auto& data = *m_storage;
     const int bins = data.histogram.axis(0).size();
-    const double goal = std::clamp(q, 0.0, 1.0) * data.total;
+    const double wanted_weight = std::clamp(q, 0.0, 1.0) * data.total;
     double sum = 0;
     for (int bin = 0; bin < bins; ++bin) {
         sum += data.histogram.at(bin);
-        if (sum >= goal) {
+        if (sum >= wanted_weight) {
             return bin;
         }
     }
-    return bins - 1; // rounding left the sum below the total
+    return bins - 1; // rounding can leave the sum below the total
 }
 
 double decaying_histogram::get_quantile(double q) const {
@@ -78,7 +79,7 @@
     return data.total <= 0 ? 0 : data.histogram.axis(0).bin(find_bin(q)).upper();
 }
 
-double decaying_histogram::get_middle_quantile(double q) const {
+double decaying_histogram::get_quantile_midpoint(double q) const {
     const auto& data = *m_storage;
     if (data.total <= 0) {
         return 0;
