--- /dev/null
+++ b/poplarpitch/relay/frame_delay_estimator.cpp
@@ -0,0 +1,34 @@
+#include "poplarpitch/relay/frame_delay_estimator.h"
+
+#include <algorithm>
+
+namespace poplarpitch {
+namespace {
+
+// Clocks that drift by 2% are a tenth of a second apart after this time. A relay that stands still gets no
+// orders after half a second.
+constexpr std::int64_t window_ms = 5'000;
+
+} // namespace
+
+duration frame_delay_estimator::estimate(std::int64_t sent_ms, time_point now) {
+    if (sent_ms == 0) {
+        return duration{0};
+    }
+    const auto offset_ms = to_milliseconds(now.time_since_epoch()) - sent_ms;
+    if (!m_has_any) {
+        m_has_any = true;
+        m_window_begin_ms = sent_ms;
+        m_min_offset_ms = offset_ms;
+        m_previous_min_offset_ms = offset_ms;
+    }
+    if (sent_ms - m_window_begin_ms >= window_ms) {
+        m_window_begin_ms = sent_ms;
+        m_previous_min_offset_ms = m_min_offset_ms;
+        m_min_offset_ms = offset_ms;
+    }
+    m_min_offset_ms = std::min(m_min_offset_ms, offset_ms);
+    return milliseconds{offset_ms - std::min(m_min_offset_ms, m_previous_min_offset_ms)};
+}
+
+} // namespace poplarpitch
--- a/poplarpitch/relay/relay_agent.cpp
+++ b/poplarpitch/relay/relay_agent.cpp
@@ -68,7 +68,7 @@
             tell(known->second);
         }
     }
-    carry_out(frame, m_age.note(frame.sent_ms(), now));
+    carry_out(frame, m_frame_delay.estimate(frame.sent_ms(), now));
     return std::nullopt;
 }
 
@@ -76,7 +76,7 @@
     m_term = term;
     m_leads = false;
     m_frame = nullptr;
-    m_age.clear();
+    m_frame_delay.clear();
     m_places.clear();
     forget_old_reports(now);
     for (auto& [worker, known] : m_reports) {
@@ -101,7 +101,7 @@
     m_heard = {};
 }
 
-void relay_agent::carry_out(const job_wire::relay_orders& frame, duration age) {
+void relay_agent::carry_out(const job_wire::relay_orders& frame, duration delay) {
     for (const auto& message : frame.orders()) {
         ++m_taken;
         const auto number = message.number();
@@ -120,7 +120,7 @@
         };
         ++m_open;
         // Nobody waits for it any more, and its worker may be at another life.
-        if (age > milliseconds{message.timeout_ms()}) {
+        if (delay > milliseconds{message.timeout_ms()}) {
             answer({order_failure::not_sent, {}});
             continue;
         }
--- a/poplarpitch/relay/relay_agent.h
+++ b/poplarpitch/relay/relay_agent.h
@@ -2,8 +2,8 @@
 
 #include "poplarpitch/consensus/node_id.h"
 #include "poplarpitch/core/time.h"
-#include "poplarpitch/relay/frame_age.h"
-#include "poplarpitch/relay/relay_roster.h"
+#include "poplarpitch/relay/frame_delay_estimator.h"
+#include "poplarpitch/relay/relay_registry.h"
 #include "poplarpitch/relay/relay_settings.h"
 #include "poplarpitch/scheduling/worker_order.h"
 #include "poplarpitch/scheduling/worker_report.h"
@@ -72,7 +72,7 @@
     };
 
     void begin_term(log_term term, time_point now);
-    void carry_out(const job_wire::relay_orders& frame, duration age);
+    void carry_out(const job_wire::relay_orders& frame, duration delay);
     void forget_old_reports(time_point now);
     void tell(known_report& known);
     job_wire::relay_answers& open_frame();
@@ -82,7 +82,7 @@
     performer m_perform;
     log_term m_term = 0;  ///< highest seen
     bool m_leads = false; ///< this instance leads in `m_term`
-    frame_age m_age;
+    frame_delay_estimator m_frame_delay;
     time_point m_heard{}; ///< when a frame of that term came last
     time_point m_sent{};
     bool m_owes_frame = false; ///< a frame came and none went since
--- a/poplarpitch/relay/relay_hub.cpp
+++ b/poplarpitch/relay/relay_hub.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-relay_hub::relay_hub(const relay_settings& settings) : m_settings(settings), m_roster(settings) {}
+relay_hub::relay_hub(const relay_settings& settings) : m_settings(settings), m_registry(settings) {}
 
 relay_hub::~relay_hub() = default;
 
@@ -30,16 +30,16 @@
 
 void relay_hub::retire() {
     m_term = 0;
-    m_roster.clear();
+    m_registry.clear();
     m_open.clear();
     m_deadlines = {};
     m_outboxes.clear();
     m_unknown.clear();
 }
 
-bool relay_hub::add(const worker_order& order, const std::string& data_centre, std::uint64_t spread,
+bool relay_hub::add(const worker_order& order, const std::string& data_centre, std::uint64_t worker_hash,
                     time_point now) {
-    const auto relay = m_roster.pick(data_centre, spread);
+    const auto relay = m_registry.pick(data_centre, worker_hash);
     auto name = get_order_name(order);
     if (!relay.has_value() || !name.has_value()) {
         return false;
@@ -72,7 +72,7 @@
     if (m_term == 0 || frame.term() != m_term || frame.version() < relay_version) {
         return outcomes;
     }
-    if (m_roster.on_heard({frame.ip(), frame.data_centre()}, now)) {
+    if (m_registry.record_contact({frame.ip(), frame.data_centre()}, now)) {
         on_relays_changed();
         log_event(log_level::info, "relay_found")
             .add("relay", format_ip(frame.ip()))
@@ -118,7 +118,7 @@
 
 std::vector<relayed_outcome> relay_hub::take_lost(time_point now) {
     std::vector<relayed_outcome> outcomes;
-    for (const auto ip : m_roster.take_lost(now)) {
+    for (const auto ip : m_registry.remove_timed_out(now)) {
         on_relays_changed();
         std::vector<std::uint64_t> numbers;
         for (const auto& [number, order] : m_open) {
@@ -159,7 +159,7 @@
         if (box.told_places != m_places_version) {
             box.told_places = m_places_version;
             frame.set_has_places(true);
-            for (const auto& place : m_roster.get_places()) {
+            for (const auto& place : m_registry.get_places()) {
                 auto& item = *frame.add_places();
                 item.set_ip(place.ip);
                 item.set_data_centre(place.data_centre);
@@ -176,8 +176,9 @@
     ++m_places_version;
 }
 
-std::optional<std::uint32_t> relay_hub::pick(const std::string& data_centre, std::uint64_t spread) const {
-    return m_roster.pick(data_centre, spread);
+std::optional<std::uint32_t> relay_hub::pick(const std::string& data_centre,
+                                             std::uint64_t worker_hash) const {
+    return m_registry.pick(data_centre, worker_hash);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_hub.h
+++ b/poplarpitch/relay/relay_hub.h
@@ -2,7 +2,7 @@
 
 #include "poplarpitch/consensus/node_id.h"
 #include "poplarpitch/core/time.h"
-#include "poplarpitch/relay/relay_roster.h"
+#include "poplarpitch/relay/relay_registry.h"
 #include "poplarpitch/relay/relay_settings.h"
 #include "poplarpitch/relay/relayed_outcome.h"
 #include "poplarpitch/scheduling/worker_order.h"
@@ -52,7 +52,8 @@
 
     /// Takes an order for a worker that a relay is there for. Returns false when there is none: the order is
     /// the caller's to send. Precondition: the hub leads; the order is none for the advice service.
-    bool add(const worker_order& order, const std::string& data_centre, std::uint64_t spread, time_point now);
+    bool add(const worker_order& order, const std::string& data_centre, std::uint64_t worker_hash,
+             time_point now);
     /// Asks the relays for a worker's whole report.
     void ask_report(const std::string& worker);
     /// Takes what a relay says. Returns the outcomes it has.
@@ -67,8 +68,8 @@
 
     /// Returns the instance that takes a worker's heartbeats, or nothing where no relay is there.
     [[nodiscard]] std::optional<std::uint32_t> pick(const std::string& data_centre,
-                                                    std::uint64_t spread) const;
-    [[nodiscard]] std::size_t count_relays() const { return m_roster.get_places().size(); }
+                                                    std::uint64_t worker_hash) const;
+    [[nodiscard]] std::size_t count_relays() const { return m_registry.get_places().size(); }
     /// Returns how many orders have no answer yet.
     [[nodiscard]] std::size_t count_open() const { return m_open.size(); }
     /// Returns how many orders were relayed since the start.
@@ -99,7 +100,7 @@
     void on_relays_changed();
 
     relay_settings m_settings;
-    relay_roster m_roster;
+    relay_registry m_registry;
     log_term m_term = 0;
     std::uint64_t m_next_number = 1;
     std::uint64_t m_relayed = 0;
--- a/poplarpitch/relay/relay_roster.cpp
+++ b/poplarpitch/relay/relay_registry.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/relay/relay_roster.h"
+#include "poplarpitch/relay/relay_registry.h"
 
 #include "poplarpitch/core/hash.h"
 
@@ -10,23 +10,23 @@
 namespace {
 
 /// Returns a number by which a worker prefers one relay over another.
-std::uint64_t get_preference(std::uint32_t ip, std::uint64_t spread) {
-    std::array<char, sizeof(ip) + sizeof(spread)> bytes{};
+std::uint64_t get_preference(std::uint32_t ip, std::uint64_t worker_hash) {
+    std::array<char, sizeof(ip) + sizeof(worker_hash)> bytes{};
     std::memcpy(bytes.data(), &ip, sizeof(ip));
-    std::memcpy(bytes.data() + sizeof(ip), &spread, sizeof(spread));
+    std::memcpy(bytes.data() + sizeof(ip), &worker_hash, sizeof(worker_hash));
     return hash_bytes({bytes.data(), bytes.size()});
 }
 
 } // namespace
 
 std::optional<std::uint32_t> pick_relay(const std::vector<relay_place>& places,
-                                        const std::string& data_centre, std::uint64_t spread) {
+                                        const std::string& data_centre, std::uint64_t worker_hash) {
     std::optional<std::uint32_t> best;
     bool is_best_near = false;
     std::uint64_t highest = 0;
     for (const auto& place : places) {
         const bool is_near = place.data_centre == data_centre;
-        const auto preference = get_preference(place.ip, spread);
+        const auto preference = get_preference(place.ip, worker_hash);
         const bool is_better = is_near != is_best_near ? is_near : preference > highest;
         if (!best.has_value() || is_better) {
             best = place.ip;
@@ -37,35 +37,36 @@
     return best;
 }
 
-void relay_roster::clear() {
+void relay_registry::clear() {
     m_places.clear();
-    m_heard.clear();
+    m_last_contact.clear();
 }
 
-bool relay_roster::on_heard(const relay_place& place, time_point now) {
-    const auto [found, is_new] = m_heard.insert_or_assign(place.ip, now);
+bool relay_registry::record_contact(const relay_place& place, time_point now) {
+    const auto [found, is_new] = m_last_contact.insert_or_assign(place.ip, now);
     if (is_new) {
         m_places.insert(std::lower_bound(m_places.begin(), m_places.end(), place), place);
     }
     return is_new;
 }
 
-std::vector<std::uint32_t> relay_roster::take_lost(time_point now) {
+std::vector<std::uint32_t> relay_registry::remove_timed_out(time_point now) {
     std::vector<std::uint32_t> lost;
-    for (const auto& [ip, heard] : m_heard) {
-        if (now - heard > m_settings.silence) {
+    for (const auto& [ip, last_contact] : m_last_contact) {
+        if (now - last_contact > m_settings.silence) {
             lost.push_back(ip);
         }
     }
     for (const auto ip : lost) {
-        m_heard.erase(ip);
+        m_last_contact.erase(ip);
         std::erase_if(m_places, [ip](const relay_place& place) { return place.ip == ip; });
     }
     return lost;
 }
 
-std::optional<std::uint32_t> relay_roster::pick(const std::string& data_centre, std::uint64_t spread) const {
-    return pick_relay(m_places, data_centre, spread);
+std::optional<std::uint32_t> relay_registry::pick(const std::string& data_centre,
+                                                  std::uint64_t worker_hash) const {
+    return pick_relay(m_places, data_centre, worker_hash);
 }
 
 } // namespace poplarpitch
--- a/unit_tests/relay/relay_hub_test.cpp
+++ b/unit_tests/relay/relay_hub_test.cpp
@@ -109,8 +109,8 @@
     hub_world world;
     world.hear(near, "near");
     world.hear(far, "far");
-    for (std::uint64_t spread = 0; spread < 20; ++spread) {
-        ASSERT_TRUE(world.hub.add(make_hold("w"), "near", spread, world.now));
+    for (std::uint64_t worker_hash = 0; worker_hash < 20; ++worker_hash) {
+        ASSERT_TRUE(world.hub.add(make_hold("w"), "near", worker_hash, world.now));
     }
     const auto numbers = world.take_numbers();
     ASSERT_EQ(numbers.size(), 1U);
@@ -121,8 +121,8 @@
     hub_world world;
     world.hear(near, "near");
     world.hear(far, "far");
-    for (std::uint64_t spread = 0; spread < 200; ++spread) {
-        ASSERT_TRUE(world.hub.add(make_hold("w"), "elsewhere", spread, world.now));
+    for (std::uint64_t worker_hash = 0; worker_hash < 200; ++worker_hash) {
+        ASSERT_TRUE(world.hub.add(make_hold("w"), "elsewhere", worker_hash, world.now));
     }
     const auto numbers = world.take_numbers();
     ASSERT_EQ(numbers.size(), 2U);
@@ -180,8 +180,8 @@
     world.hear(far, "far");
     world.hear(third, "third");
     std::map<std::uint64_t, std::uint32_t> before;
-    for (std::uint64_t spread = 0; spread < 300; ++spread) {
-        before[spread] = *world.hub.pick("elsewhere", spread);
+    for (std::uint64_t worker_hash = 0; worker_hash < 300; ++worker_hash) {
+        before[worker_hash] = *world.hub.pick("elsewhere", worker_hash);
     }
     world.now += world.settings.silence;
     world.hear(near, "near");
@@ -190,8 +190,8 @@
     static_cast<void>(world.hub.take_lost(world.now));
     int moved_to_near = 0;
     int moved_to_far = 0;
-    for (const auto& [spread, relay] : before) {
-        const auto after = *world.hub.pick("elsewhere", spread);
+    for (const auto& [worker_hash, relay] : before) {
+        const auto after = *world.hub.pick("elsewhere", worker_hash);
         if (relay != third) {
             EXPECT_EQ(after, relay);
             continue;
