--- a/poplarpitch/relay/relay_agent.cpp
+++ b/poplarpitch/relay/relay_agent.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Returns true when nothing but its time and number changed since the last report.
-bool is_alike(worker_report before, const worker_report& now) {
+bool is_unchanged(worker_report before, const worker_report& now) {
     before.sequence = now.sequence;
     before.clock_ms = now.clock_ms;
     return before == now;
@@ -20,8 +20,8 @@
 
 } // namespace
 
-relay_agent::relay_agent(const relay_settings& settings, relay_place place, performer perform)
-    : m_settings(settings), m_place(std::move(place)), m_perform(std::move(perform)),
+relay_agent::relay_agent(const relay_settings& settings, relay_place place, order_executor execute)
+    : m_settings(settings), m_place(std::move(place)), m_execute(std::move(execute)),
       m_is_alive(std::make_shared<bool>(true)) {}
 
 relay_agent::~relay_agent() {
@@ -30,8 +30,8 @@
 
 std::optional<job_wire::relay_answers> relay_agent::on_orders(const job_wire::relay_orders& frame,
                                                               time_point now) {
-    const bool is_old = frame.term() < m_term || (frame.term() == m_term && m_leads);
-    if (is_old) {
+    const bool is_stale = frame.term() < m_term || (frame.term() == m_term && m_is_leader);
+    if (is_stale) {
         job_wire::relay_answers refusal;
         refusal.set_term(frame.term());
         refusal.set_ip(m_place.ip);
@@ -46,7 +46,7 @@
             log_event(log_level::info, "relay_orders_refused")
                 .add("term", frame.term())
                 .add("known_term", m_term)
-                .add("leads", m_leads ? "yes" : "no")
+                .add("leads", m_is_leader ? "yes" : "no")
                 .add("orders", frame.orders_size());
         }
         return refusal;
@@ -54,8 +54,8 @@
     if (frame.term() > m_term) {
         begin_term(frame.term(), now);
     }
-    m_heard = now;
-    m_owes_frame = true;
+    m_last_frame_at = now;
+    m_must_answer = true;
     if (frame.has_places()) {
         m_places.clear();
         for (const auto& place : frame.places()) {
@@ -65,22 +65,22 @@
     for (const auto& worker : frame.unknown_workers()) {
         for (auto known = m_reports.lower_bound(worker_life::before_all(worker));
              known != m_reports.end() && known->first.id == worker; ++known) {
-            tell(known->second);
+            add_full_report(known->second);
         }
     }
-    carry_out(frame, m_frame_delay.estimate(frame.sent_ms(), now));
+    execute_orders(frame, m_frame_delay.estimate(frame.sent_ms(), now));
     return std::nullopt;
 }
 
 void relay_agent::begin_term(log_term term, time_point now) {
     m_term = term;
-    m_leads = false;
+    m_is_leader = false;
     m_frame = nullptr;
     m_frame_delay.clear();
     m_places.clear();
-    forget_old_reports(now);
+    remove_expired_reports(now);
     for (auto& [worker, known] : m_reports) {
-        tell(known);
+        add_full_report(known);
     }
     log_event(log_level::info, "relay_term")
         .add("term", term)
@@ -88,22 +88,23 @@
         .add("open", static_cast<std::uint64_t>(m_open));
 }
 
-void relay_agent::forget_old_reports(time_point now) {
-    absl::erase_if(m_reports,
-                   [&](const auto& item) { return now - item.second.heard > m_settings.report_life; });
+void relay_agent::remove_expired_reports(time_point now) {
+    absl::erase_if(m_reports, [&](const auto& item) {
+        return now - item.second.received_at > m_settings.report_lifetime;
+    });
 }
 
-void relay_agent::on_own_term(log_term term) {
+void relay_agent::on_leading(log_term term) {
     m_term = std::max(m_term, term);
-    m_leads = true;
+    m_is_leader = true;
     m_frame = nullptr;
-    m_owes_frame = false;
-    m_heard = {};
+    m_must_answer = false;
+    m_last_frame_at = {};
 }
 
-void relay_agent::carry_out(const job_wire::relay_orders& frame, duration delay) {
+void relay_agent::execute_orders(const job_wire::relay_orders& frame, duration delay) {
     for (const auto& message : frame.orders()) {
-        ++m_taken;
+        ++m_received;
         const auto number = message.number();
         const auto answer = [this, alive = m_is_alive, number,
                              term = frame.term()](const hold_outcome& outcome) {
@@ -111,12 +112,12 @@
                 return;
             }
             --m_open;
-            if (term != m_term || m_leads) {
+            if (term != m_term || m_is_leader) {
                 return; // nobody waits for it any more
             }
-            auto& back = *open_frame().add_answers();
-            back.set_number(number);
-            encode(outcome, back);
+            auto& reply = *open_frame().add_answers();
+            reply.set_number(number);
+            encode(outcome, reply);
         };
         ++m_open;
         // Nobody waits for it any more, and its worker may be at another life.
@@ -129,7 +130,7 @@
             answer({order_failure::malformed, {}});
             continue;
         }
-        m_perform(*order, answer);
+        m_execute(*order, answer);
     }
 }
 
@@ -146,28 +147,28 @@
 
 void relay_agent::on_report(const worker_report& report, time_point now) {
     if (now >= m_next_sweep) {
-        m_next_sweep = now + m_settings.report_life;
-        forget_old_reports(now);
+        m_next_sweep = now + m_settings.report_lifetime;
+        remove_expired_reports(now);
     }
     auto& known = m_reports[report.life];
-    known.is_told = known.is_told && is_alike(known.report, report);
+    known.is_reported = known.is_reported && is_unchanged(known.report, report);
     known.report = report;
-    known.heard = now;
-    if (known.is_told) {
+    known.received_at = now;
+    if (known.is_reported) {
         auto& message = *open_frame().add_reports();
         message.set_worker(report.life.id);
         message.set_sequence(report.sequence);
         message.set_clock_ms(report.clock_ms);
-        message.set_told(known.told);
+        message.set_told(known.reported_sequence);
         message.set_born_ms(report.life.born_ms);
         return;
     }
-    tell(known);
+    add_full_report(known);
 }
 
-void relay_agent::tell(known_report& known) {
-    known.is_told = true;
-    known.told = known.report.sequence;
+void relay_agent::add_full_report(known_report& known) {
+    known.is_reported = true;
+    known.reported_sequence = known.report.sequence;
     encode(known.report, *open_frame().add_reports());
 }
 
@@ -177,8 +178,8 @@
         return std::nullopt;
     }
     open_frame();
-    m_sent = now;
-    m_owes_frame = false;
+    m_last_answer_at = now;
+    m_must_answer = false;
     auto frame = std::move(*m_frame);
     m_frame = nullptr;
     return frame;
@@ -187,14 +188,15 @@
 /// Answers go soon, heartbeats with the next answers or the next frame of the leader's.
 std::optional<time_point> relay_agent::get_due() const {
     const bool has_answers = m_frame != nullptr && m_frame->answers_size() > 0;
-    if (m_term == 0 || m_leads || (!has_answers && !m_owes_frame)) {
+    if (m_term == 0 || m_is_leader || (!has_answers && !m_must_answer)) {
         return std::nullopt;
     }
-    return m_sent + m_settings.batch_pause;
+    return m_last_answer_at + m_settings.min_frame_interval;
 }
 
 bool relay_agent::is_serving(time_point now) const {
-    return m_settings.is_enabled && !m_leads && m_term != 0 && now - m_heard <= m_settings.silence;
+    return m_settings.is_enabled && !m_is_leader && m_term != 0 &&
+           now - m_last_frame_at <= m_settings.peer_timeout;
 }
 
 std::uint32_t relay_agent::pick(const worker_report& report) const {
--- a/poplarpitch/relay/relay_agent.h
+++ b/poplarpitch/relay/relay_agent.h
@@ -35,10 +35,10 @@
 public:
     using outcome_handler = std::function<void(hold_outcome)>;
     /// Carries out an order at its worker and calls the handler once.
-    using performer = std::function<void(const worker_order&, outcome_handler)>;
+    using order_executor = std::function<void(const worker_order&, outcome_handler)>;
 
     /// `place`: this instance.
-    relay_agent(const relay_settings& settings, relay_place place, performer perform);
+    relay_agent(const relay_settings& settings, relay_place place, order_executor execute);
     ~relay_agent();
     relay_agent(const relay_agent&) = delete;
     relay_agent& operator=(const relay_agent&) = delete;
@@ -46,7 +46,7 @@
     /// Takes a frame of a leader's. Returns what is to be told that leader at once, where it leads no longer.
     std::optional<job_wire::relay_answers> on_orders(const job_wire::relay_orders& frame, time_point now);
     /// Notes that this instance leads in `term`: it relays for no earlier leader any more.
-    void on_own_term(log_term term);
+    void on_leading(log_term term);
     /// Takes a worker's heartbeat. Precondition: `is_serving`; the worker is not leaving.
     void on_report(const worker_report& report, time_point now);
     /// Returns what is to be told the leader now, if anything.
@@ -61,37 +61,37 @@
     /// Returns how many orders are being carried out.
     [[nodiscard]] std::size_t count_open() const { return m_open; }
     /// Returns how many orders came since the start.
-    [[nodiscard]] std::uint64_t get_taken() const { return m_taken; }
+    [[nodiscard]] std::uint64_t get_received() const { return m_received; }
 
 private:
     struct known_report {
         worker_report report;
-        time_point heard{};
-        bool is_told = false;   ///< the whole report went to the present leader
-        std::uint64_t told = 0; ///< sequence of the report that went
+        time_point received_at{};
+        bool is_reported = false;            ///< the whole report went to the present leader
+        std::uint64_t reported_sequence = 0; ///< sequence of the report that went
     };
 
     void begin_term(log_term term, time_point now);
-    void carry_out(const job_wire::relay_orders& frame, duration delay);
-    void forget_old_reports(time_point now);
-    void tell(known_report& known);
+    void execute_orders(const job_wire::relay_orders& frame, duration delay);
+    void remove_expired_reports(time_point now);
+    void add_full_report(known_report& known);
     job_wire::relay_answers& open_frame();
 
     relay_settings m_settings;
     relay_place m_place;
-    performer m_perform;
-    log_term m_term = 0;  ///< highest seen
-    bool m_leads = false; ///< this instance leads in `m_term`
+    order_executor m_execute;
+    log_term m_term = 0;      ///< highest seen
+    bool m_is_leader = false; ///< this instance leads in `m_term`
     frame_delay_estimator m_frame_delay;
-    time_point m_heard{}; ///< when a frame of that term came last
-    time_point m_sent{};
-    bool m_owes_frame = false; ///< a frame came and none went since
+    time_point m_last_frame_at{}; ///< when a frame of that term came last
+    time_point m_last_answer_at{};
+    bool m_must_answer = false; ///< a frame came and none went since
     time_point m_next_sweep{};
     std::vector<relay_place> m_places;
     absl::btree_map<worker_life, known_report> m_reports;
     std::unique_ptr<job_wire::relay_answers> m_frame; ///< null while empty
     std::size_t m_open = 0;
-    std::uint64_t m_taken = 0;
+    std::uint64_t m_received = 0;
     std::shared_ptr<bool> m_is_alive; ///< false once the agent is gone; handlers look at it
 };
 
--- a/poplarpitch/relay/relay_codec.cpp
+++ b/poplarpitch/relay/relay_codec.cpp
@@ -21,8 +21,8 @@
     return {decode(message.task()), message.run()};
 }
 
-void encode_what(const hold_order& order, job_wire::relayed_order& message,
-                 job_wire::relay_orders& /*frame*/) {
+void encode_order(const hold_order& order, job_wire::relayed_order& message,
+                  job_wire::relay_orders& /*frame*/) {
     auto& hold = *message.mutable_hold();
     hold.set_has_until(order.until_ms.has_value());
     hold.set_until_ms(order.until_ms.value_or(0));
@@ -30,7 +30,7 @@
     hold.set_wait_ms(to_milliseconds(order.wait));
 }
 
-void encode_what(const start_order& order, job_wire::relayed_order& message, job_wire::relay_orders& frame) {
+void encode_order(const start_order& order, job_wire::relayed_order& message, job_wire::relay_orders& frame) {
     auto& start = *message.mutable_start();
     encode_run(order.run, start);
     const auto& payloads = frame.payloads();
@@ -43,13 +43,13 @@
     start.set_ticket(order.ticket);
 }
 
-void encode_what(const stop_order& order, job_wire::relayed_order& message,
-                 job_wire::relay_orders& /*frame*/) {
+void encode_order(const stop_order& order, job_wire::relayed_order& message,
+                  job_wire::relay_orders& /*frame*/) {
     encode_run(order.run, *message.mutable_stop());
 }
 
-void encode_what(const pace_order& order, job_wire::relayed_order& message,
-                 job_wire::relay_orders& /*frame*/) {
+void encode_order(const pace_order& order, job_wire::relayed_order& message,
+                  job_wire::relay_orders& /*frame*/) {
     encode_run(order.run, *message.mutable_pace());
     message.mutable_pace()->set_percent(static_cast<std::uint32_t>(order.percent));
 }
@@ -133,7 +133,7 @@
     std::visit(
         [&](const auto& item) {
             if constexpr (!std::is_same_v<std::decay_t<decltype(item)>, advise_order>) {
-                encode_what(item, message, frame);
+                encode_order(item, message, frame);
             }
         },
         order);
--- a/poplarpitch/relay/relay_hub.cpp
+++ b/poplarpitch/relay/relay_hub.cpp
@@ -34,7 +34,7 @@
     m_open.clear();
     m_deadlines = {};
     m_outboxes.clear();
-    m_unknown.clear();
+    m_requested_reports.clear();
 }
 
 bool relay_hub::add(const worker_order& order, const std::string& data_centre, std::uint64_t worker_hash,
@@ -62,7 +62,7 @@
 }
 
 void relay_hub::ask_report(const std::string& worker) {
-    m_unknown.push_back(worker);
+    m_requested_reports.push_back(worker);
 }
 
 std::vector<relayed_outcome> relay_hub::on_answers(const job_wire::relay_answers& frame, time_point now) {
@@ -81,14 +81,14 @@
     }
     outcomes.reserve(static_cast<std::size_t>(frame.answers_size()));
     for (const auto& answer : frame.answers()) {
-        if (auto outcome = close(answer.number(), decode(answer)); outcome.has_value()) {
+        if (auto outcome = complete_order(answer.number(), decode(answer)); outcome.has_value()) {
             outcomes.push_back(std::move(*outcome));
         }
     }
     return outcomes;
 }
 
-std::optional<relayed_outcome> relay_hub::close(std::uint64_t number, hold_outcome outcome) {
+std::optional<relayed_outcome> relay_hub::complete_order(std::uint64_t number, hold_outcome outcome) {
     const auto found = m_open.find(number);
     if (found == m_open.end()) {
         return std::nullopt; // given up before
@@ -99,18 +99,19 @@
 }
 
 std::vector<relayed_outcome> relay_hub::on_not_sent(std::uint32_t ip, const job_wire::relay_orders& frame) {
-    m_outboxes[ip].told_places = 0;
+    m_outboxes[ip].sent_places_version = 0;
     std::vector<relayed_outcome> outcomes;
     for (const auto& order : frame.orders()) {
-        if (auto outcome = close(order.number(), {order_failure::not_sent, {}}); outcome.has_value()) {
+        if (auto outcome = complete_order(order.number(), {order_failure::not_sent, {}});
+            outcome.has_value()) {
             outcomes.push_back(std::move(*outcome));
         }
     }
     return outcomes;
 }
 
-void relay_hub::give_up(std::uint64_t number, std::vector<relayed_outcome>& outcomes) {
-    if (auto lost = close(number, {}); lost.has_value()) {
+void relay_hub::fail_order(std::uint64_t number, std::vector<relayed_outcome>& outcomes) {
+    if (auto lost = complete_order(number, {}); lost.has_value()) {
         lost->outcome = make_lost_outcome(lost->order);
         outcomes.push_back(std::move(*lost));
     }
@@ -128,7 +129,7 @@
         }
         std::sort(numbers.begin(), numbers.end()); // the map's order differs between processes
         for (const auto number : numbers) {
-            give_up(number, outcomes);
+            fail_order(number, outcomes);
         }
         m_outboxes.erase(ip);
         log_event(log_level::warn, "relay_lost")
@@ -137,27 +138,27 @@
             .add("relays", static_cast<std::uint64_t>(count_relays()));
     }
     while (!m_deadlines.empty() && m_deadlines.top().when <= now) {
-        give_up(m_deadlines.top().number, outcomes);
+        fail_order(m_deadlines.top().number, outcomes);
         m_deadlines.pop();
     }
     return outcomes;
 }
 
-std::vector<relay_frame> relay_hub::take_frames(const std::vector<std::uint32_t>& others, time_point now) {
+std::vector<relay_frame> relay_hub::take_frames(const std::vector<std::uint32_t>& instances, time_point now) {
     std::vector<relay_frame> frames;
-    const auto unknown = std::exchange(m_unknown, {});
-    for (const auto ip : others) {
+    const auto requested = std::exchange(m_requested_reports, {});
+    for (const auto ip : instances) {
         auto& box = m_outboxes[ip];
-        for (const auto& worker : unknown) {
+        for (const auto& worker : requested) {
             open_frame(ip).add_unknown_workers(worker);
         }
-        const bool has_news = box.frame != nullptr;
-        if (now - box.sent < (has_news ? m_settings.batch_pause : m_settings.beat)) {
+        const bool has_content = box.frame != nullptr;
+        if (now - box.sent < (has_content ? m_settings.min_frame_interval : m_settings.max_frame_interval)) {
             continue;
         }
         auto& frame = open_frame(ip);
-        if (box.told_places != m_places_version) {
-            box.told_places = m_places_version;
+        if (box.sent_places_version != m_places_version) {
+            box.sent_places_version = m_places_version;
             frame.set_has_places(true);
             for (const auto& place : m_registry.get_places()) {
                 auto& item = *frame.add_places();
--- a/poplarpitch/relay/relay_hub.h
+++ b/poplarpitch/relay/relay_hub.h
@@ -63,8 +63,8 @@
     std::vector<relayed_outcome> on_not_sent(std::uint32_t ip, const job_wire::relay_orders& frame);
     /// Returns the outcomes of orders whose relay or time is lost.
     std::vector<relayed_outcome> take_lost(time_point now);
-    /// Returns the frames that are to be sent now. `others`: all instances that may relay.
-    std::vector<relay_frame> take_frames(const std::vector<std::uint32_t>& others, time_point now);
+    /// Returns the frames that are to be sent now. `instances`: all instances that may relay.
+    std::vector<relay_frame> take_frames(const std::vector<std::uint32_t>& instances, time_point now);
 
     /// Returns the instance that takes a worker's heartbeats, or nothing where no relay is there.
     [[nodiscard]] std::optional<std::uint32_t> pick(const std::string& data_centre,
@@ -73,7 +73,7 @@
     /// Returns how many orders have no answer yet.
     [[nodiscard]] std::size_t count_open() const { return m_open.size(); }
     /// Returns how many orders were relayed since the start.
-    [[nodiscard]] std::uint64_t get_relayed() const { return m_relayed; }
+    [[nodiscard]] std::uint64_t count_relayed() const { return m_relayed; }
 
 private:
     struct open_order {
@@ -89,14 +89,14 @@
     struct outbox {
         std::shared_ptr<job_wire::relay_orders> frame; ///< null while empty
         time_point sent{};
-        std::uint64_t told_places = 0; ///< version of the list of relays that it was told last
+        std::uint64_t sent_places_version = 0; ///< version of the list of relays that it was told last
     };
 
     job_wire::relay_orders& open_frame(std::uint32_t ip);
     /// Takes an order that no relay answered out of those under way, where it is one.
-    void give_up(std::uint64_t number, std::vector<relayed_outcome>& outcomes);
+    void fail_order(std::uint64_t number, std::vector<relayed_outcome>& outcomes);
     /// Takes an order that has its outcome now out of those under way.
-    std::optional<relayed_outcome> close(std::uint64_t number, hold_outcome outcome);
+    std::optional<relayed_outcome> complete_order(std::uint64_t number, hold_outcome outcome);
     void on_relays_changed();
 
     relay_settings m_settings;
@@ -107,8 +107,8 @@
     std::uint64_t m_places_version = 1;
     absl::flat_hash_map<std::uint64_t, open_order> m_open;
     std::priority_queue<deadline, std::vector<deadline>, std::greater<>> m_deadlines;
-    std::map<std::uint32_t, outbox> m_outboxes; ///< by address
-    std::vector<std::string> m_unknown;         ///< workers whose whole report is wanted
+    std::map<std::uint32_t, outbox> m_outboxes;   ///< by address
+    std::vector<std::string> m_requested_reports; ///< workers whose whole report is wanted
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_registry.cpp
+++ b/poplarpitch/relay/relay_registry.cpp
@@ -53,7 +53,7 @@
 std::vector<std::uint32_t> relay_registry::remove_timed_out(time_point now) {
     std::vector<std::uint32_t> lost;
     for (const auto& [ip, last_contact] : m_last_contact) {
-        if (now - last_contact > m_settings.silence) {
+        if (now - last_contact > m_settings.peer_timeout) {
             lost.push_back(ip);
         }
     }
--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -99,7 +99,7 @@
             }
         };
         handler.on_leading = [this](log_term term) {
-            m_agent.on_own_term(term);
+            m_agent.on_leading(term);
             m_parts.relays.lead(term);
             m_parts.dispatch.lead(term, m_parts.loop.now(), get_wall_ms());
             m_parts.loop.post([] {}); // another turn sends what that asked for
--- a/poplarpitch/scheduler/scheduler_metrics.cpp
+++ b/poplarpitch/scheduler/scheduler_metrics.cpp
@@ -63,7 +63,7 @@
     set("poplarpitch_orders_not_sent_total", use.not_sent);
     set("poplarpitch_descriptors_exhausted_total", use.exhausted);
     set("poplarpitch_relays", parts.relays.count_relays());
-    set("poplarpitch_relayed_orders_total", parts.relays.get_relayed());
+    set("poplarpitch_relayed_orders_total", parts.relays.count_relayed());
     set("poplarpitch_relayed_orders_open", parts.relays.count_open());
     set("poplarpitch_log_batches_total", parts.batcher.get_batches());
     set("poplarpitch_log_commands_total", parts.batcher.get_commands());
--- a/unit_tests/relay/relay_age_test.cpp
+++ b/unit_tests/relay/relay_age_test.cpp
@@ -29,7 +29,7 @@
         order.target = {{"w1", 0}, "10.9.0.1:80", term, false, order_time};
         append_order(order, m_next_number++, frame);
         EXPECT_FALSE(agent.on_orders(frame, arrived).has_value());
-        m_told += settings.batch_pause;
+        m_told += settings.min_frame_interval;
         const auto told = agent.take_answers(std::max(arrived, m_told)).value_or(job_wire::relay_answers{});
         EXPECT_EQ(told.answers_size(), 1);
         return told.answers_size() == 1 ? decode(told.answers(0)).failure : std::nullopt;
@@ -85,8 +85,8 @@
     age_world world;
     constexpr int part = 50; // a clock that is 2% slow
     const duration length = seconds{1800};
-    const duration beat = milliseconds{100};
-    for (duration passed{0}; passed < length; passed += beat) {
+    const duration frame_interval = milliseconds{100};
+    for (duration passed{0}; passed < length; passed += frame_interval) {
         ASSERT_FALSE(world.hand(begin + passed, begin + clock_gap + passed + passed / part).has_value());
     }
     EXPECT_EQ(world.hand(begin + length, begin + clock_gap + length + length / part + seconds{2}),
--- a/unit_tests/relay/relay_agent_test.cpp
+++ b/unit_tests/relay/relay_agent_test.cpp
@@ -36,7 +36,7 @@
     }
     /// Returns what the relay tells by now; an empty frame where it has nothing to tell.
     job_wire::relay_answers take() {
-        now += settings.batch_pause;
+        now += settings.min_frame_interval;
         return agent.take_answers(now).value_or(job_wire::relay_answers{});
     }
     void answer_all() {
@@ -104,7 +104,7 @@
     agent_world world;
     static_cast<void>(world.send(3));
     EXPECT_TRUE(world.agent.is_serving(world.now));
-    world.agent.on_own_term(4);
+    world.agent.on_leading(4);
     EXPECT_FALSE(world.agent.is_serving(world.now));
     EXPECT_TRUE(world.send(3, 1).has_value());
     EXPECT_TRUE(world.orders.empty());
@@ -158,7 +158,7 @@
     agent_world world;
     static_cast<void>(world.send(3));
     world.agent.on_report(make_report("w1", 1), world.now);
-    world.now += world.settings.report_life + milliseconds{1};
+    world.now += world.settings.report_lifetime + milliseconds{1};
     static_cast<void>(world.send(4));
     EXPECT_EQ(world.take().reports_size(), 0);
 }
@@ -223,7 +223,7 @@
     EXPECT_FALSE(world.agent.is_serving(world.now)) << "before it has heard one";
     static_cast<void>(world.send(3));
     EXPECT_TRUE(world.agent.is_serving(world.now));
-    EXPECT_FALSE(world.agent.is_serving(world.now + world.settings.silence + milliseconds{1}));
+    EXPECT_FALSE(world.agent.is_serving(world.now + world.settings.peer_timeout + milliseconds{1}));
 }
 
 TEST(relay_agent, names_the_relay_in_the_worker_s_data_centre_for_later_heartbeats) {
--- a/unit_tests/relay/relay_hub_test.cpp
+++ b/unit_tests/relay/relay_hub_test.cpp
@@ -151,7 +151,7 @@
     ASSERT_TRUE(world.hub.add(make_start("w1", 0), "near", 1, world.now));
     ASSERT_TRUE(world.hub.add(make_hold("w1"), "near", 1, world.now));
     const auto numbers = world.take_numbers().at(near);
-    world.now += world.settings.silence + milliseconds{1};
+    world.now += world.settings.peer_timeout + milliseconds{1};
     const auto lost = world.hub.take_lost(world.now);
     ASSERT_EQ(lost.size(), 2U);
     EXPECT_EQ(lost[0].outcome.failure, order_failure::unanswered) << "the start may have been carried out";
@@ -183,7 +183,7 @@
     for (std::uint64_t worker_hash = 0; worker_hash < 300; ++worker_hash) {
         before[worker_hash] = *world.hub.pick("elsewhere", worker_hash);
     }
-    world.now += world.settings.silence;
+    world.now += world.settings.peer_timeout;
     world.hear(near, "near");
     world.hear(far, "far");
     world.now += milliseconds{1};
--- a/unit_tests/scheduler/relayed_room_test.cpp
+++ b/unit_tests/scheduler/relayed_room_test.cpp
@@ -39,7 +39,7 @@
     void beat_in_vain(relay_agent& relay, std::int64_t millicores) {
         hear(relay, millicores);
         greet(relay);
-        m_now += m_settings.batch_pause;
+        m_now += m_settings.min_frame_interval;
         EXPECT_TRUE(relay.take_answers(m_now).has_value());
     }
     [[nodiscard]] std::int64_t get_believed() const {
@@ -85,7 +85,7 @@
         std::vector<std::string> unknown;
         do {
             greet(relay, std::exchange(unknown, {}));
-            m_now += m_settings.batch_pause;
+            m_now += m_settings.min_frame_interval;
             const auto frame = relay.take_answers(m_now).value_or(job_wire::relay_answers{});
             for (const auto& report : frame.reports()) {
                 if (report.is_whole()) {
