--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -309,7 +309,7 @@
     if (found != m_proposals.end()) {
         const auto item = std::move(found->second);
         m_proposals.erase(found);
-        item.on_fate(item.term == entry.term ? proposal_fate::applied : proposal_fate::unknown);
+        item.on_result(item.term == entry.term ? proposal_result::applied : proposal_result::unknown);
     }
 }
 
@@ -346,7 +346,7 @@
     const auto proposals = std::move(m_proposals);
     m_proposals.clear();
     for (const auto& [index, item] : proposals) {
-        item.on_fate(proposal_fate::unknown);
+        item.on_result(proposal_result::unknown);
     }
 }
 
--- a/poplarpitch/replica/replica.h
+++ b/poplarpitch/replica/replica.h
@@ -35,7 +35,7 @@
 class frame_socket;
 
 /// What became of a proposal.
-enum class proposal_fate : std::uint8_t {
+enum class proposal_result : std::uint8_t {
     applied, ///< committed, and applied on this instance
     refused, ///< this instance does not lead; the proposal is nowhere
     unknown, ///< leadership was lost first: it may still be committed
@@ -78,8 +78,8 @@
 
     /// Opens the data folder and the port, and begins to found, join or take part.
     result<void> start();
-    /// Commits a command; `on_fate` is called once, in a later turn or before this returns.
-    void propose(std::string payload, std::function<void(proposal_fate)> on_fate);
+    /// Commits a command; `on_result` is called once, in a later turn or before this returns.
+    void propose(std::string payload, std::function<void(proposal_result)> on_result);
     /// Calls `on_ready(true)` once what was committed before the call is applied here and this instance has
     /// led until then; `on_ready(false)` when that cannot be said.
     void read(std::function<void(bool)> on_ready);
@@ -103,7 +103,7 @@
 private:
     struct pending_proposal {
         log_term term = 0;
-        std::function<void(proposal_fate)> on_fate;
+        std::function<void(proposal_result)> on_result;
     };
 
     /// Tells what the disk holds.
@@ -134,7 +134,7 @@
     [[nodiscard]] bool is_told_leader_fresh() const;
     [[noreturn]] void end_process(const std::error_code& error);
     [[nodiscard]] std::vector<std::uint32_t> get_other_seeds() const;
-    void propose_now(std::string payload, std::function<void(proposal_fate)> on_fate);
+    void propose_now(std::string payload, std::function<void(proposal_result)> on_result);
     void read_now(std::function<void(bool)> on_ready);
 
     event_loop& m_loop;
--- a/poplarpitch/replica/replica_calls.cpp
+++ b/poplarpitch/replica/replica_calls.cpp
@@ -23,23 +23,23 @@
     }
 }
 
-void replica::propose(std::string payload, std::function<void(proposal_fate)> on_fate) {
-    when_saved([this, payload = std::move(payload), on_fate = std::move(on_fate)]() mutable {
-        propose_now(std::move(payload), std::move(on_fate));
+void replica::propose(std::string payload, std::function<void(proposal_result)> on_result) {
+    when_saved([this, payload = std::move(payload), on_result = std::move(on_result)]() mutable {
+        propose_now(std::move(payload), std::move(on_result));
     });
 }
 
-void replica::propose_now(std::string payload, std::function<void(proposal_fate)> on_fate) {
+void replica::propose_now(std::string payload, std::function<void(proposal_result)> on_result) {
     if (m_node == nullptr || !m_is_leading) {
-        on_fate(proposal_fate::refused);
+        on_result(proposal_result::refused);
         return;
     }
     const auto index = m_node->propose(std::move(payload), m_loop.now());
     if (!index) {
-        on_fate(proposal_fate::refused);
+        on_result(proposal_result::refused);
         return;
     }
-    m_proposals.emplace(index.value(), pending_proposal{m_node->get_term(), std::move(on_fate)});
+    m_proposals.emplace(index.value(), pending_proposal{m_node->get_term(), std::move(on_result)});
 }
 
 void replica::read(std::function<void(bool)> on_ready) {
--- a/poplarpitch/scheduler/caller_service.h
+++ b/poplarpitch/scheduler/caller_service.h
@@ -80,10 +80,12 @@
     }
 
     /// Turns what became of a command into an answer: an unknown outcome is never told as a refusal.
-    static auto make_fate_handler(job_wire::relay_answer answer, answer_handler on_answer) {
-        return [answer = std::move(answer), on_answer = std::move(on_answer)](command_fate fate) mutable {
-            answer.set_taken(fate != command_fate::not_taken);
-            const int status = fate == command_fate::applied ? 200 : fate == command_fate::refused ? 410 : 0;
+    static auto make_result_handler(job_wire::relay_answer answer, answer_handler on_answer) {
+        return [answer = std::move(answer), on_answer = std::move(on_answer)](commit_result outcome) mutable {
+            answer.set_taken(outcome != commit_result::not_proposed);
+            const int status = outcome == commit_result::applied   ? 200
+                               : outcome == commit_result::refused ? 410
+                                                                   : 0;
             finish(answer, status, "", on_answer);
         };
     }
@@ -136,14 +138,14 @@
             .add("config", m_parts.book.get_configuration().version)
             .add("steps", static_cast<std::uint64_t>(job->steps.size()));
         m_deciding.insert(id);
-        m_parts.batcher.add(std::move(command), [this, id, answer = make_fate_handler(answer, on_answer)](
-                                                    command_fate fate) mutable {
+        m_parts.batcher.add(std::move(command), [this, id, answer = make_result_handler(answer, on_answer)](
+                                                    commit_result outcome) mutable {
             m_deciding.erase(id);
-            const bool is_sure = fate == command_fate::refused || fate == command_fate::not_taken;
+            const bool is_sure = outcome == commit_result::refused || outcome == commit_result::not_proposed;
             if (is_sure) {
                 m_parts.dispatch.on_not_accepted(id);
             }
-            answer(fate);
+            answer(outcome);
         });
     }
 
@@ -213,7 +215,7 @@
         job_wire::job_command command;
         command.mutable_cancel()->set_id(id);
         log_event(log_level::info, "job_cancel").add("job", format_job_id(id)).add("queue", queue.name);
-        m_parts.batcher.add(std::move(command), make_fate_handler(answer, on_answer));
+        m_parts.batcher.add(std::move(command), make_result_handler(answer, on_answer));
     }
 
     scheduler_parts& m_parts;
--- a/poplarpitch/scheduler/command_batcher.cpp
+++ b/poplarpitch/scheduler/command_batcher.cpp
@@ -17,12 +17,12 @@
 
 command_batcher::~command_batcher() = default;
 
-void command_batcher::add(job_wire::job_command command, fate_handler on_fate) {
+void command_batcher::add(job_wire::job_command command, result_handler on_result) {
     if (m_handlers.empty()) {
         m_loop.post([] {}); // the turn that flushes may be over already
     }
     *m_gathered->add_commands() = std::move(command);
-    m_handlers.push_back(std::move(on_fate));
+    m_handlers.push_back(std::move(on_result));
 }
 
 void command_batcher::flush() {
@@ -37,14 +37,14 @@
         batch.mutable_commands()->AddAllocated(command);
     }
     const auto rest = m_handlers.begin() + static_cast<std::ptrdiff_t>(count);
-    std::vector<fate_handler> handlers(std::make_move_iterator(m_handlers.begin()),
-                                       std::make_move_iterator(rest));
+    std::vector<result_handler> handlers(std::make_move_iterator(m_handlers.begin()),
+                                         std::make_move_iterator(rest));
     m_handlers.erase(m_handlers.begin(), rest);
     auto payload = batch.SerializeAsString();
     ++m_under_way;
-    m_log.propose(std::move(payload), [this, handlers = std::move(handlers)](proposal_fate fate) {
+    m_log.propose(std::move(payload), [this, handlers = std::move(handlers)](proposal_result outcome) {
         --m_under_way;
-        on_batch_fate(handlers, fate == proposal_fate::applied, fate == proposal_fate::refused);
+        on_batch_result(handlers, outcome == proposal_result::applied, outcome == proposal_result::refused);
         if (!m_handlers.empty()) {
             m_loop.post([] {}); // another turn flushes what is left
         }
@@ -64,8 +64,8 @@
     return count;
 }
 
-void command_batcher::on_batch_fate(const std::vector<fate_handler>& handlers, bool is_applied,
-                                    bool is_refused) {
+void command_batcher::on_batch_result(const std::vector<result_handler>& handlers, bool is_applied,
+                                      bool is_refused) {
     const auto outcomes = is_applied ? m_outcomes : std::vector<command_outcome>{};
     for (std::size_t index = 0; index < handlers.size(); ++index) {
         if (!handlers[index]) {
@@ -73,9 +73,9 @@
         }
         if (is_applied && index < outcomes.size()) {
             const bool is_taken = outcomes[index] != command_outcome::refused;
-            handlers[index](is_taken ? command_fate::applied : command_fate::refused);
+            handlers[index](is_taken ? commit_result::applied : commit_result::refused);
         } else {
-            handlers[index](is_refused ? command_fate::not_taken : command_fate::unknown);
+            handlers[index](is_refused ? commit_result::not_proposed : commit_result::unknown);
         }
     }
 }
@@ -98,7 +98,7 @@
     m_gathered->clear_commands();
     const auto handlers = std::move(m_handlers);
     m_handlers.clear();
-    on_batch_fate(handlers, false, true);
+    on_batch_result(handlers, false, true);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/command_batcher.h
+++ b/poplarpitch/scheduler/command_batcher.h
@@ -23,11 +23,11 @@
 struct log_entry;
 
 /// What became of a command.
-enum class command_fate : std::uint8_t {
-    applied,   ///< committed now or before
-    refused,   ///< committed, but it did not fit what came before it
-    not_taken, ///< this instance does not lead; the command is nowhere
-    unknown,   ///< leadership was lost on the way: it may still be committed
+enum class commit_result : std::uint8_t {
+    applied,      ///< committed now or before
+    refused,      ///< committed, but it did not fit what came before it
+    not_proposed, ///< this instance does not lead; the command is nowhere
+    unknown,      ///< leadership was lost on the way: it may still be committed
 };
 
 /// Gathers commands and commits them in batches: one log entry, one sync and one message to each follower for
@@ -37,7 +37,7 @@
 /// the loop's thread, for all methods.
 class command_batcher {
 public:
-    using fate_handler = std::function<void(command_fate)>;
+    using result_handler = std::function<void(commit_result)>;
 
     /// The log refuses a proposal beyond what it keeps uncommitted, and what is refused is lost. While a disk
     /// hangs for seconds more than that may be gathered.
@@ -50,8 +50,8 @@
     command_batcher(const command_batcher&) = delete;
     command_batcher& operator=(const command_batcher&) = delete;
 
-    /// Adds a command to the next batch; `on_fate`, which may be empty, is called once.
-    void add(job_wire::job_command command, fate_handler on_fate);
+    /// Adds a command to the next batch; `on_result`, which may be empty, is called once.
+    void add(job_wire::job_command command, result_handler on_result);
     /// Returns true when the next flush proposes what is gathered until then.
     [[nodiscard]] bool is_free() const { return m_under_way == 0; }
     /// Proposes what was gathered, as much as one entry of the log may hold, unless a batch is on its way.
@@ -68,14 +68,14 @@
 private:
     /// Returns how many of the gathered commands the next batch holds, at least one of some.
     [[nodiscard]] std::size_t count_next() const;
-    void on_batch_fate(const std::vector<fate_handler>& handlers, bool is_applied, bool is_refused);
+    void on_batch_result(const std::vector<result_handler>& handlers, bool is_applied, bool is_refused);
 
     event_loop& m_loop;
     replica& m_log;
     job_book& m_book;
     std::size_t m_most_bytes;
     std::unique_ptr<job_wire::job_command_batch> m_gathered;
-    std::vector<fate_handler> m_handlers;    ///< one for each gathered command
+    std::vector<result_handler> m_handlers;  ///< one for each gathered command
     std::vector<command_outcome> m_outcomes; ///< of the batch applied last
     int m_under_way = 0;
     std::uint64_t m_batches = 0;
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -77,9 +77,9 @@
     }
 
     /// Turns what became of a command into an answer: an unknown outcome is never told as a refusal.
-    static auto make_fate_handler(std::string body, http_responder respond) {
-        return [body = std::move(body), respond = std::move(respond)](command_fate fate) {
-            if (fate == command_fate::applied) {
+    static auto make_result_handler(std::string body, http_responder respond) {
+        return [body = std::move(body), respond = std::move(respond)](commit_result outcome) {
+            if (outcome == commit_result::applied) {
                 respond(make_response(200, body));
                 return;
             }
@@ -98,7 +98,7 @@
         job_wire::job_command command;
         command.mutable_retire()->set_worker(call.report.life.id);
         command.mutable_retire()->set_born_ms(call.report.life.born_ms);
-        m_parts.batcher.add(std::move(command), make_fate_handler(std::move(body), std::move(respond)));
+        m_parts.batcher.add(std::move(command), make_result_handler(std::move(body), std::move(respond)));
     }
 
     void answer(const goodbye_call& call, const http_responder& respond) {
@@ -126,7 +126,7 @@
         }
         job_wire::job_command command;
         encode(call.configuration, *command.mutable_config());
-        m_parts.batcher.add(std::move(command), make_fate_handler({}, std::move(respond)));
+        m_parts.batcher.add(std::move(command), make_result_handler({}, std::move(respond)));
     }
 
     void answer(const get_config_call&, http_responder respond) {
--- a/unit_tests/scheduler/command_batcher_test.cpp
+++ b/unit_tests/scheduler/command_batcher_test.cpp
@@ -54,8 +54,8 @@
     settings.seeds = {settings.host};
     settings.may_found = true;
     settings.raft.max_uncommitted_bytes = most_uncommitted;
-    std::vector<command_fate> fates; // under the present leadership
-    std::vector<command_fate> outcome;
+    std::vector<commit_result> results; // under the present leadership
+    std::vector<commit_result> outcome;
     command_batcher* batcher = nullptr;
     replica_handler handler;
     handler.on_command = [&](const log_entry& entry) {
@@ -71,18 +71,18 @@
     handler.on_leading_lost = [&] {
         ++leaderships;
         batcher->drop();
-        fates.clear();
+        results.clear();
     };
     constexpr std::size_t count = 4;
     handler.on_leading = [&](log_term /*term*/) {
         for (std::size_t number = 1; number <= count; ++number) {
-            batcher->add(make_submit(number), [&, at = leaderships](command_fate fate) {
+            batcher->add(make_submit(number), [&, at = leaderships](commit_result commit) {
                 if (at != leaderships) {
                     return;
                 }
-                fates.push_back(fate);
-                if (fates.size() == count) {
-                    outcome = fates;
+                results.push_back(commit);
+                if (results.size() == count) {
+                    outcome = results;
                     loop.stop();
                 }
             });
@@ -95,7 +95,7 @@
     ASSERT_TRUE(log.start());
     loop.call_after(patience, [&] { loop.stop(); });
     loop.run();
-    EXPECT_EQ(outcome, std::vector<command_fate>(count, command_fate::applied));
+    EXPECT_EQ(outcome, std::vector<commit_result>(count, commit_result::applied));
 }
 
 } // namespace
