--- a/poplarpitch/scheduler/caller_service.h
+++ b/poplarpitch/scheduler/caller_service.h
@@ -61,7 +61,7 @@
         } else if (request.method() == "POST") {
             submit(request, *queue, *id, answer, on_answer);
         } else if (request.method() == "GET") {
-            tell_state(*queue, *id, answer, on_answer);
+            answer_state(*queue, *id, answer, on_answer);
         } else if (request.method() == "DELETE") {
             cancel(*queue, *id, answer, on_answer);
         } else {
@@ -70,7 +70,7 @@
     }
 
 private:
-    static constexpr duration retry_after_load = seconds{5}; // bursts last 4 to 6 s
+    static constexpr duration retry_after_overload = seconds{5}; // bursts last 4 to 6 s
 
     static void finish(job_wire::relay_answer answer, int status, std::string body,
                        const answer_handler& on_answer) {
@@ -104,10 +104,10 @@
             return;
         }
         // Sent again while the first one is on its way into the log: to refuse it now could be untrue.
-        const bool is_decided = m_deciding.contains(id);
+        const bool is_submitting = m_submitting.contains(id);
         const auto open = static_cast<std::int64_t>(m_parts.dispatch.count_open());
-        if (!is_decided && open >= m_parts.settings.dispatch.max_open_jobs) {
-            refuse_for_load(id, open, answer, on_answer);
+        if (!is_submitting && open >= m_parts.settings.dispatch.max_open_jobs) {
+            refuse_for_overload(id, open, answer, on_answer);
             return;
         }
         auto job = Dialect::read_job(request.body());
@@ -123,10 +123,10 @@
             finish(answer, 400, "", on_answer);
             return;
         }
-        if (!is_decided) {
-            const auto decided = m_parts.dispatch.admit(*job, m_parts.loop.now());
-            if (!decided.is_taken()) {
-                refuse(id, decided, answer, on_answer);
+        if (!is_submitting) {
+            const auto decision = m_parts.dispatch.admit(*job, m_parts.loop.now());
+            if (!decision.is_taken()) {
+                refuse(id, decision, answer, on_answer);
                 return;
             }
         }
@@ -137,10 +137,10 @@
             .add("queue", queue.name)
             .add("config", m_parts.book.get_configuration().version)
             .add("steps", static_cast<std::uint64_t>(job->steps.size()));
-        m_deciding.insert(id);
+        m_submitting.insert(id);
         m_parts.batcher.add(std::move(command), [this, id, answer = make_result_handler(answer, on_answer)](
                                                     commit_result outcome) mutable {
-            m_deciding.erase(id);
+            m_submitting.erase(id);
             const bool is_sure = outcome == commit_result::refused || outcome == commit_result::not_proposed;
             if (is_sure) {
                 m_parts.dispatch.on_not_accepted(id);
@@ -149,41 +149,42 @@
         });
     }
 
-    static void send_away(duration wait, job_wire::relay_answer answer, const answer_handler& on_answer) {
+    static void answer_retry_later(duration wait, job_wire::relay_answer answer,
+                                   const answer_handler& on_answer) {
         answer.set_retry_after_ms(to_milliseconds(wait));
         finish(std::move(answer), 429, "", on_answer);
     }
 
     /// The job was not taken: its caller is told when to come back.
-    static void refuse(job_id id, const admission& decided, job_wire::relay_answer answer,
+    static void refuse(job_id id, const admission& decision, job_wire::relay_answer answer,
                        const answer_handler& on_answer) {
-        const bool is_quota = decided.what == admission::verdict::lasting_quota;
+        const bool is_quota = decision.what == admission::verdict::lasting_quota;
         log_event(log_level::info, "job_refused")
             .add("job", format_job_id(id))
             .add("reason",
                  is_quota ? "jobs that last reserve their share of the pool" : "the leader is behind")
-            .add("lag_ms", to_milliseconds(decided.lag))
-            .add("wanted_millicores", decided.wanted)
-            .add("reserved_millicores", decided.reserved)
-            .add("allowed_millicores", decided.allowed)
-            .add("retry_after_ms", to_milliseconds(decided.retry_after));
-        send_away(decided.retry_after, std::move(answer), on_answer);
+            .add("lag_ms", to_milliseconds(decision.lag))
+            .add("wanted_millicores", decision.wanted)
+            .add("reserved_millicores", decision.reserved)
+            .add("allowed_millicores", decision.allowed)
+            .add("retry_after_ms", to_milliseconds(decision.retry_after));
+        answer_retry_later(decision.retry_after, std::move(answer), on_answer);
     }
 
     /// Too many jobs are open to keep another: the caller is told when to come back. Below that bound every
     /// job is taken, also under a burst: late is worth more to its caller than never, and what can still be
     /// in time goes first.
-    static void refuse_for_load(job_id id, std::int64_t open, job_wire::relay_answer answer,
-                                const answer_handler& on_answer) {
+    static void refuse_for_overload(job_id id, std::int64_t open, job_wire::relay_answer answer,
+                                    const answer_handler& on_answer) {
         log_event(log_level::warn, "job_refused")
             .add("job", format_job_id(id))
             .add("reason", "too many open jobs")
             .add("open", open);
-        send_away(retry_after_load, std::move(answer), on_answer);
+        answer_retry_later(retry_after_overload, std::move(answer), on_answer);
     }
 
-    void tell_state(const queue_settings& queue, job_id id, const job_wire::relay_answer& answer,
-                    const answer_handler& on_answer) {
+    void answer_state(const queue_settings& queue, job_id id, const job_wire::relay_answer& answer,
+                      const answer_handler& on_answer) {
         const auto* record = find(queue, id);
         if (record == nullptr) {
             finish(answer, 410, "", on_answer);
@@ -219,7 +220,7 @@
     }
 
     scheduler_parts& m_parts;
-    absl::flat_hash_set<job_id> m_deciding; ///< taken and on their way into the log
+    absl::flat_hash_set<job_id> m_submitting; ///< taken and on their way into the log
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/command_batcher.cpp
+++ b/poplarpitch/scheduler/command_batcher.cpp
@@ -11,9 +11,9 @@
 
 namespace poplarpitch {
 
-command_batcher::command_batcher(event_loop& loop, replica& log, job_book& book, std::size_t most_bytes)
-    : m_loop(loop), m_log(log), m_book(book), m_most_bytes(most_bytes),
-      m_gathered(std::make_unique<job_wire::job_command_batch>()) {}
+command_batcher::command_batcher(event_loop& loop, replica& log, job_book& book, std::size_t max_bytes)
+    : m_loop(loop), m_log(log), m_book(book), m_max_bytes(max_bytes),
+      m_pending(std::make_unique<job_wire::job_command_batch>()) {}
 
 command_batcher::~command_batcher() = default;
 
@@ -21,18 +21,18 @@
     if (m_handlers.empty()) {
         m_loop.post([] {}); // the turn that flushes may be over already
     }
-    *m_gathered->add_commands() = std::move(command);
+    *m_pending->add_commands() = std::move(command);
     m_handlers.push_back(std::move(on_result));
 }
 
 void command_batcher::flush() {
-    if (m_handlers.empty() || m_under_way > 0) {
+    if (m_handlers.empty() || m_in_flight > 0) {
         return;
     }
-    const auto count = count_next();
+    const auto count = count_next_batch();
     job_wire::job_command_batch batch;
     std::vector<job_wire::job_command*> commands(count);
-    m_gathered->mutable_commands()->ExtractSubrange(0, static_cast<int>(count), commands.data());
+    m_pending->mutable_commands()->ExtractSubrange(0, static_cast<int>(count), commands.data());
     for (auto* command : commands) {
         batch.mutable_commands()->AddAllocated(command);
     }
@@ -41,9 +41,9 @@
                                          std::make_move_iterator(rest));
     m_handlers.erase(m_handlers.begin(), rest);
     auto payload = batch.SerializeAsString();
-    ++m_under_way;
+    ++m_in_flight;
     m_log.propose(std::move(payload), [this, handlers = std::move(handlers)](proposal_result outcome) {
-        --m_under_way;
+        --m_in_flight;
         on_batch_result(handlers, outcome == proposal_result::applied, outcome == proposal_result::refused);
         if (!m_handlers.empty()) {
             m_loop.post([] {}); // another turn flushes what is left
@@ -51,12 +51,12 @@
     });
 }
 
-std::size_t command_batcher::count_next() const {
+std::size_t command_batcher::count_next_batch() const {
     std::size_t bytes = 0;
     std::size_t count = 0;
-    for (const auto& command : m_gathered->commands()) {
+    for (const auto& command : m_pending->commands()) {
         bytes += command.ByteSizeLong();
-        if (count > 0 && bytes > m_most_bytes) {
+        if (count > 0 && bytes > m_max_bytes) {
             break;
         }
         ++count;
@@ -94,8 +94,8 @@
     }
 }
 
-void command_batcher::drop() {
-    m_gathered->clear_commands();
+void command_batcher::drop_pending() {
+    m_pending->clear_commands();
     const auto handlers = std::move(m_handlers);
     m_handlers.clear();
     on_batch_result(handlers, false, true);
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -29,7 +29,7 @@
     void handle(http_request request, http_responder respond) {
         auto call = Dialect::read_control_call(request);
         if (!m_parts.may_answer()) {
-            if (!is_relayed(call, respond)) {
+            if (!try_relay(call, respond)) {
                 respond(make_redirect(request));
             }
             return;
@@ -47,14 +47,14 @@
 
     /// Takes a heartbeat for the leader. One that says that its worker leaves is the leader's to answer: it
     /// has to be committed first.
-    bool is_relayed(const control_call& call, const http_responder& respond) {
+    bool try_relay(const control_call& call, const http_responder& respond) {
         const auto now = m_parts.loop.now();
-        const auto* beat = std::get_if<heartbeat_call>(&call);
-        if (beat == nullptr || beat->report.is_leaving || !m_agent.is_serving(now)) {
+        const auto* heartbeat = std::get_if<heartbeat_call>(&call);
+        if (heartbeat == nullptr || heartbeat->report.is_leaving || !m_agent.is_serving(now)) {
             return false;
         }
-        m_agent.on_report(beat->report, now);
-        respond(make_response(200, make_heartbeat_answer(m_agent.pick(beat->report))));
+        m_agent.on_report(heartbeat->report, now);
+        respond(make_response(200, make_heartbeat_answer(m_agent.pick(heartbeat->report))));
         return true;
     }
 
@@ -107,20 +107,20 @@
     }
 
     void answer(put_config_call& call, http_responder respond) {
-        const auto held = m_parts.book.get_configuration().version;
+        const auto current_version = m_parts.book.get_configuration().version;
         if (const auto error = find_configuration_error(call.configuration); error.has_value()) {
             log_event(log_level::warn, "config_refused")
                 .add("version", call.configuration.version)
-                .add("held", held)
+                .add("held", current_version)
                 .add("reason", *error);
             respond(make_error_response(400, "invalid", *error));
             return;
         }
         log_event(log_level::info, "config_received")
             .add("version", call.configuration.version)
-            .add("held", held)
+            .add("held", current_version)
             .add("queues", static_cast<std::uint64_t>(call.configuration.queues.size()));
-        if (call.configuration.version <= held) {
+        if (call.configuration.version <= current_version) {
             respond(make_response(200)); // overtaken or sent again
             return;
         }
@@ -130,9 +130,9 @@
     }
 
     void answer(const get_config_call&, http_responder respond) {
-        m_parts.log.read([this, respond = std::move(respond)](bool is_sure) {
+        m_parts.log.read([this, respond = std::move(respond)](bool is_confirmed) {
             const auto& configuration = m_parts.book.get_configuration();
-            if (!is_sure || configuration.version == 0) {
+            if (!is_confirmed || configuration.version == 0) {
                 respond(make_error_response(503, "unsure", "the newest configuration is not known here"));
                 return;
             }
--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -50,7 +50,7 @@
             log_event(log_level::error, "start_failed")
                 .add("error", started ? port.error() : started.error())
                 .add("host", m_parts.settings.control_host);
-            return cannot_start_code;
+            return start_failed_exit_code;
         }
         loop.on_turn_end([this] { m_orders.send_all(); });
         loop.on_turn_end([this] { send_answers(); });
@@ -72,7 +72,7 @@
     }
 
 private:
-    static constexpr int cannot_start_code = 1;
+    static constexpr int start_failed_exit_code = 1;
     static constexpr duration tick_interval = milliseconds{10}; // of a leader with work; timers are this late
     static constexpr duration idle_interval = milliseconds{200};
 
@@ -107,7 +107,7 @@
         handler.on_leading_lost = [this] {
             m_parts.relays.retire();
             m_parts.dispatch.retire();
-            m_parts.batcher.drop();
+            m_parts.batcher.drop_pending();
         };
         handler.on_frame = [this](const job_wire::cluster_frame& frame, const auto& reply) {
             if (frame.has_orders()) {
@@ -150,7 +150,7 @@
     void flush() {
         m_parts.dispatch.on_load({m_parts.loop.get_busy_share(), m_parts.loop.get_lag()});
         if (m_parts.may_answer()) {
-            m_parts.dispatch.tick(m_parts.loop.now(), get_wall_ms(), m_parts.batcher.is_free());
+            m_parts.dispatch.tick(m_parts.loop.now(), get_wall_ms(), m_parts.batcher.can_flush());
         }
         for (auto& command : m_parts.dispatch.take_commands()) {
             m_parts.batcher.add(std::move(command), nullptr);
@@ -170,7 +170,7 @@
             reply(back);
             return;
         }
-        m_to_leader = reply;
+        m_reply_to_leader = reply;
     }
 
     /// Tells the leader what there is to tell, a few frames a hundredth of a second at most.
@@ -178,7 +178,7 @@
         if (auto answers = m_agent.take_answers(m_parts.loop.now()); answers.has_value()) {
             job_wire::cluster_frame frame;
             *frame.mutable_answers() = std::move(*answers);
-            m_to_leader(frame);
+            m_reply_to_leader(frame);
         }
         const auto due = m_agent.get_due();
         if (due.has_value() && m_answer_timer == 0) {
@@ -212,7 +212,7 @@
     scheduler_parts m_parts;
     worker_link<Dialect> m_link;
     relay_agent m_agent; ///< while another instance leads
-    std::function<void(const job_wire::cluster_frame&)> m_to_leader;
+    std::function<void(const job_wire::cluster_frame&)> m_reply_to_leader;
     timer_id m_answer_timer = 0;
     worker_orders<Dialect> m_orders;
     caller_service<Dialect> m_callers;
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -64,7 +64,7 @@
 
     /// Returns true where a start that was repeated was refused, and the refusal says nothing of the attempt
     /// before it. The run's own end and another life do.
-    static bool hides_start(const http_response& response, const std::optional<order_failure>& failure) {
+    static bool is_inconclusive(const http_response& response, const std::optional<order_failure>& failure) {
         const bool is_refused =
             failure.has_value() && failure != order_failure::old_run && failure != order_failure::other_life;
         return response.is_repeated && is_refused;
@@ -81,7 +81,7 @@
             const auto answer = Dialect::read_order_answer(response.value());
             hold_outcome outcome;
             outcome.failure = answer.failure;
-            if (std::is_same_v<Order, start_order> && hides_start(response.value(), answer.failure)) {
+            if (std::is_same_v<Order, start_order> && is_inconclusive(response.value(), answer.failure)) {
                 outcome.failure = order_failure::unanswered;
             }
             outcome.answer.clock_ms = answer.clock_ms;
@@ -92,54 +92,54 @@
     /// A life that answered a call for its list.
     struct answered_list {
         worker_life life;
-        time_point asked{};
+        time_point requested_at{};
     };
 
     void send_hold(const hold_order& order, outcome_handler on_outcome) {
         const bool has_one_life = order.target.worker.born_ms == 0; // its id names it
         if (order.acknowledged == 0 || has_one_life) {
-            ask_list(order, make_call(order), std::move(on_outcome));
+            request_list(order, make_call(order), std::move(on_outcome));
             return;
         }
         const auto last = m_lists.find(order.target.address);
         if (last == m_lists.end() || last->second.life != order.target.worker) {
-            ask_without_acknowledgement(order, std::move(on_outcome));
+            request_without_acknowledgement(order, std::move(on_outcome));
             return;
         }
-        auto bound = make_call(order);
-        bound.is_fresh = false;
-        bound.opened_before = last->second.asked;
-        ask_list(order, std::move(bound),
-                 [this, order, on_outcome = std::move(on_outcome)](hold_outcome outcome) {
-                     if (outcome.failure == order_failure::not_sent) {
-                         ask_without_acknowledgement(order, on_outcome);
-                         return;
-                     }
-                     on_outcome(std::move(outcome));
-                 });
+        auto pinned = make_call(order);
+        pinned.is_fresh = false;
+        pinned.opened_before = last->second.requested_at;
+        request_list(order, std::move(pinned),
+                     [this, order, on_outcome = std::move(on_outcome)](hold_outcome outcome) {
+                         if (outcome.failure == order_failure::not_sent) {
+                             request_without_acknowledgement(order, on_outcome);
+                             return;
+                         }
+                         on_outcome(std::move(outcome));
+                     });
     }
 
-    void ask_without_acknowledgement(hold_order order, outcome_handler on_outcome) {
+    void request_without_acknowledgement(hold_order order, outcome_handler on_outcome) {
         order.acknowledged = 0;
         order.wait = duration{0};
-        ask_list(order, make_call(order), std::move(on_outcome));
+        request_list(order, make_call(order), std::move(on_outcome));
     }
 
-    void ask_list(const hold_order& order, http_call request, outcome_handler on_outcome) {
-        call<hold_order>(std::move(request), [this, target = order.target, asked = m_loop.now(),
+    void request_list(const hold_order& order, http_call request, outcome_handler on_outcome) {
+        call<hold_order>(std::move(request), [this, target = order.target, requested_at = m_loop.now(),
                                               on_outcome = std::move(on_outcome)](hold_outcome outcome) {
             if (!outcome.failure.has_value()) {
-                note_list(target, outcome.answer.born_ms, asked);
+                record_list(target, outcome.answer.born_ms, requested_at);
             }
             on_outcome(std::move(outcome));
         });
     }
 
-    void note_list(const order_target& target, std::int64_t born_ms, time_point asked) {
-        if (m_lists.size() >= most_lists) {
+    void record_list(const order_target& target, std::int64_t born_ms, time_point requested_at) {
+        if (m_lists.size() >= max_lists) {
             m_lists.clear(); // acknowledgements wait for one list more
         }
-        m_lists[target.address] = {{target.worker.id, born_ms}, asked};
+        m_lists[target.address] = {{target.worker.id, born_ms}, requested_at};
     }
 
     template <class Order>
@@ -162,7 +162,7 @@
                       });
     }
 
-    static constexpr std::size_t most_lists = 20'000; // addresses; twice the workers to come
+    static constexpr std::size_t max_lists = 20'000; // addresses; twice the workers to come
 
     event_loop& m_loop;
     http_caller& m_caller;
--- a/poplarpitch/scheduler/worker_orders.h
+++ b/poplarpitch/scheduler/worker_orders.h
@@ -53,10 +53,10 @@
 private:
     void send(const worker_order& order) {
         if (const auto* advice = std::get_if<advise_order>(&order); advice != nullptr) {
-            ask(*advice);
+            request_advice(*advice);
             return;
         }
-        if (is_relayed(order)) {
+        if (try_relay(order)) {
             return;
         }
         auto name = get_order_name(order);
@@ -68,7 +68,7 @@
             });
     }
 
-    bool is_relayed(const worker_order& order) {
+    bool try_relay(const worker_order& order) {
         const auto* worker = m_parts.dispatch.find_worker_state(get_order_target(order)->worker);
         return worker != nullptr &&
                m_parts.relays.add(order, worker->report.data_centre, worker->spread, m_parts.loop.now());
@@ -111,7 +111,7 @@
         }
     }
 
-    void ask(const advise_order& order) {
+    void request_advice(const advise_order& order) {
         http_call call;
         call.address = m_parts.settings.advice_address;
         call.request = Dialect::write_order(order);
--- a/unit_tests/scheduler/command_batcher_test.cpp
+++ b/unit_tests/scheduler/command_batcher_test.cpp
@@ -17,20 +17,20 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{60};         // bounds a failure; no test reaches it when it passes
-constexpr std::size_t most_uncommitted = 8U << 10; // bytes that the log keeps without a commit
-constexpr std::size_t most_bytes = 1U << 10;       // of a batch
+constexpr duration test_timeout = seconds{60};          // bounds a failure; no test reaches it when it passes
+constexpr std::size_t max_uncommitted_bytes = 8U << 10; // bytes that the log keeps without a commit
+constexpr std::size_t max_bytes = 1U << 10;             // of a batch
 constexpr std::size_t payload_bytes = 3U << 10;
 
 /// A folder that goes with the test.
-class own_folder {
+class temporary_folder {
 public:
-    own_folder() : m_path(testing::TempDir() + "command_batcher_" + std::to_string(::getpid())) {
+    temporary_folder() : m_path(testing::TempDir() + "command_batcher_" + std::to_string(::getpid())) {
         std::filesystem::create_directories(m_path);
     }
-    ~own_folder() { std::filesystem::remove_all(m_path); }
-    own_folder(const own_folder&) = delete;
-    own_folder& operator=(const own_folder&) = delete;
+    ~temporary_folder() { std::filesystem::remove_all(m_path); }
+    temporary_folder(const temporary_folder&) = delete;
+    temporary_folder& operator=(const temporary_folder&) = delete;
     [[nodiscard]] const std::string& get_path() const { return m_path; }
 
 private:
@@ -46,14 +46,14 @@
 }
 
 TEST(command_batcher, loses_no_command_where_more_is_gathered_than_the_log_takes_at_once) {
-    const own_folder folder;
+    const temporary_folder folder;
     event_loop loop;
     job_book book;
     replica_settings settings;
     settings.data_folder = folder.get_path();
     settings.seeds = {settings.host};
     settings.may_found = true;
-    settings.raft.max_uncommitted_bytes = most_uncommitted;
+    settings.raft.max_uncommitted_bytes = max_uncommitted_bytes;
     std::vector<commit_result> results; // under the present leadership
     std::vector<commit_result> outcome;
     command_batcher* batcher = nullptr;
@@ -70,7 +70,7 @@
     int leaderships = 0; // on a machine that stands still one may be lost
     handler.on_leading_lost = [&] {
         ++leaderships;
-        batcher->drop();
+        batcher->drop_pending();
         results.clear();
     };
     constexpr std::size_t count = 4;
@@ -89,11 +89,11 @@
         }
     };
     replica log(loop, settings, std::move(handler));
-    command_batcher own(loop, log, book, most_bytes);
-    batcher = &own;
-    loop.on_turn_end([&] { own.flush(); });
+    command_batcher own_batcher(loop, log, book, max_bytes);
+    batcher = &own_batcher;
+    loop.on_turn_end([&] { own_batcher.flush(); });
     ASSERT_TRUE(log.start());
-    loop.call_after(patience, [&] { loop.stop(); });
+    loop.call_after(test_timeout, [&] { loop.stop(); });
     loop.run();
     EXPECT_EQ(outcome, std::vector<commit_result>(count, commit_result::applied));
 }
