--- a/poplarpitch/replica/founding.cpp
+++ b/poplarpitch/replica/founding.cpp
@@ -2,7 +2,7 @@
 
 namespace poplarpitch {
 
-founding_decision decide_founding(node_id self, const std::vector<seed_sight>& others) {
+founding_decision decide_founding(node_id self, const std::vector<seed_status>& others) {
     raft_membership members;
     members = members.with_voter(self);
     bool is_complete = true;
--- a/poplarpitch/replica/member_planner.h
+++ b/poplarpitch/replica/member_planner.h
@@ -21,7 +21,7 @@
 };
 
 /// What the planner looks at.
-struct member_sight {
+struct membership_view {
     raft_membership members;
     std::map<node_id, raft_progress> progress; ///< what the leader knows of the others
     node_id self = 0;
@@ -44,14 +44,15 @@
     /// Forgets who asked, at the start of a term of leadership.
     void clear() { m_candidates.clear(); }
     /// Returns the next step, or nothing. One step is under way at a time.
-    [[nodiscard]] std::optional<member_step> plan(const member_sight& sight, time_point now) const;
+    [[nodiscard]] std::optional<member_step> plan(const membership_view& view, time_point now) const;
 
 private:
-    [[nodiscard]] std::optional<member_step> replace_lost_disk(const member_sight& sight,
+    [[nodiscard]] std::optional<member_step> replace_lost_disk(const membership_view& view,
                                                                time_point now) const;
-    [[nodiscard]] std::optional<member_step> promote_learner(const member_sight& sight, time_point now) const;
-    [[nodiscard]] node_id find_silent_voter(const member_sight& sight, time_point now) const;
-    [[nodiscard]] bool has_asked(node_id node, time_point now) const;
+    [[nodiscard]] std::optional<member_step> promote_learner(const membership_view& view,
+                                                             time_point now) const;
+    [[nodiscard]] node_id find_silent_voter(const membership_view& view, time_point now) const;
+    [[nodiscard]] bool is_candidate(node_id node, time_point now) const;
 
     std::size_t m_voters;
     duration m_voter_loss;
--- a/poplarpitch/replica/node_identity.h
+++ b/poplarpitch/replica/node_identity.h
@@ -13,27 +13,27 @@
 
 namespace poplarpitch {
 
-inline constexpr const char* node_identity_name = "node-id";
+inline constexpr const char* node_identity_file_name = "node-id";
 
-/// Returns the node's number out of its data folder. `fresh` is written there first when the folder holds
+/// Returns the node's number out of its data folder. `new_id` is written there first when the folder holds
 /// none: the number is durable before anybody hears of it. Precondition: `files` is locked. Thread safety:
 /// none.
 template <file_system FileSystem>
-result<node_id> load_node_identity(FileSystem& files, node_id fresh) {
+result<node_id> load_node_identity(FileSystem& files, node_id new_id) {
     BOOST_OUTCOME_TRY(names, files.list());
-    if (std::find(names.begin(), names.end(), node_identity_name) != names.end()) {
-        BOOST_OUTCOME_TRY(text, files.read(node_identity_name));
+    if (std::find(names.begin(), names.end(), node_identity_file_name) != names.end()) {
+        BOOST_OUTCOME_TRY(text, files.read(node_identity_file_name));
         node_id id = 0;
         if (!text.empty() && text.back() == '\n' && absl::SimpleAtoi(text.substr(0, text.size() - 1), &id)) {
             return id;
         }
         // Torn by a loss of power before its sync: nobody has heard of the number.
-        BOOST_OUTCOME_TRY(files.remove(node_identity_name));
+        BOOST_OUTCOME_TRY(files.remove(node_identity_file_name));
     }
-    BOOST_OUTCOME_TRY(files.append(node_identity_name, absl::StrCat(fresh, "\n")));
-    BOOST_OUTCOME_TRY(files.sync(node_identity_name));
+    BOOST_OUTCOME_TRY(files.append(node_identity_file_name, absl::StrCat(new_id, "\n")));
+    BOOST_OUTCOME_TRY(files.sync(node_identity_file_name));
     BOOST_OUTCOME_TRY(files.sync_folder());
-    return fresh;
+    return new_id;
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/replica/peer_mesh.cpp
+++ b/poplarpitch/replica/peer_mesh.cpp
@@ -10,7 +10,7 @@
 
 constexpr duration connect_timeout = milliseconds{700}; // a round trip is a few milliseconds
 constexpr duration retry_pause = milliseconds{150};     // of a peer that cannot be reached
-constexpr duration silence_limit = milliseconds{800};   // eight heartbeats without a sign of life
+constexpr duration silence_timeout = milliseconds{800}; // eight heartbeats without a sign of life
 
 } // namespace
 
@@ -19,33 +19,33 @@
 
 peer_mesh::~peer_mesh() {
     *m_is_alive = false;
-    for (auto& [ip, item] : m_links) {
-        if (item.socket != nullptr) {
-            item.socket->close();
+    for (auto& [ip, peer] : m_links) {
+        if (peer.socket != nullptr) {
+            peer.socket->close();
         }
     }
 }
 
 bool peer_mesh::send(std::uint32_t ip, const job_wire::cluster_frame& frame) {
-    auto& item = m_links[ip];
-    if (item.socket != nullptr && item.first_unanswered != time_point{} &&
-        m_loop.now() - item.first_unanswered > silence_limit) {
-        item.socket->close();
-        item.socket = nullptr;
-        item.first_unanswered = time_point{};
+    auto& peer = m_links[ip];
+    if (peer.socket != nullptr && peer.first_unanswered != time_point{} &&
+        m_loop.now() - peer.first_unanswered > silence_timeout) {
+        peer.socket->close();
+        peer.socket = nullptr;
+        peer.first_unanswered = time_point{};
     }
-    if (item.socket == nullptr) {
+    if (peer.socket == nullptr) {
         connect(ip);
         return false;
     }
-    if (item.first_unanswered == time_point{}) {
-        item.first_unanswered = m_loop.now();
+    if (peer.first_unanswered == time_point{}) {
+        peer.first_unanswered = m_loop.now();
     }
-    item.socket->send(frame.SerializeAsString());
+    peer.socket->send(frame.SerializeAsString());
     return true;
 }
 
-void peer_mesh::on_heard(std::uint32_t ip) {
+void peer_mesh::on_received(std::uint32_t ip) {
     const auto found = m_links.find(ip);
     if (found != m_links.end()) {
         found->second.first_unanswered = time_point{};
@@ -53,32 +53,32 @@
 }
 
 void peer_mesh::connect(std::uint32_t ip) {
-    auto& item = m_links[ip];
-    if (item.is_connecting || m_loop.now() < item.retry_at) {
+    auto& peer = m_links[ip];
+    if (peer.is_connecting || m_loop.now() < peer.retry_at) {
         return;
     }
-    item.is_connecting = true;
+    peer.is_connecting = true;
     const auto address = format_address({ip, static_cast<std::uint16_t>(m_port)});
     connect_frames(m_loop, address, connect_timeout,
                    [this, ip, alive = m_is_alive](const std::shared_ptr<frame_socket>& socket) {
                        if (!*alive) {
                            return;
                        }
-                       auto& item = m_links[ip];
-                       item.is_connecting = false;
+                       auto& peer = m_links[ip];
+                       peer.is_connecting = false;
                        if (socket == nullptr) {
-                           item.retry_at = m_loop.now() + retry_pause;
+                           peer.retry_at = m_loop.now() + retry_pause;
                            return;
                        }
-                       item.socket = socket;
-                       item.first_unanswered = time_point{};
+                       peer.socket = socket;
+                       peer.first_unanswered = time_point{};
                        socket->start(
                            [this, ip](const std::string& bytes) {
                                google::protobuf::Arena arena; // a frame has thousands of small messages
                                auto& frame =
                                    *google::protobuf::Arena::CreateMessage<job_wire::cluster_frame>(&arena);
                                if (frame.ParseFromString(bytes)) {
-                                   on_heard(ip);
+                                   on_received(ip);
                                    m_on_frame(ip, frame);
                                }
                            },
--- a/poplarpitch/replica/peer_mesh.h
+++ b/poplarpitch/replica/peer_mesh.h
@@ -35,7 +35,7 @@
     /// Sends a frame to the instance at `ip`. Returns false when there is no connection: it was not sent.
     bool send(std::uint32_t ip, const job_wire::cluster_frame& frame);
     /// Notes that the instance at `ip` was heard on any connection.
-    void on_heard(std::uint32_t ip);
+    void on_received(std::uint32_t ip);
 
 private:
     struct link {
--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -19,12 +19,12 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration told_life = seconds{2}; // how long the word of others on the leader counts
+constexpr duration reported_leader_timeout = seconds{2}; // how long the word of others on the leader counts
 // Messages of other nodes kept during one sync; a leader sends some 20 a second and repeats what is lost, so
 // only a disk that stalls for long comes here.
-constexpr std::size_t max_held_messages = 256;
+constexpr std::size_t max_deferred_messages = 256;
 
-node_id draw_node_id(std::uint32_t ip) {
+node_id generate_node_id(std::uint32_t ip) {
     std::random_device device;
     const auto nonce = (device() & ((1U << nonce_bits) - 1U)) | 1U;
     return make_node_id(ip, nonce);
@@ -51,7 +51,7 @@
     }
     m_ip = *ip;
     BOOST_OUTCOME_TRY(m_files.lock());
-    BOOST_OUTCOME_TRY(id, load_node_identity(m_files, draw_node_id(m_ip)));
+    BOOST_OUTCOME_TRY(id, load_node_identity(m_files, generate_node_id(m_ip)));
     m_id = id;
     m_storage = std::make_unique<raft_storage<posix_file_system>>(m_files,
                                                                   storage_settings{m_settings.cluster, m_id});
@@ -63,7 +63,7 @@
         return stored.error();
     }
     m_stored = stored.value();
-    tell_stored();
+    log_stored_state();
     m_mesh = std::make_unique<peer_mesh>(m_loop, m_settings.port,
                                          [this](std::uint32_t from, const job_wire::cluster_frame& frame) {
                                              on_frame(from, frame, [](const job_wire::cluster_frame&) {});
@@ -76,21 +76,21 @@
     }
     for (const auto& seed : m_settings.seeds) {
         if (const auto address = read_ip(seed); address.has_value()) {
-            m_known.insert(*address);
+            m_known_addresses.insert(*address);
         }
     }
     m_loop.on_turn_end([this] { take_turn(); });
     if (!m_stored.is_blank) {
         start_node(m_stored.initial);
     } else {
-        const bool is_seed = m_known.contains(m_ip);
+        const bool is_seed = m_known_addresses.contains(m_ip);
         m_phase = m_settings.may_found && is_seed ? node_phase::founding : node_phase::joining;
     }
     found_or_join();
     return boost::outcome_v2::success();
 }
 
-void replica::tell_stored() const {
+void replica::log_stored_state() const {
     const auto& snapshot = m_stored.snapshot;
     log_event(log_level::info, "replica_started")
         .add("node", m_id)
@@ -147,9 +147,9 @@
                        const std::function<void(const job_wire::cluster_frame&)>& reply) {
     switch (frame.kind_case()) {
     case job_wire::cluster_frame::kRaft:
-        m_mesh->on_heard(ip);
+        m_mesh->on_received(ip);
         if (m_node != nullptr) {
-            m_known.insert(get_node_ip(frame.raft().from()));
+            m_known_addresses.insert(get_node_ip(frame.raft().from()));
             take_message(frame.raft());
         }
         return;
@@ -184,16 +184,16 @@
 }
 
 void replica::on_status(std::uint32_t ip, const job_wire::cluster_status& status) {
-    auto& sight = m_sights[ip];
-    sight = {true, status.node(), static_cast<node_phase>(status.phase()), decode(status.members())};
-    for (const auto* list : {&sight.members.voters, &sight.members.learners}) {
+    auto& peer = m_peer_statuses[ip];
+    peer = {true, status.node(), static_cast<node_phase>(status.phase()), decode(status.members())};
+    for (const auto* list : {&peer.members.voters, &peer.members.learners}) {
         for (const auto member : *list) {
-            m_known.insert(get_node_ip(member));
+            m_known_addresses.insert(get_node_ip(member));
         }
     }
     if (status.leads()) {
-        m_told_leader = ip;
-        m_told_at = m_loop.now();
+        m_reported_leader = ip;
+        m_leader_reported_at = m_loop.now();
     }
 }
 
@@ -204,7 +204,7 @@
         return;
     }
     m_node->tick(m_loop.now());
-    keep_members();
+    update_membership();
     m_output = m_node->take_output();
     if (m_output.needs_sync()) {
         save_output();
@@ -218,21 +218,21 @@
         m_node->step(decode(message), m_loop.now());
         return;
     }
-    if (m_held_messages >= max_held_messages) {
+    if (m_deferred_messages >= max_deferred_messages) {
         return; // as if lost on the way: its sender repeats what matters
     }
-    ++m_held_messages;
-    m_held.emplace_back([this, kept = decode(message)] { m_node->step(kept, m_loop.now()); });
+    ++m_deferred_messages;
+    m_deferred.emplace_back([this, kept = decode(message)] { m_node->step(kept, m_loop.now()); });
 }
 
 void replica::arm_tick() {
     const auto next = m_node->get_next_deadline();
-    if (m_tick != 0 && m_tick_at <= next && m_tick_at > m_loop.now()) {
+    if (m_tick_timer != 0 && m_tick_at <= next && m_tick_at > m_loop.now()) {
         return;
     }
-    m_loop.cancel(m_tick);
+    m_loop.cancel(m_tick_timer);
     m_tick_at = std::max(next, m_loop.now() + milliseconds{1});
-    m_tick = m_loop.call_at(m_tick_at, [this] { m_tick = 0; });
+    m_tick_timer = m_loop.call_at(m_tick_at, [this] { m_tick_timer = 0; });
 }
 
 void replica::send(const raft_message& message) {
@@ -250,13 +250,13 @@
             send(message);
         }
     }
-    m_disk.run([this] { m_saved = m_storage->save(m_output); },
+    m_disk.run([this] { m_save_result = m_storage->save(m_output); },
                [this] {
-                   if (!m_saved) {
-                       end_process(m_saved.error());
+                   if (!m_save_result) {
+                       end_process(m_save_result.error());
                    }
                    finish_output();
-                   run_held();
+                   run_deferred();
                });
 }
 
@@ -277,19 +277,19 @@
     for (const auto& entry : output.committed) {
         apply(entry);
     }
-    const auto answer = [this](const std::vector<std::uint64_t>& tokens, bool is_sure) {
+    const auto answer = [this](const std::vector<std::uint64_t>& tokens, bool is_confirmed) {
         for (const auto token : tokens) {
             const auto found = m_reads.find(token);
             if (found != m_reads.end()) {
                 const auto work = std::move(found->second);
                 m_reads.erase(found);
-                work(is_sure);
+                work(is_confirmed);
             }
         }
     };
     answer(output.reads, true);
     answer(output.failed_reads, false);
-    watch_role();
+    update_role();
     take_snapshot_if_due();
     arm_tick();
 }
@@ -317,7 +317,7 @@
     end_on_storage_failure(error, m_storage->get_error_place());
 }
 
-void replica::watch_role() {
+void replica::update_role() {
     const bool is_same = m_node->get_role() == m_last_role && m_node->get_term() == m_last_term;
     if (!is_same) {
         log_event(log_level::info, "role_changed")
@@ -331,7 +331,7 @@
             m_handler.on_leading_lost();
         }
         if (m_last_role != raft_role::leader) {
-            fail_pending();
+            fail_pending_proposals();
         }
     }
     if (!m_is_leading && m_node->has_own_commit()) {
@@ -342,7 +342,7 @@
     }
 }
 
-void replica::fail_pending() {
+void replica::fail_pending_proposals() {
     const auto proposals = std::move(m_proposals);
     m_proposals.clear();
     for (const auto& [index, item] : proposals) {
@@ -351,7 +351,7 @@
 }
 
 void replica::take_snapshot_if_due() {
-    if (m_storage->get_written_bytes() - m_snapshot_mark < m_settings.snapshot_bytes) {
+    if (m_storage->get_written_bytes() - m_bytes_at_snapshot < m_settings.snapshot_bytes) {
         return;
     }
     const auto term = m_node->get_log().find_term(m_applied);
@@ -366,7 +366,7 @@
         end_process(saved.error());
     }
     m_node->compact(snapshot, m_settings.kept_entries);
-    m_snapshot_mark = m_storage->get_written_bytes();
+    m_bytes_at_snapshot = m_storage->get_written_bytes();
     log_event(log_level::info, "snapshot_taken")
         .add("index", m_applied)
         .add("bytes", static_cast<std::uint64_t>(snapshot.data->size()));
@@ -382,11 +382,11 @@
     if (m_node != nullptr && m_node->get_leader() != 0) {
         return get_node_ip(m_node->get_leader());
     }
-    return is_told_leader_fresh() ? m_told_leader : 0;
+    return is_reported_leader_fresh() ? m_reported_leader : 0;
 }
 
-bool replica::is_told_leader_fresh() const {
-    return m_told_leader != 0 && m_loop.now() - m_told_at < told_life;
+bool replica::is_reported_leader_fresh() const {
+    return m_reported_leader != 0 && m_loop.now() - m_leader_reported_at < reported_leader_timeout;
 }
 
 bool replica::send_frame(std::uint32_t ip, const job_wire::cluster_frame& frame) {
--- a/poplarpitch/replica/replica.h
+++ b/poplarpitch/replica/replica.h
@@ -107,10 +107,10 @@
     };
 
     /// Tells what the disk holds.
-    void tell_stored() const;
+    void log_stored_state() const;
     void start_node(const raft_membership& initial);
     void found_or_join();
-    void look_around();
+    void request_statuses();
     void ask_to_join();
     void on_frame(std::uint32_t ip, const job_wire::cluster_frame& frame,
                   const std::function<void(const job_wire::cluster_frame&)>& reply);
@@ -123,15 +123,15 @@
     void send(const raft_message& message);
     void take_message(const wire::raft_message& message);
     /// Calls `work` now, or once the sync under way has ended.
-    void when_saved(std::function<void()> work);
-    void run_held();
+    void run_after_sync(std::function<void()> work);
+    void run_deferred();
     void apply(const log_entry& entry);
-    void watch_role();
-    void fail_pending();
-    void keep_members();
+    void update_role();
+    void fail_pending_proposals();
+    void update_membership();
     void take_snapshot_if_due();
     void arm_tick();
-    [[nodiscard]] bool is_told_leader_fresh() const;
+    [[nodiscard]] bool is_reported_leader_fresh() const;
     [[noreturn]] void end_process(const std::error_code& error);
     [[nodiscard]] std::vector<std::uint32_t> get_other_seeds() const;
     void propose_now(std::string payload, std::function<void(proposal_result)> on_result);
@@ -148,30 +148,30 @@
     stored_state m_stored;
     std::unique_ptr<raft_node> m_node;
     raft_output m_output; ///< being carried out; belongs to the disk's thread while `m_disk` runs
-    result<void> m_saved =
+    result<void> m_save_result =
         boost::outcome_v2::success(); ///< what became of the last sync; belongs to the disk's thread too
-    std::vector<std::function<void()>> m_held; ///< for the log, while `m_disk` runs
-    std::size_t m_held_messages = 0;           ///< of other nodes, among them
+    std::vector<std::function<void()>> m_deferred; ///< for the log, while `m_disk` runs
+    std::size_t m_deferred_messages = 0;           ///< of other nodes, among them
     hard_state m_hard_state;
     raft_membership m_applied_members;
     log_index m_applied = 0;
-    std::uint64_t m_snapshot_mark = 0; ///< bytes written at the last snapshot
+    std::uint64_t m_bytes_at_snapshot = 0; ///< bytes written at the last snapshot
     member_planner m_planner;
     std::unique_ptr<peer_mesh> m_mesh;
     std::unique_ptr<frame_listener> m_listener;
     std::set<std::shared_ptr<frame_socket>> m_accepted;
     std::map<log_index, pending_proposal> m_proposals;
     std::map<std::uint64_t, std::function<void(bool)>> m_reads;
-    std::map<std::uint32_t, seed_sight> m_sights; ///< other instances, by address
-    std::set<std::uint32_t> m_known;              ///< addresses of control instances heard of
-    std::uint32_t m_told_leader = 0;              ///< leader by the word of others, while not a member
-    time_point m_told_at{};
+    std::map<std::uint32_t, seed_status> m_peer_statuses; ///< other instances, by address
+    std::set<std::uint32_t> m_known_addresses;            ///< addresses of control instances heard of
+    std::uint32_t m_reported_leader = 0; ///< leader by the word of others, while not a member
+    time_point m_leader_reported_at{};
     raft_role m_last_role = raft_role::follower;
     log_term m_last_term = 0;
     bool m_is_leading = false;
     time_point m_leading_since{};
     time_point m_next_member_check{};
-    std::uint64_t m_tick = 0; ///< timer
+    std::uint64_t m_tick_timer = 0; ///< timer
     time_point m_tick_at{};
     background_task m_disk; ///< last: its work ends before what it touches goes
 };
--- a/poplarpitch/replica/replica_calls.cpp
+++ b/poplarpitch/replica/replica_calls.cpp
@@ -7,24 +7,24 @@
 
 namespace poplarpitch {
 
-void replica::when_saved(std::function<void()> work) {
+void replica::run_after_sync(std::function<void()> work) {
     if (m_disk.is_running()) {
-        m_held.push_back(std::move(work));
+        m_deferred.push_back(std::move(work));
     } else {
         work();
     }
 }
 
-void replica::run_held() {
-    const auto held = std::exchange(m_held, {});
-    m_held_messages = 0;
-    for (const auto& work : held) {
+void replica::run_deferred() {
+    const auto deferred = std::exchange(m_deferred, {});
+    m_deferred_messages = 0;
+    for (const auto& work : deferred) {
         work();
     }
 }
 
 void replica::propose(std::string payload, std::function<void(proposal_result)> on_result) {
-    when_saved([this, payload = std::move(payload), on_result = std::move(on_result)]() mutable {
+    run_after_sync([this, payload = std::move(payload), on_result = std::move(on_result)]() mutable {
         propose_now(std::move(payload), std::move(on_result));
     });
 }
@@ -43,7 +43,7 @@
 }
 
 void replica::read(std::function<void(bool)> on_ready) {
-    when_saved([this, on_ready = std::move(on_ready)]() mutable { read_now(std::move(on_ready)); });
+    run_after_sync([this, on_ready = std::move(on_ready)]() mutable { read_now(std::move(on_ready)); });
 }
 
 void replica::read_now(std::function<void(bool)> on_ready) {
@@ -60,7 +60,7 @@
 }
 
 void replica::resign() {
-    when_saved([this] {
+    run_after_sync([this] {
         if (m_node != nullptr && m_node->get_role() == raft_role::leader) {
             static_cast<void>(
                 m_node->transfer_leadership(0, m_loop.now())); // where it fails, an election follows
--- a/poplarpitch/replica/replica_members.cpp
+++ b/poplarpitch/replica/replica_members.cpp
@@ -10,7 +10,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration look_interval = milliseconds{60};    // while founding: the system waits for it
+constexpr duration status_interval = milliseconds{60};  // while founding: the system waits for it
 constexpr duration join_interval = milliseconds{250};   // while not a member
 constexpr duration member_interval = milliseconds{100}; // between two steps of a membership change
 
@@ -40,12 +40,12 @@
 }
 
 void replica::found_or_join() {
-    const auto pause = m_phase == node_phase::founding ? look_interval : join_interval;
-    look_around();
+    const auto pause = m_phase == node_phase::founding ? status_interval : join_interval;
+    request_statuses();
     if (m_phase == node_phase::founding) {
-        std::vector<seed_sight> others;
+        std::vector<seed_status> others;
         for (const auto seed : get_other_seeds()) {
-            others.push_back(m_sights[seed]);
+            others.push_back(m_peer_statuses[seed]);
         }
         const auto decision = decide_founding(m_id, others);
         if (decision.action == founding_decision::kind::join) {
@@ -62,28 +62,28 @@
             start_node(decision.members);
         }
     }
-    if (m_phase == node_phase::joining && m_told_leader != 0) {
+    if (m_phase == node_phase::joining && m_reported_leader != 0) {
         const auto formed = m_storage->form({});
         if (!formed) {
             end_process(formed.error());
         }
         log_event(log_level::info, "cluster_joining")
             .add("node", m_id)
-            .add("leader", format_ip(m_told_leader));
+            .add("leader", format_ip(m_reported_leader));
         start_node({});
     }
     ask_to_join();
     m_loop.call_after(pause, [this] { found_or_join(); });
 }
 
-void replica::look_around() {
+void replica::request_statuses() {
     const bool is_member = m_node != nullptr && m_node->get_leader() != 0;
     if (is_member) {
         return; // the log tells who leads
     }
     job_wire::cluster_frame frame;
     frame.mutable_ask_status();
-    for (const auto ip : m_known) {
+    for (const auto ip : m_known_addresses) {
         if (ip != m_ip) {
             m_mesh->send(ip, frame);
         }
@@ -92,8 +92,8 @@
 
 void replica::ask_to_join() {
     const bool is_member = m_node == nullptr || m_node->get_membership().has(m_id);
-    const bool has_leader = is_told_leader_fresh();
-    if (!has_leader || (is_member && m_sights[m_told_leader].members.has(m_id))) {
+    const bool has_leader = is_reported_leader_fresh();
+    if (!has_leader || (is_member && m_peer_statuses[m_reported_leader].members.has(m_id))) {
         return;
     }
     if (m_node == nullptr || m_node->get_leader() != 0) {
@@ -101,18 +101,18 @@
     }
     job_wire::cluster_frame frame;
     frame.mutable_join()->set_node(m_id);
-    m_mesh->send(m_told_leader, frame);
+    m_mesh->send(m_reported_leader, frame);
 }
 
-void replica::keep_members() {
+void replica::update_membership() {
     const auto now = m_loop.now();
     if (!m_is_leading || now < m_next_member_check) {
         return;
     }
     m_next_member_check = now + member_interval;
-    const member_sight sight{m_node->get_membership(), m_node->get_progress(), m_id,
-                             m_node->get_log().get_last_index(), m_leading_since};
-    const auto step = m_planner.plan(sight, now);
+    const membership_view view{m_node->get_membership(), m_node->get_progress(), m_id,
+                               m_node->get_log().get_last_index(), m_leading_since};
+    const auto step = m_planner.plan(view, now);
     if (!step.has_value()) {
         return;
     }
--- a/unit_tests/replica/membership_test.cpp
+++ b/unit_tests/replica/membership_test.cpp
@@ -17,26 +17,26 @@
 }
 
 /// Five voters on the instances 1 to 5, of which 1 leads and all have answered just now.
-member_sight make_sight(time_point now) {
-    member_sight sight;
-    sight.self = make_node(1);
-    sight.last_index = 1000;
-    sight.leading_since = start;
+membership_view make_view(time_point now) {
+    membership_view view;
+    view.self = make_node(1);
+    view.last_index = 1000;
+    view.leading_since = start;
     for (std::uint32_t ip = 1; ip <= 5; ++ip) {
-        sight.members = sight.members.with_voter(make_node(ip));
+        view.members = view.members.with_voter(make_node(ip));
         if (ip != 1) {
-            sight.progress[make_node(ip)].match = 1000;
-            sight.progress[make_node(ip)].last_answer = now;
+            view.progress[make_node(ip)].match = 1000;
+            view.progress[make_node(ip)].last_answer = now;
         }
     }
-    return sight;
+    return view;
 }
 
 TEST(founding, waits_until_every_seed_has_told_its_number) {
-    const seed_sight unreached;
-    const seed_sight blank{true, make_node(2), node_phase::founding, {}};
+    const seed_status unreached;
+    const seed_status blank{true, make_node(2), node_phase::founding, {}};
     EXPECT_EQ(decide_founding(make_node(1), {blank, unreached}).action, founding_decision::kind::wait);
-    const seed_sight other{true, make_node(3), node_phase::founding, {}};
+    const seed_status other{true, make_node(3), node_phase::founding, {}};
     const auto decision = decide_founding(make_node(1), {blank, other});
     EXPECT_EQ(decision.action, founding_decision::kind::found);
     EXPECT_EQ(decision.members.voters.size(), 3U);
@@ -45,64 +45,64 @@
 TEST(founding, takes_over_what_another_founder_has_written) {
     raft_membership members;
     members = members.with_voter(make_node(1)).with_voter(make_node(2)).with_voter(make_node(3));
-    const seed_sight formed{true, make_node(2), node_phase::formed, members};
+    const seed_status formed{true, make_node(2), node_phase::formed, members};
     EXPECT_EQ(decide_founding(make_node(1), {formed, {}}).members, members);
 }
 
 TEST(founding, joins_a_cluster_that_was_founded_without_it) {
     raft_membership members;
     members = members.with_voter(make_node(1, 9)).with_voter(make_node(2)).with_voter(make_node(3));
-    const seed_sight formed{true, make_node(2), node_phase::formed, members};
+    const seed_status formed{true, make_node(2), node_phase::formed, members};
     EXPECT_EQ(decide_founding(make_node(1, 10), {formed, formed}).action, founding_decision::kind::join);
 }
 
 TEST(member_planner, does_nothing_while_all_is_well) {
     const member_planner planner(5, voter_loss);
     const auto now = start + seconds{1};
-    EXPECT_FALSE(planner.plan(make_sight(now), now).has_value());
+    EXPECT_FALSE(planner.plan(make_view(now), now).has_value());
 }
 
 TEST(member_planner,
      removes_the_old_number_of_an_instance_that_lost_its_disk_then_adds_and_promotes_the_new) {
     member_planner planner(5, voter_loss);
     const auto now = start + seconds{1};
-    auto sight = make_sight(now);
+    auto view = make_view(now);
     const auto fresh = make_node(5, 2);
     planner.on_join(fresh, now);
-    EXPECT_EQ(planner.plan(sight, now), (member_step{member_step::kind::remove, make_node(5)}));
-    sight.members = sight.members.without(make_node(5));
-    EXPECT_EQ(planner.plan(sight, now), (member_step{member_step::kind::add_learner, fresh}));
-    sight.members = sight.members.with_learner(fresh);
-    sight.progress[fresh].match = 100;
-    sight.progress[fresh].last_answer = now;
-    EXPECT_FALSE(planner.plan(sight, now).has_value()); // it catches up
-    sight.progress[fresh].match = 990;
-    EXPECT_EQ(planner.plan(sight, now), (member_step{member_step::kind::promote, fresh}));
+    EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::remove, make_node(5)}));
+    view.members = view.members.without(make_node(5));
+    EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, fresh}));
+    view.members = view.members.with_learner(fresh);
+    view.progress[fresh].match = 100;
+    view.progress[fresh].last_answer = now;
+    EXPECT_FALSE(planner.plan(view, now).has_value()); // it catches up
+    view.progress[fresh].match = 990;
+    EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::promote, fresh}));
 }
 
 TEST(member_planner, grows_from_the_founders_to_the_wanted_number) {
     member_planner planner(5, voter_loss);
     const auto now = start + seconds{1};
-    auto sight = make_sight(now);
-    sight.members = sight.members.without(make_node(4)).without(make_node(5));
-    EXPECT_FALSE(planner.plan(sight, now).has_value());
+    auto view = make_view(now);
+    view.members = view.members.without(make_node(4)).without(make_node(5));
+    EXPECT_FALSE(planner.plan(view, now).has_value());
     planner.on_join(make_node(4), now);
-    EXPECT_EQ(planner.plan(sight, now), (member_step{member_step::kind::add_learner, make_node(4)}));
+    EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, make_node(4)}));
 }
 
 TEST(member_planner, keeps_a_silent_voter_until_another_can_take_its_place) {
     member_planner planner(5, voter_loss);
     const auto now = start + seconds{60};
-    auto sight = make_sight(now);
-    sight.progress[make_node(4)].last_answer = start;
-    EXPECT_FALSE(planner.plan(sight, now).has_value());
+    auto view = make_view(now);
+    view.progress[make_node(4)].last_answer = start;
+    EXPECT_FALSE(planner.plan(view, now).has_value());
     const auto spare = make_node(6);
     planner.on_join(spare, now);
-    EXPECT_EQ(planner.plan(sight, now), (member_step{member_step::kind::add_learner, spare}));
-    sight.members = sight.members.with_learner(spare);
-    sight.progress[spare].match = 1000;
-    sight.progress[spare].last_answer = now;
-    EXPECT_EQ(planner.plan(sight, now), (member_step{member_step::kind::remove, make_node(4)}));
+    EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, spare}));
+    view.members = view.members.with_learner(spare);
+    view.progress[spare].match = 1000;
+    view.progress[spare].last_answer = now;
+    EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::remove, make_node(4)}));
 }
 
 TEST(member_planner, replaces_an_instance_that_is_gone_for_good_before_two_more_may_be_lost) {
@@ -111,10 +111,10 @@
     const replica_settings settings;
     member_planner planner(settings.voters, settings.voter_loss);
     const auto now = start + seconds{3};
-    auto sight = make_sight(now);
-    sight.progress[make_node(4)].last_answer = start;
+    auto view = make_view(now);
+    view.progress[make_node(4)].last_answer = start;
     planner.on_join(make_node(6), now);
-    EXPECT_EQ(planner.plan(sight, now), (member_step{member_step::kind::add_learner, make_node(6)}));
+    EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, make_node(6)}));
 }
 
 TEST(node_address, holds_the_address_of_the_instance) {
--- a/unit_tests/replica/replaced_disks_test.cpp
+++ b/unit_tests/replica/replaced_disks_test.cpp
@@ -24,22 +24,23 @@
 
 using memory_storage = raft_storage<memory_file_system>;
 
-constexpr std::uint64_t usual_seeds = 60;
+constexpr std::uint64_t default_seeds = 60;
 constexpr std::uint32_t instances = 5;
-constexpr std::uint32_t tolerated = 2;
+constexpr std::uint32_t tolerated_losses = 2;
 constexpr duration step_length = milliseconds{5};
 constexpr duration member_interval = milliseconds{100};
-constexpr duration longest_start = milliseconds{800}; // between a loss of power and the next process
-constexpr duration life_time = seconds{6}; // between two losses of power; replaced disks count again
+constexpr duration max_start_delay = milliseconds{800}; // between a loss of power and the next process
+constexpr duration power_loss_interval =
+    seconds{6}; // between two losses of power; replaced disks count again
 constexpr duration voter_loss = milliseconds{2500};
-constexpr int losses = 6; // of power, a seed
-constexpr int one_in_lost_messages = 50;
-constexpr std::uint64_t sync_steps = 5; // mean length of a sync
+constexpr int power_losses = 6; // per seed
+constexpr int one_message_lost_in = 50;
+constexpr std::uint64_t mean_sync_steps = 5;
 constexpr std::uint64_t snapshot_bytes = 4000;
 
 std::uint64_t get_seed_count() {
     const char* text = std::getenv("POPLARPITCH_SEEDS");
-    return text == nullptr ? usual_seeds : std::strtoull(text, nullptr, 10);
+    return text == nullptr ? default_seeds : std::strtoull(text, nullptr, 10);
 }
 
 /// A control instance: its address, its disk and its process.
@@ -53,7 +54,7 @@
     raft_membership members;           ///< as far as applied
     log_index applied = 0;
     hard_state state;
-    std::uint64_t snapshot_mark = 0;
+    std::uint64_t bytes_at_snapshot = 0;
     time_point starts_at{};
 
     [[nodiscard]] node_id get_id() const { return make_node_id(ip, nonce); }
@@ -100,7 +101,7 @@
             self.node.reset();
             self.storage.reset();
             self.starts_at =
-                m_now + milliseconds{pick(static_cast<std::uint64_t>(to_milliseconds(longest_start)))};
+                m_now + milliseconds{pick(static_cast<std::uint64_t>(to_milliseconds(max_start_delay)))};
             if (place < wiped) {
                 self.files = std::make_unique<memory_file_system>();
                 ++self.nonce;
@@ -112,7 +113,7 @@
     [[nodiscard]] const std::string& get_violation() const { return m_violation; }
     [[nodiscard]] std::size_t count_committed() const { return m_committed.size(); }
     /// Returns how many instances lead with everything applied that was ever committed.
-    [[nodiscard]] bool is_well() const {
+    [[nodiscard]] bool is_recovered() const {
         for (const auto& self : m_instances) {
             if (self.node != nullptr && self.node->has_own_commit() &&
                 self.node->get_membership().voters.size() == instances) {
@@ -138,7 +139,7 @@
         self.applied = stored.snapshot.index;
         self.members = stored.snapshot.index != 0 ? stored.snapshot.members : stored.initial;
         self.state = stored.state;
-        self.snapshot_mark = 0;
+        self.bytes_at_snapshot = 0;
         raft_start from{self.get_id(),  stored.state, stored.snapshot, std::move(stored.entries),
                         stored.initial, m_random()};
         self.node = std::make_unique<raft_node>(raft_settings{}, std::move(from), m_now);
@@ -153,7 +154,7 @@
             }
             if (self.node != nullptr && !self.saving.has_value()) {
                 take_turn(self);
-            } else if (self.node != nullptr && pick(sync_steps) == 0) {
+            } else if (self.node != nullptr && pick(mean_sync_steps) == 0) {
                 end_sync(self);
             }
         }
@@ -163,7 +164,7 @@
         self.node->tick(m_now);
         if (self.node->has_own_commit()) {
             static_cast<void>(self.node->propose("command " + std::to_string(m_next_command++), m_now));
-            keep_members(self);
+            update_membership(self);
         }
         auto output = self.node->take_output();
         if (!output.needs_sync()) {
@@ -171,14 +172,14 @@
             return;
         }
         for (const auto& message : output.messages) {
-            if (goes_early(output, message)) {
+            if (may_send_early(output, message)) {
                 m_messages.push_back(message);
             }
         }
         self.saving = std::move(output);
     }
 
-    [[nodiscard]] bool goes_early(const raft_output& output, const raft_message& message) const {
+    [[nodiscard]] bool may_send_early(const raft_output& output, const raft_message& message) const {
         return m_answers_early || may_send_before_sync(output, message);
     }
 
@@ -194,7 +195,7 @@
 
     void finish(instance& self, const raft_output& output) {
         for (const auto& message : output.messages) {
-            if (!output.needs_sync() || !goes_early(output, message)) {
+            if (!output.needs_sync() || !may_send_early(output, message)) {
                 m_messages.push_back(message);
             }
         }
@@ -205,7 +206,7 @@
         for (const auto& entry : output.committed) {
             apply(self, entry);
         }
-        if (self.storage->get_written_bytes() - self.snapshot_mark > snapshot_bytes) {
+        if (self.storage->get_written_bytes() - self.bytes_at_snapshot > snapshot_bytes) {
             compact(self);
         }
     }
@@ -232,11 +233,11 @@
         const auto rest = self.node->get_log().copy_from(self.applied + 1, SIZE_MAX);
         ASSERT_TRUE(self.storage->save_snapshot(snapshot, self.state, rest).has_value());
         self.node->compact(snapshot, pick(20));
-        self.snapshot_mark = self.storage->get_written_bytes();
+        self.bytes_at_snapshot = self.storage->get_written_bytes();
     }
 
     /// What a leader does to have as many voters as are wanted.
-    void keep_members(instance& self) {
+    void update_membership(instance& self) {
         if (m_now < m_next_member_check) {
             return;
         }
@@ -251,9 +252,9 @@
                 m_planner.on_join(other.get_id(), m_now);
             }
         }
-        const member_sight sight{self.node->get_membership(), self.node->get_progress(), self.get_id(),
-                                 self.node->get_log().get_last_index(), m_leading_since};
-        const auto step = m_planner.plan(sight, m_now);
+        const membership_view view{self.node->get_membership(), self.node->get_progress(), self.get_id(),
+                                   self.node->get_log().get_last_index(), m_leading_since};
+        const auto step = m_planner.plan(view, m_now);
         if (!step.has_value()) {
             return;
         }
@@ -276,7 +277,7 @@
         std::shuffle(m_messages.begin(), m_messages.end(), m_random);
         for (auto& message : m_messages) {
             auto& self = m_instances[get_node_ip(message.to) - 1];
-            if (self.node == nullptr || pick(one_in_lost_messages) == 0) {
+            if (self.node == nullptr || pick(one_message_lost_in) == 0) {
                 continue;
             }
             if (self.saving.has_value()) {
@@ -305,27 +306,27 @@
 TEST(replaced_disks, lose_nothing_committed_where_all_others_lose_their_power_too) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         replaced_disks world(seed);
-        world.run(life_time);
+        world.run(power_loss_interval);
         std::size_t before = 0;
-        for (int loss = 0; loss < losses; ++loss) {
+        for (int loss = 0; loss < power_losses; ++loss) {
             ASSERT_GT(world.count_committed(), before) << "nothing was committed, seed " << seed;
             before = world.count_committed();
-            world.lose_power(tolerated);
-            world.run(life_time);
+            world.lose_power(tolerated_losses);
+            world.run(power_loss_interval);
             ASSERT_EQ(world.get_violation(), "") << "seed " << seed;
-            ASSERT_TRUE(world.is_well()) << "not five voters again, seed " << seed;
+            ASSERT_TRUE(world.is_recovered()) << "not five voters again, seed " << seed;
         }
     }
 }
 
 TEST(replaced_disks, lose_something_where_answers_do_not_wait_for_the_disk) {
     bool is_found = false;
-    for (std::uint64_t seed = 1; seed <= usual_seeds && !is_found; ++seed) {
+    for (std::uint64_t seed = 1; seed <= default_seeds && !is_found; ++seed) {
         replaced_disks world(seed, true);
-        world.run(life_time);
-        for (int loss = 0; loss < losses && !is_found; ++loss) {
-            world.lose_power(tolerated);
-            world.run(life_time);
+        world.run(power_loss_interval);
+        for (int loss = 0; loss < power_losses && !is_found; ++loss) {
+            world.lose_power(tolerated_losses);
+            world.run(power_loss_interval);
             is_found = !world.get_violation().empty();
         }
     }
