--- a/poplarpitch/relay/frame_delay_estimator.cpp
+++ b/poplarpitch/relay/frame_delay_estimator.cpp
@@ -5,8 +5,8 @@
 namespace poplarpitch {
 namespace {
 
-// Clocks that drift by 2% are a tenth of a second apart after this time. A relay that stands still gets no
-// orders after half a second.
+// Clocks that drift by 2% differ by a tenth of a second after this time. A relay that is suspended gets no
+// more orders after half a second.
 constexpr std::int64_t window_ms = 5'000;
 
 } // namespace
--- a/poplarpitch/relay/frame_delay_estimator.h
+++ b/poplarpitch/relay/frame_delay_estimator.h
@@ -6,23 +6,25 @@
 
 namespace poplarpitch {
 
-/// Tells how long frames were on their way, by the clocks of both ends, whose zeros differ: the fastest of
-/// late is taken for one that took no time. The time of arrival alone does not tell, since a process that
-/// stood still reads what has waited for it as if it had just come. Thread safety: none.
+/// Estimates how long frames were delayed between sender and receiver, whose clocks have different zeros. The
+/// fastest recent frame counts as one without delay.
+///
+/// The time of arrival alone is not enough: a process that was suspended reads the frames that have waited
+/// for it as if they had just arrived. Thread safety: none.
 class frame_delay_estimator {
 public:
-    /// Takes a frame that was sent at `sent_ms` by the sender's clock, 0 where it does not say. Returns how
-    /// much longer than the fastest of late it took.
+    /// Returns how much longer a frame took than the fastest recent one. `sent_ms`: time of sending on the
+    /// sender's clock; 0 where the frame has none, which counts as no delay.
     duration estimate(std::int64_t sent_ms, time_point now);
-    /// Forgets all frames: another sender's follow.
+    /// Discards all observations. Called before the frames of another sender.
     void clear() { *this = frame_delay_estimator{}; }
 
 private:
     bool m_has_any = false;
     std::int64_t m_window_begin_ms =
-        0;                            ///< by the sender's clock: one that stands still must not lose its mark
-    std::int64_t m_min_offset_ms = 0; ///< smallest offset_ms of the clocks in this span
-    std::int64_t m_previous_min_offset_ms = 0; ///< the same of the span before
+        0; ///< on the sender's clock, so that a pause of the receiver does not end the window
+    std::int64_t m_min_offset_ms = 0;          ///< smallest clock offset in this window
+    std::int64_t m_previous_min_offset_ms = 0; ///< the same of the previous window
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/order_name.h
+++ b/poplarpitch/relay/order_name.h
@@ -8,14 +8,14 @@
 
 namespace poplarpitch {
 
-/// Which order an answer is for.
+/// Identifies the order that an answer belongs to.
 struct order_name {
     enum class kind : std::uint8_t { hold, start, stop, pace };
 
     kind what = kind::hold;
     worker_life worker;
-    run_key run;     ///< of all but a hold
-    int percent = 0; ///< of a pace order
+    run_key run;     ///< unused for a hold order
+    int percent = 0; ///< only for a pace order
 
     friend auto operator<=>(const order_name&, const order_name&) = default;
 };
--- a/poplarpitch/relay/relay_agent.cpp
+++ b/poplarpitch/relay/relay_agent.cpp
@@ -11,7 +11,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Returns true when nothing but its time and number changed since the last report.
+/// Returns true when only the time and the sequence number changed since the last report.
 bool is_unchanged(worker_report before, const worker_report& now) {
     before.sequence = now.sequence;
     before.clock_ms = now.clock_ms;
@@ -113,14 +113,14 @@
             }
             --m_open;
             if (term != m_term || m_is_leader) {
-                return; // nobody waits for it any more
+                return; // the leader that sent it no longer waits for the answer
             }
             auto& reply = *open_frame().add_answers();
             reply.set_number(number);
             encode(outcome, reply);
         };
         ++m_open;
-        // Nobody waits for it any more, and its worker may be at another life.
+        // The leader no longer waits for the answer, and the worker may have restarted.
         if (delay > milliseconds{message.timeout_ms()}) {
             answer({order_failure::not_sent, {}});
             continue;
@@ -185,7 +185,7 @@
     return frame;
 }
 
-/// Answers go soon, heartbeats with the next answers or the next frame of the leader's.
+/// Answers are due soon. Heartbeats wait for the next answers or for the leader's next frame.
 std::optional<time_point> relay_agent::get_due() const {
     const bool has_answers = m_frame != nullptr && m_frame->answers_size() > 0;
     if (m_term == 0 || m_is_leader || (!has_answers && !m_must_answer)) {
--- a/poplarpitch/relay/relay_agent.h
+++ b/poplarpitch/relay/relay_agent.h
@@ -24,17 +24,18 @@
 
 namespace poplarpitch {
 
-/// A relay's end: carries out the leader's orders at workers, takes their heartbeats, and tells the leader.
+/// The relay's side of relaying: sends the leader's orders to workers, takes the workers' heartbeats, and
+/// forwards answers and heartbeats to the leader.
 ///
-/// It decides nothing. An order is carried out as it came: its lease ends on the worker's clock and its fence
-/// is the leader's, so that one that comes late does nothing that it would not have done in time, unless
-/// its worker has started again since. So orders that are older than their own time, as they are after this
-/// process stood still, are told as not sent, as are those of an older leader. Thread safety: none, as for
-/// all methods; the handler may be called at any later time.
+/// It makes no decisions and sends each order unchanged. The lease in an order ends on the worker's clock and
+/// the fence is the leader's. A late order therefore has no effect that it would not have had in time, unless
+/// its worker has restarted since. So orders that have waited longer than their own timeout, as after this
+/// process was suspended, are answered as not sent. So are the orders of a former leader. Thread safety:
+/// none, as for all methods; the handler may be called at any later time.
 class relay_agent {
 public:
     using outcome_handler = std::function<void(hold_outcome)>;
-    /// Carries out an order at its worker and calls the handler once.
+    /// Sends an order to its worker and calls the handler once.
     using order_executor = std::function<void(const worker_order&, outcome_handler)>;
 
     /// `place`: this instance.
@@ -43,56 +44,59 @@
     relay_agent(const relay_agent&) = delete;
     relay_agent& operator=(const relay_agent&) = delete;
 
-    /// Takes a frame of a leader's. Returns what is to be told that leader at once, where it leads no longer.
+    /// Processes a leader's frame. Returns answers to send to that leader at once when it is a former leader.
     std::optional<job_wire::relay_answers> on_orders(const job_wire::relay_orders& frame, time_point now);
-    /// Notes that this instance leads in `term`: it relays for no earlier leader any more.
+    /// Called when this instance leads in `term`. It stops relaying for earlier leaders.
     void on_leading(log_term term);
-    /// Takes a worker's heartbeat. Precondition: `is_serving`; the worker is not leaving.
+    /// Processes a worker's heartbeat. Preconditions: `is_serving`; the worker is not leaving.
     void on_report(const worker_report& report, time_point now);
-    /// Returns what is to be told the leader now, if anything.
+    /// Returns the frame to send to the leader, or nothing when none is due.
     std::optional<job_wire::relay_answers> take_answers(time_point now);
 
-    /// Returns when `take_answers` has something to give, or nothing while it has not.
+    /// Returns when `take_answers` will return a frame, or nothing while there is nothing to send.
     [[nodiscard]] std::optional<time_point> get_due() const;
-    /// Returns true while a leader was heard just now, so that a heartbeat taken here reaches it.
+    /// Returns true while frames of a leader arrive, so that a heartbeat taken here reaches it.
     [[nodiscard]] bool is_serving(time_point now) const;
-    /// Returns the instance that is to take a worker's later heartbeats, this one where none is better.
+    /// Returns the instance that should take a worker's later heartbeats; this one where there is no better
+    /// one.
     [[nodiscard]] std::uint32_t pick(const worker_report& report) const;
-    /// Returns how many orders are being carried out.
+    /// Returns the number of orders in progress.
     [[nodiscard]] std::size_t count_open() const { return m_open; }
-    /// Returns how many orders came since the start.
+    /// Returns the number of orders received since the start.
     [[nodiscard]] std::uint64_t get_received() const { return m_received; }
 
 private:
     struct known_report {
         worker_report report;
         time_point received_at{};
-        bool is_reported = false;            ///< the whole report went to the present leader
-        std::uint64_t reported_sequence = 0; ///< sequence of the report that went
+        bool is_reported = false;            ///< the full report was sent to the present leader
+        std::uint64_t reported_sequence = 0; ///< sequence of the report that was sent
     };
 
     void begin_term(log_term term, time_point now);
     void execute_orders(const job_wire::relay_orders& frame, duration delay);
     void remove_expired_reports(time_point now);
+    /// Adds a worker's full report to the next frame.
     void add_full_report(known_report& known);
+    /// Returns the frame that collects answers and reports.
     job_wire::relay_answers& open_frame();
 
     relay_settings m_settings;
     relay_place m_place;
     order_executor m_execute;
-    log_term m_term = 0;      ///< highest seen
-    bool m_is_leader = false; ///< this instance leads in `m_term`
+    log_term m_term = 0;      ///< highest term seen
+    bool m_is_leader = false; ///< this instance is the leader in `m_term`
     frame_delay_estimator m_frame_delay;
-    time_point m_last_frame_at{}; ///< when a frame of that term came last
+    time_point m_last_frame_at{}; ///< arrival of the last frame in that term
     time_point m_last_answer_at{};
-    bool m_must_answer = false; ///< a frame came and none went since
+    bool m_must_answer = false; ///< a frame arrived and no answer was sent since
     time_point m_next_sweep{};
     std::vector<relay_place> m_places;
     absl::btree_map<worker_life, known_report> m_reports;
     std::unique_ptr<job_wire::relay_answers> m_frame; ///< null while empty
     std::size_t m_open = 0;
     std::uint64_t m_received = 0;
-    std::shared_ptr<bool> m_is_alive; ///< false once the agent is gone; handlers look at it
+    std::shared_ptr<bool> m_is_alive; ///< false after destruction; checked by handlers
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_codec.cpp
+++ b/poplarpitch/relay/relay_codec.cpp
@@ -69,7 +69,7 @@
     if (message.payload() >= static_cast<std::uint32_t>(frame.payloads_size())) {
         return std::nullopt;
     }
-    auto job = std::make_shared<step_job>(); // a worker is told nothing else of its job
+    auto job = std::make_shared<step_job>(); // a worker gets only the payload of its job
     job->payload = frame.payloads(static_cast<int>(message.payload()));
     start_order order;
     order.run = decode_run(message);
@@ -82,7 +82,7 @@
 
 order_target read_target(const job_wire::relayed_order& message, const job_wire::relay_orders& frame) {
     const auto fence =
-        message.fence() == 0 ? frame.term() : message.fence(); // none by order in older versions
+        message.fence() == 0 ? frame.term() : message.fence(); // older versions have no fence per order
     return {{message.worker(), message.born_ms()},
             message.address(),
             fence,
--- a/poplarpitch/relay/relay_codec.h
+++ b/poplarpitch/relay/relay_codec.h
@@ -17,29 +17,32 @@
 
 namespace poplarpitch {
 
-/// What an instance says that it does when it relays: since 1 it knows fences by order and start times of
-/// workers, since 2 it tells no order as not sent or refused that may have been carried out.
+/// Version of the relay protocol that an instance announces. Since version 1 each order has its own fence and
+/// workers have start times. Since version 2 no order that may have been carried out is reported as not sent
+/// or refused.
 inline constexpr std::uint32_t relay_version = 2;
 
-/// Between orders to workers and the frames by which they are relayed. Thread safety: any thread, for all.
+/// Conversions between orders to workers and the frames that relay them. Thread safety: any thread, for all.
 
-/// Returns which order it is; nothing for a call to the advice service, which is not relayed.
+/// Returns the identity of an order. Returns nothing for a call to the advice service, which is not relayed.
 [[nodiscard]] std::optional<order_name> get_order_name(const worker_order& order);
-/// Returns what the order names; null for a call to the advice service.
+/// Returns the worker that an order is addressed to, or null for a call to the advice service.
 [[nodiscard]] const order_target* get_order_target(const worker_order& order);
-/// Appends an order to a frame. A payload that the frame's last start had is not written again.
-/// Precondition: `get_order_name` names it.
+/// Appends an order to a frame. The payload of a start order is shared with the frame's previous start order
+/// where both are equal. Precondition: `get_order_name` returns a value for the order.
 void append_order(const worker_order& order, std::uint64_t number, job_wire::relay_orders& frame);
-/// Reads an order of a frame; nothing when it is not one of this version.
+/// Reads an order from a frame. Returns nothing when this version does not know it.
 [[nodiscard]] std::optional<worker_order> read_order(const job_wire::relayed_order& message,
                                                      const job_wire::relay_orders& frame);
+/// Writes the outcome of an order.
 void encode(const hold_outcome& outcome, job_wire::relayed_answer& message);
+/// Reads the outcome of an order.
 [[nodiscard]] hold_outcome decode(const job_wire::relayed_answer& message);
-/// Writes a whole report.
+/// Writes a full worker report.
 void encode(const worker_report& report, job_wire::relayed_report& message);
-/// Reads a whole report.
+/// Reads a full worker report.
 [[nodiscard]] worker_report decode(const job_wire::relayed_report& message);
-/// Returns what a report says that is not whole. Thread safety: any thread.
+/// Reads a report that only repeats an earlier full one. Thread safety: any thread.
 [[nodiscard]] sign_of_life decode_sign_of_life(const job_wire::relayed_report& message);
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_hub.cpp
+++ b/poplarpitch/relay/relay_hub.cpp
@@ -11,7 +11,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Returns what is known of an order that no relay answered.
+/// Returns the outcome of an order without an answer.
 hold_outcome make_lost_outcome(const order_name& name) {
     const bool is_hold = name.what == order_name::kind::hold;
     return {is_hold ? order_failure::not_sent : order_failure::unanswered, {}};
@@ -67,8 +67,8 @@
 
 std::vector<relayed_outcome> relay_hub::on_answers(const job_wire::relay_answers& frame, time_point now) {
     std::vector<relayed_outcome> outcomes;
-    // An older version would send orders under fences that workers refuse, and leave out whose lists it
-    // passes on.
+    // A relay of an older version would send orders with fences that workers refuse, and would not say which
+    // life of a worker its lists belong to.
     if (m_term == 0 || frame.term() != m_term || frame.version() < relay_version) {
         return outcomes;
     }
@@ -91,7 +91,7 @@
 std::optional<relayed_outcome> relay_hub::complete_order(std::uint64_t number, hold_outcome outcome) {
     const auto found = m_open.find(number);
     if (found == m_open.end()) {
-        return std::nullopt; // given up before
+        return std::nullopt; // it has its outcome already
     }
     relayed_outcome closed{std::move(found->second.name), std::move(outcome)};
     m_open.erase(found);
@@ -127,7 +127,7 @@
                 numbers.push_back(number);
             }
         }
-        std::sort(numbers.begin(), numbers.end()); // the map's order differs between processes
+        std::sort(numbers.begin(), numbers.end()); // the map's iteration order differs between processes
         for (const auto number : numbers) {
             fail_order(number, outcomes);
         }
--- a/poplarpitch/relay/relay_hub.h
+++ b/poplarpitch/relay/relay_hub.h
@@ -25,19 +25,21 @@
 
 namespace poplarpitch {
 
-/// A frame to a relay.
+/// A frame of orders for a relay.
 struct relay_frame {
     std::uint32_t ip = 0; ///< in host order
     std::shared_ptr<job_wire::relay_orders> orders;
 };
 
-/// The leader's end of the relays: gathers orders for them, and matches their answers.
+/// The leader's side of relaying: batches orders into frames for the relays, and matches answers to orders.
 ///
-/// It is pure: orders, frames and time in, frames and outcomes out. The leader has its processor time for
-/// decisions: a frame carries some ten orders or answers, where each took three system calls and a message in
-/// HTTP. An order is answered once: by its relay, by the loss of its relay, or by its own time. Without an
-/// answer it may have been carried out, but for a hold, which says nothing of its worker then. Thread safety:
-/// none, as for all methods.
+/// It does no I/O: orders, frames and the time go in, frames and outcomes come out. Relaying saves processor
+/// time at the leader. A frame carries about ten orders or answers; sent directly, each takes three system
+/// calls and an HTTP message.
+///
+/// Each order gets one outcome: from its relay, by the loss of its relay, or by its timeout. An order without
+/// an answer may have been carried out. A hold order without an answer tells nothing about its worker. Thread
+/// safety: none, as for all methods.
 class relay_hub {
 public:
     explicit relay_hub(const relay_settings& settings);
@@ -45,34 +47,35 @@
     relay_hub(const relay_hub&) = delete;
     relay_hub& operator=(const relay_hub&) = delete;
 
-    /// Begins to lead in `term`, with no relay known.
+    /// Starts to lead in `term`, with no known relays.
     void lead(log_term term);
-    /// Leads no longer: what is under way is nobody's any more.
+    /// Stops leading. Discards all orders in flight; they get no outcome.
     void retire();
 
-    /// Takes an order for a worker that a relay is there for. Returns false when there is none: the order is
-    /// the caller's to send. Precondition: the hub leads; the order is none for the advice service.
+    /// Queues an order for the relay of its worker. Returns false when there is no relay: the caller has to
+    /// send the order itself. Preconditions: the hub leads; the order is not for the advice service.
     bool add(const worker_order& order, const std::string& data_centre, std::uint64_t worker_hash,
              time_point now);
-    /// Asks the relays for a worker's whole report.
+    /// Requests a worker's full report from the relays.
     void ask_report(const std::string& worker);
-    /// Takes what a relay says. Returns the outcomes it has.
+    /// Processes a frame of answers from a relay. Returns the outcomes in it.
     std::vector<relayed_outcome> on_answers(const job_wire::relay_answers& frame, time_point now);
-    /// Returns the outcomes of the orders of a frame that could not be sent to `ip`: they have surely not
-    /// left.
+    /// Called when a frame could not be sent to `ip`. Returns the outcomes of its orders, which were
+    /// certainly not sent.
     std::vector<relayed_outcome> on_not_sent(std::uint32_t ip, const job_wire::relay_orders& frame);
-    /// Returns the outcomes of orders whose relay or time is lost.
+    /// Returns the outcomes of orders whose relay was lost or whose timeout has passed.
     std::vector<relayed_outcome> take_lost(time_point now);
-    /// Returns the frames that are to be sent now. `instances`: all instances that may relay.
+    /// Returns the frames that are due to be sent. `instances`: all instances that may relay.
     std::vector<relay_frame> take_frames(const std::vector<std::uint32_t>& instances, time_point now);
 
-    /// Returns the instance that takes a worker's heartbeats, or nothing where no relay is there.
+    /// Returns the relay that takes a worker's heartbeats, or nothing where there is none.
     [[nodiscard]] std::optional<std::uint32_t> pick(const std::string& data_centre,
                                                     std::uint64_t worker_hash) const;
+    /// Returns the number of relays.
     [[nodiscard]] std::size_t count_relays() const { return m_registry.get_places().size(); }
-    /// Returns how many orders have no answer yet.
+    /// Returns the number of orders without an outcome.
     [[nodiscard]] std::size_t count_open() const { return m_open.size(); }
-    /// Returns how many orders were relayed since the start.
+    /// Returns the number of orders relayed since the start.
     [[nodiscard]] std::uint64_t count_relayed() const { return m_relayed; }
 
 private:
@@ -89,13 +92,14 @@
     struct outbox {
         std::shared_ptr<job_wire::relay_orders> frame; ///< null while empty
         time_point sent{};
-        std::uint64_t sent_places_version = 0; ///< version of the list of relays that it was told last
+        std::uint64_t sent_places_version = 0; ///< version of the list of relays that was sent last
     };
 
+    /// Returns the frame that collects orders for the relay at `ip`.
     job_wire::relay_orders& open_frame(std::uint32_t ip);
-    /// Takes an order that no relay answered out of those under way, where it is one.
+    /// Removes an order that got no answer, and appends its outcome. Does nothing when the order is not open.
     void fail_order(std::uint64_t number, std::vector<relayed_outcome>& outcomes);
-    /// Takes an order that has its outcome now out of those under way.
+    /// Removes an order and returns its outcome, or nothing when the order is not open.
     std::optional<relayed_outcome> complete_order(std::uint64_t number, hold_outcome outcome);
     void on_relays_changed();
 
@@ -108,7 +112,7 @@
     absl::flat_hash_map<std::uint64_t, open_order> m_open;
     std::priority_queue<deadline, std::vector<deadline>, std::greater<>> m_deadlines;
     std::map<std::uint32_t, outbox> m_outboxes;   ///< by address
-    std::vector<std::string> m_requested_reports; ///< workers whose whole report is wanted
+    std::vector<std::string> m_requested_reports; ///< workers whose full report is requested
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_registry.cpp
+++ b/poplarpitch/relay/relay_registry.cpp
@@ -9,7 +9,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Returns a number by which a worker prefers one relay over another.
+/// Returns a worker's preference for a relay. The relay with the highest value is chosen.
 std::uint64_t get_preference(std::uint32_t ip, std::uint64_t worker_hash) {
     std::array<char, sizeof(ip) + sizeof(worker_hash)> bytes{};
     std::memcpy(bytes.data(), &ip, sizeof(ip));
--- a/poplarpitch/relay/relay_registry.h
+++ b/poplarpitch/relay/relay_registry.h
@@ -11,7 +11,7 @@
 
 namespace poplarpitch {
 
-/// An instance that relays.
+/// A control instance that relays, and its data centre.
 struct relay_place {
     std::uint32_t ip = 0; ///< in host order
     std::string data_centre;
@@ -19,33 +19,34 @@
     friend auto operator<=>(const relay_place&, const relay_place&) = default;
 };
 
-/// Which instances relay at present, and which one is for a worker: one in its data centre where there is
-/// one, so that most bytes stay there. Where there is none, or several, the worker's hash decides, so that a
-/// lost relay's share spreads over the others and no other worker moves. Thread safety: none, as for all
-/// methods.
+/// Keeps the instances that relay at present, and assigns one of them to each worker.
+///
+/// A relay in the worker's data centre is preferred, so that most traffic stays there. Where there is none,
+/// or several, rendezvous hashing by the worker's hash decides: the workers of a lost relay spread over the
+/// others, and no other worker moves. Thread safety: none, as for all methods.
 class relay_registry {
 public:
     explicit relay_registry(const relay_settings& settings) : m_settings(settings) {}
 
-    /// Forgets all relays.
+    /// Removes all relays.
     void clear();
-    /// Notes that a relay was heard. Returns true when it was not there before.
+    /// Records that a frame of a relay arrived. Returns true when the relay is new.
     bool record_contact(const relay_place& place, time_point now);
-    /// Takes out the relays that fell silent, and returns their addresses.
+    /// Removes the relays that sent nothing within the timeout, and returns their addresses.
     std::vector<std::uint32_t> remove_timed_out(time_point now);
-    /// Returns the relay for a worker, or nothing where there is none at all.
+    /// Returns the relay for a worker, or nothing where there is none.
     [[nodiscard]] std::optional<std::uint32_t> pick(const std::string& data_centre,
                                                     std::uint64_t worker_hash) const;
-    /// Returns all relays, by address.
+    /// Returns all relays, sorted by address.
     [[nodiscard]] const std::vector<relay_place>& get_places() const { return m_places; }
 
 private:
     relay_settings m_settings;
     std::vector<relay_place> m_places;
-    std::map<std::uint32_t, time_point> m_last_contact; ///< when each was heard last, by address
+    std::map<std::uint32_t, time_point> m_last_contact; ///< time of the last frame of each relay, by address
 };
 
-/// Returns the one of `places` for a worker, by the rule above. Thread safety: any thread.
+/// Returns the relay out of `places` for a worker, as `relay_registry` assigns it. Thread safety: any thread.
 [[nodiscard]] std::optional<std::uint32_t>
 pick_relay(const std::vector<relay_place>& places, const std::string& data_centre, std::uint64_t worker_hash);
 
--- a/poplarpitch/relay/relayed_outcome.h
+++ b/poplarpitch/relay/relayed_outcome.h
@@ -5,7 +5,7 @@
 
 namespace poplarpitch {
 
-/// What became of an order. Only the answer to a hold has lists.
+/// Outcome of a relayed order. Only the answer to a hold order has lists.
 struct relayed_outcome {
     order_name order;
     hold_outcome outcome;
