--- a/unit_tests/relay/relay_agent_test.cpp
+++ b/unit_tests/relay/relay_agent_test.cpp
@@ -1,4 +1,5 @@
-// A relay's end: what it does with orders that come late, twice or from an older leader, and what it tells.
+// The relay's side: orders that arrive late, twice or from a former leader, and the frames sent to the
+// leader.
 #include "poplarpitch/relay/relay_agent.h"
 #include "poplarpitch/relay/relay_codec.h"
 #include "poplarpitch/wire/scheduling.pb.h"
@@ -11,18 +12,18 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::uint32_t here = 0x0a010002;
+constexpr std::uint32_t own_ip = 0x0a010002;
 
 /// A relay whose orders wait until the test answers them.
 class agent_world {
 public:
     agent_world()
-        : agent(settings, {here, "hall"},
+        : agent(settings, {own_ip, "hall"},
                 [this](const worker_order& order, relay_agent::outcome_handler done) {
                     orders.emplace_back(order, std::move(done));
                 }) {}
 
-    /// Hands the relay a frame with this many holds.
+    /// Delivers a frame with this many hold orders. Returns the relay's refusal, if any.
     std::optional<job_wire::relay_answers> send(log_term term, int holds = 0) {
         job_wire::relay_orders frame;
         frame.set_term(term);
@@ -34,7 +35,7 @@
         }
         return agent.on_orders(frame, now);
     }
-    /// Returns what the relay tells by now; an empty frame where it has nothing to tell.
+    /// Returns the relay's next frame, or an empty one where none is due.
     job_wire::relay_answers take() {
         now += settings.min_frame_interval;
         return agent.take_answers(now).value_or(job_wire::relay_answers{});
@@ -66,21 +67,22 @@
     return report;
 }
 
-TEST(relay_agent, carries_orders_out_and_tells_what_became_of_them) {
+TEST(relay_agent, executes_orders_and_returns_their_outcomes) {
     agent_world world;
     EXPECT_FALSE(world.send(3, 2).has_value());
     ASSERT_EQ(world.orders.size(), 2U);
-    EXPECT_EQ(std::get<hold_order>(world.orders[0].first).target.fence, 3U) << "the leader's, not its own";
+    EXPECT_EQ(std::get<hold_order>(world.orders[0].first).target.fence, 3U)
+        << "the leader's fence, not the relay's own";
     world.answer_all();
-    const auto told = world.take();
-    ASSERT_EQ(told.answers_size(), 2);
-    EXPECT_EQ(told.term(), 3U);
-    EXPECT_EQ(told.ip(), here);
-    EXPECT_EQ(told.answers(1).number(), 2U);
-    EXPECT_EQ(told.answers(1).clock_ms(), 5);
+    const auto sent = world.take();
+    ASSERT_EQ(sent.answers_size(), 2);
+    EXPECT_EQ(sent.term(), 3U);
+    EXPECT_EQ(sent.ip(), own_ip);
+    EXPECT_EQ(sent.answers(1).number(), 2U);
+    EXPECT_EQ(sent.answers(1).clock_ms(), 5);
 }
 
-TEST(relay_agent, tells_a_leader_that_was_replaced_that_nothing_was_sent) {
+TEST(relay_agent, answers_the_orders_of_a_former_leader_as_not_sent) {
     agent_world world;
     static_cast<void>(world.send(4));
     const auto refusal = world.send(3, 2);
@@ -91,7 +93,7 @@
     EXPECT_EQ(refusal->answers(0).failure(), static_cast<std::uint32_t>(order_failure::not_sent));
 }
 
-TEST(relay_agent, tells_a_new_leader_nothing_of_the_orders_of_the_one_before) {
+TEST(relay_agent, sends_a_new_leader_no_answers_to_orders_of_the_former_one) {
     agent_world world;
     static_cast<void>(world.send(3, 1));
     static_cast<void>(world.send(4));
@@ -100,7 +102,7 @@
     EXPECT_EQ(world.agent.count_open(), 0U);
 }
 
-TEST(relay_agent, relays_for_nobody_once_it_leads_itself) {
+TEST(relay_agent, stops_relaying_once_it_leads_itself) {
     agent_world world;
     static_cast<void>(world.send(3));
     EXPECT_TRUE(world.agent.is_serving(world.now));
@@ -108,7 +110,7 @@
     EXPECT_FALSE(world.agent.is_serving(world.now));
     EXPECT_TRUE(world.send(3, 1).has_value());
     EXPECT_TRUE(world.orders.empty());
-    EXPECT_FALSE(world.send(5, 1).has_value()) << "until another one leads after it";
+    EXPECT_FALSE(world.send(5, 1).has_value()) << "until another instance leads in a later term";
     EXPECT_EQ(world.orders.size(), 1U);
 }
 
@@ -121,18 +123,18 @@
     EXPECT_FALSE(world.agent.get_due().has_value());
 }
 
-TEST(relay_agent, tells_a_report_whole_once_and_then_only_its_time) {
+TEST(relay_agent, sends_a_full_report_once_and_then_only_its_time) {
     agent_world world;
     static_cast<void>(world.send(3));
     static_cast<void>(world.take());
     world.agent.on_report(make_report("w1", 1), world.now);
     world.agent.on_report(make_report("w1", 2), world.now);
     static_cast<void>(world.send(3));
-    const auto told = world.take();
-    ASSERT_EQ(told.reports_size(), 2);
-    EXPECT_EQ(decode(told.reports(0)), make_report("w1", 1));
-    EXPECT_FALSE(told.reports(1).is_whole());
-    EXPECT_EQ(told.reports(1).sequence(), 2U);
+    const auto sent = world.take();
+    ASSERT_EQ(sent.reports_size(), 2);
+    EXPECT_EQ(decode(sent.reports(0)), make_report("w1", 1));
+    EXPECT_FALSE(sent.reports(1).is_whole());
+    EXPECT_EQ(sent.reports(1).sequence(), 2U);
     auto grown = make_report("w1", 3);
     grown.capacity.millicores *= 2;
     world.agent.on_report(grown, world.now);
@@ -140,7 +142,7 @@
     EXPECT_TRUE(world.take().reports(0).is_whole()) << "something changed";
 }
 
-TEST(relay_agent, tells_a_new_leader_all_workers_in_its_first_frame) {
+TEST(relay_agent, sends_a_new_leader_all_workers_in_its_first_frame) {
     agent_world world;
     static_cast<void>(world.send(3));
     for (int number = 0; number < 1800; ++number) {
@@ -148,13 +150,13 @@
     }
     static_cast<void>(world.take());
     static_cast<void>(world.send(4));
-    const auto told = world.take();
-    EXPECT_EQ(told.term(), 4U);
-    ASSERT_EQ(told.reports_size(), 1800);
-    EXPECT_TRUE(told.reports(0).is_whole());
+    const auto sent = world.take();
+    EXPECT_EQ(sent.term(), 4U);
+    ASSERT_EQ(sent.reports_size(), 1800);
+    EXPECT_TRUE(sent.reports(0).is_whole());
 }
 
-TEST(relay_agent, tells_a_new_leader_nothing_of_workers_that_fell_silent) {
+TEST(relay_agent, sends_a_new_leader_no_reports_of_silent_workers) {
     agent_world world;
     static_cast<void>(world.send(3));
     world.agent.on_report(make_report("w1", 1), world.now);
@@ -163,19 +165,19 @@
     EXPECT_EQ(world.take().reports_size(), 0);
 }
 
-TEST(relay_agent, tells_the_whole_report_again_where_the_leader_lacks_it) {
+TEST(relay_agent, sends_the_full_report_again_where_the_leader_lacks_it) {
     agent_world world;
     static_cast<void>(world.send(3));
     world.agent.on_report(make_report("w1", 1), world.now);
-    static_cast<void>(world.take()); // lost on the way
+    static_cast<void>(world.take()); // this frame is lost
     job_wire::relay_orders frame;
     frame.set_term(3);
     frame.add_unknown_workers("w1");
-    frame.add_unknown_workers("w2"); // never heard here
+    frame.add_unknown_workers("w2"); // unknown to this relay
     static_cast<void>(world.agent.on_orders(frame, world.now));
-    const auto told = world.take();
-    ASSERT_EQ(told.reports_size(), 1);
-    EXPECT_TRUE(told.reports(0).is_whole());
+    const auto sent = world.take();
+    ASSERT_EQ(sent.reports_size(), 1);
+    EXPECT_TRUE(sent.reports(0).is_whole());
 }
 
 TEST(relay_agent, keeps_the_lives_of_a_worker_apart) {
@@ -189,11 +191,11 @@
     static_cast<void>(world.take());
     world.agent.on_report(next, world.now);
     static_cast<void>(world.send(3));
-    const auto told = world.take();
-    ASSERT_EQ(told.reports_size(), 1);
-    EXPECT_TRUE(told.reports(0).is_whole());
-    EXPECT_EQ(decode(told.reports(0)).life, next.life);
-    ++former.sequence; // late: it repeats what was told of that life, not of the next
+    const auto sent = world.take();
+    ASSERT_EQ(sent.reports_size(), 1);
+    EXPECT_TRUE(sent.reports(0).is_whole());
+    EXPECT_EQ(decode(sent.reports(0)).life, next.life);
+    ++former.sequence; // late: it repeats the report of the former life, not of the next
     world.agent.on_report(former, world.now);
     static_cast<void>(world.send(3));
     const auto late = world.take();
@@ -203,7 +205,7 @@
     EXPECT_EQ(decode_sign_of_life(late.reports(0)).told, 40U);
 }
 
-TEST(relay_agent, takes_the_leaders_term_for_the_fence_where_an_older_leader_names_none) {
+TEST(relay_agent, uses_the_leaders_term_as_fence_where_an_older_leader_sends_none) {
     agent_world world;
     job_wire::relay_orders frame;
     frame.set_term(3);
@@ -218,9 +220,9 @@
     EXPECT_EQ(std::get<hold_order>(world.orders[1].first).target.fence, 3U);
 }
 
-TEST(relay_agent, takes_no_heartbeats_once_the_leader_fell_silent) {
+TEST(relay_agent, takes_no_heartbeats_once_the_leader_is_silent) {
     agent_world world;
-    EXPECT_FALSE(world.agent.is_serving(world.now)) << "before it has heard one";
+    EXPECT_FALSE(world.agent.is_serving(world.now)) << "before a frame of a leader arrived";
     static_cast<void>(world.send(3));
     EXPECT_TRUE(world.agent.is_serving(world.now));
     EXPECT_FALSE(world.agent.is_serving(world.now + world.settings.peer_timeout + milliseconds{1}));
@@ -240,15 +242,15 @@
     EXPECT_EQ(world.agent.pick(report), 77U);
 }
 
-/// A relay stands still for 8 s with a start in its queue, which it carries out when it goes on. The order is
-/// what it was: its lease ends where the leader counted it to end, so the worker refuses it as too late.
-TEST(relay_agent, prolongs_nothing_when_it_stood_still) {
+/// A relay that was suspended for 8 s with an order in its queue sends the order unchanged. The lease still
+/// ends when the leader said, so that the worker refuses the order as too late.
+TEST(relay_agent, does_not_extend_leases_after_it_was_suspended) {
     agent_world world;
     job_wire::relay_orders frame;
     frame.set_term(3);
     hold_order order;
     order.target = {{"w1", 0}, "10.9.0.1:80", 3, false, milliseconds{900}};
-    order.until_ms = 4000; // on the worker's clock, by the leader's word
+    order.until_ms = 4000; // on the worker's clock, set by the leader
     append_order(order, 1, frame);
     world.now += seconds{8};
     static_cast<void>(world.agent.on_orders(frame, world.now));
@@ -256,7 +258,7 @@
     EXPECT_EQ(std::get<hold_order>(world.orders[0].first).until_ms, 4000);
 }
 
-TEST(relay_agent, says_how_many_orders_of_a_former_leader_it_refused_and_how_many_were_under_way) {
+TEST(relay_agent, logs_how_many_orders_of_a_former_leader_it_refused_and_how_many_were_in_progress) {
     agent_world world;
     const log_capture logs;
     world.send(4, 3);
@@ -270,8 +272,8 @@
               (std::vector<std::string>{"event=relay_orders_refused term=4 known_term=5 leads=no orders=2"}));
 }
 
-/// Its worker may have started again under its id since.
-TEST(relay_agent, tells_an_order_as_not_sent_whose_time_was_over_when_it_came) {
+/// The worker may have restarted under the same id since.
+TEST(relay_agent, reports_an_order_as_not_sent_that_arrived_after_its_timeout) {
     agent_world world;
     const auto send_at = [&world](std::int64_t sent_ms) {
         job_wire::relay_orders frame;
@@ -282,16 +284,16 @@
         append_order(order, world.next_number++, frame);
         static_cast<void>(world.agent.on_orders(frame, world.now));
     };
-    send_at(7'000'000); // the leader's clock counts from another time
+    send_at(7'000'000); // the leader's clock has another zero
     world.now += seconds{5};
     send_at(7'000'100);
     send_at(7'003'900);
     EXPECT_EQ(world.orders.size(), 1U);
     send_at(7'004'500);
     EXPECT_EQ(world.orders.size(), 2U);
-    const auto told = world.take();
-    ASSERT_EQ(told.answers_size(), 2);
-    EXPECT_EQ(told.answers(1).failure(), static_cast<std::uint32_t>(order_failure::not_sent));
+    const auto sent = world.take();
+    ASSERT_EQ(sent.answers_size(), 2);
+    EXPECT_EQ(sent.answers(1).failure(), static_cast<std::uint32_t>(order_failure::not_sent));
 }
 
 } // namespace
--- a/unit_tests/relay/relay_hub_test.cpp
+++ b/unit_tests/relay/relay_hub_test.cpp
@@ -1,4 +1,4 @@
-// The leader's end of the relays: every order is answered once, whatever becomes of its relay.
+// The leader's side: every order gets one outcome, whatever happens to its relay.
 #include "poplarpitch/relay/relay_codec.h"
 #include "poplarpitch/relay/relay_hub.h"
 #include "poplarpitch/scheduling/step_job.h"
@@ -19,8 +19,8 @@
 public:
     hub_world() : hub(settings) { hub.lead(term); }
 
-    /// Lets a relay tell that it is there.
-    void hear(std::uint32_t ip, const std::string& data_centre) {
+    /// Delivers a frame of a relay without answers, which makes the relay known.
+    void announce(std::uint32_t ip, const std::string& data_centre) {
         job_wire::relay_answers frame;
         frame.set_term(term);
         frame.set_ip(ip);
@@ -39,7 +39,7 @@
         }
         return hub.on_answers(frame, now);
     }
-    /// Returns the numbers of the orders that are sent now, by relay.
+    /// Returns the numbers of the orders in the frames that are due, by relay.
     std::map<std::uint32_t, std::vector<std::uint64_t>> take_numbers() {
         std::map<std::uint32_t, std::vector<std::uint64_t>> numbers;
         for (const auto& frame : hub.take_frames({near, far}, now)) {
@@ -74,7 +74,7 @@
     return order;
 }
 
-TEST(relay_hub, uses_no_relay_of_a_version_that_knows_no_fences_by_order) {
+TEST(relay_hub, uses_no_relay_of_a_version_without_a_fence_per_order) {
     hub_world world;
     job_wire::relay_answers frame;
     frame.set_term(term);
@@ -82,33 +82,32 @@
     frame.set_data_centre("near");
     EXPECT_TRUE(world.hub.on_answers(frame, world.now).empty());
     EXPECT_EQ(world.hub.count_relays(), 0U);
-    world.hear(far, "far");
+    world.announce(far, "far");
     EXPECT_EQ(world.hub.count_relays(), 1U);
 }
 
-TEST(relay_hub, uses_no_relay_of_a_version_that_tells_a_start_that_was_written_as_not_sent) {
-    constexpr std::uint32_t untrue_version = 1;
+TEST(relay_hub, uses_no_relay_of_a_version_that_reports_a_written_start_as_not_sent) {
+    constexpr std::uint32_t old_version = 1;
     hub_world world;
     job_wire::relay_answers frame;
     frame.set_term(term);
     frame.set_ip(near);
     frame.set_data_centre("near");
-    frame.set_version(untrue_version);
+    frame.set_version(old_version);
     EXPECT_TRUE(world.hub.on_answers(frame, world.now).empty());
     EXPECT_EQ(world.hub.count_relays(), 0U);
 }
 
-TEST(relay_hub, takes_no_order_while_no_relay_was_heard) {
+TEST(relay_hub, accepts_no_order_while_no_relay_is_known) {
     hub_world world;
     EXPECT_FALSE(world.hub.add(make_hold("w1"), "near", 1, world.now));
-    EXPECT_EQ(world.hub.take_frames({near, far}, world.now).size(), 2U)
-        << "each is asked whether it is there";
+    EXPECT_EQ(world.hub.take_frames({near, far}, world.now).size(), 2U) << "each instance is probed";
 }
 
 TEST(relay_hub, sends_an_order_by_the_relay_in_the_data_centre_of_its_worker) {
     hub_world world;
-    world.hear(near, "near");
-    world.hear(far, "far");
+    world.announce(near, "near");
+    world.announce(far, "far");
     for (std::uint64_t worker_hash = 0; worker_hash < 20; ++worker_hash) {
         ASSERT_TRUE(world.hub.add(make_hold("w"), "near", worker_hash, world.now));
     }
@@ -119,8 +118,8 @@
 
 TEST(relay_hub, spreads_workers_of_another_data_centre_over_all_relays) {
     hub_world world;
-    world.hear(near, "near");
-    world.hear(far, "far");
+    world.announce(near, "near");
+    world.announce(far, "far");
     for (std::uint64_t worker_hash = 0; worker_hash < 200; ++worker_hash) {
         ASSERT_TRUE(world.hub.add(make_hold("w"), "elsewhere", worker_hash, world.now));
     }
@@ -130,9 +129,9 @@
     EXPECT_GT(numbers.at(far).size(), 60U);
 }
 
-TEST(relay_hub, answers_each_order_once) {
+TEST(relay_hub, returns_one_outcome_for_each_order) {
     hub_world world;
-    world.hear(near, "near");
+    world.announce(near, "near");
     ASSERT_TRUE(world.hub.add(make_start("w1", 3), "near", 1, world.now));
     const auto numbers = world.take_numbers().at(near);
     const auto outcomes = world.answer(near, numbers);
@@ -145,9 +144,9 @@
     EXPECT_TRUE(world.hub.take_lost(world.now).empty());
 }
 
-TEST(relay_hub, knows_nothing_of_orders_whose_relay_fell_silent) {
+TEST(relay_hub, reports_a_start_at_a_silent_relay_as_unanswered) {
     hub_world world;
-    world.hear(near, "near");
+    world.announce(near, "near");
     ASSERT_TRUE(world.hub.add(make_start("w1", 0), "near", 1, world.now));
     ASSERT_TRUE(world.hub.add(make_hold("w1"), "near", 1, world.now));
     const auto numbers = world.take_numbers().at(near);
@@ -155,15 +154,15 @@
     const auto lost = world.hub.take_lost(world.now);
     ASSERT_EQ(lost.size(), 2U);
     EXPECT_EQ(lost[0].outcome.failure, order_failure::unanswered) << "the start may have been carried out";
-    EXPECT_EQ(lost[1].outcome.failure, order_failure::not_sent) << "its worker is not to blame";
+    EXPECT_EQ(lost[1].outcome.failure, order_failure::not_sent) << "it says nothing about the worker";
     EXPECT_EQ(world.hub.count_relays(), 0U);
-    EXPECT_TRUE(world.answer(near, numbers).empty()) << "what comes later is nobody's";
-    EXPECT_EQ(world.hub.count_relays(), 1U) << "but the relay is there again";
+    EXPECT_TRUE(world.answer(near, numbers).empty()) << "a late answer is ignored";
+    EXPECT_EQ(world.hub.count_relays(), 1U) << "but it makes the relay known again";
 }
 
-TEST(relay_hub, knows_of_orders_whose_frame_found_no_connection_that_they_did_not_leave) {
+TEST(relay_hub, reports_orders_as_not_sent_where_the_frame_found_no_connection) {
     hub_world world;
-    world.hear(near, "near");
+    world.announce(near, "near");
     ASSERT_TRUE(world.hub.add(make_start("w1", 0), "near", 1, world.now));
     const auto frames = world.hub.take_frames({near}, world.now);
     ASSERT_EQ(frames.size(), 1U);
@@ -173,19 +172,19 @@
     EXPECT_EQ(world.hub.count_open(), 0U);
 }
 
-TEST(relay_hub, moves_only_the_share_of_a_relay_that_is_lost) {
+TEST(relay_hub, moves_only_the_workers_of_a_lost_relay) {
     hub_world world;
     constexpr std::uint32_t third = 0x0a030004;
-    world.hear(near, "near");
-    world.hear(far, "far");
-    world.hear(third, "third");
+    world.announce(near, "near");
+    world.announce(far, "far");
+    world.announce(third, "third");
     std::map<std::uint64_t, std::uint32_t> before;
     for (std::uint64_t worker_hash = 0; worker_hash < 300; ++worker_hash) {
         before[worker_hash] = *world.hub.pick("elsewhere", worker_hash);
     }
     world.now += world.settings.peer_timeout;
-    world.hear(near, "near");
-    world.hear(far, "far");
+    world.announce(near, "near");
+    world.announce(far, "far");
     world.now += milliseconds{1};
     static_cast<void>(world.hub.take_lost(world.now));
     int moved_to_near = 0;
@@ -203,23 +202,23 @@
     EXPECT_GT(moved_to_far, 20);
 }
 
-TEST(relay_hub, gives_an_order_up_whose_time_is_over_at_a_relay_that_is_there) {
+TEST(relay_hub, times_out_an_order_at_a_relay_that_is_alive) {
     hub_world world;
-    world.hear(near, "near");
+    world.announce(near, "near");
     ASSERT_TRUE(world.hub.add(make_start("w1", 0), "near", 1, world.now));
     static_cast<void>(world.take_numbers());
     for (int turn = 0; turn < 12; ++turn) {
         world.now += milliseconds{100};
-        world.hear(near, "near");
+        world.announce(near, "near");
     }
     const auto lost = world.hub.take_lost(world.now);
     ASSERT_EQ(lost.size(), 1U);
     EXPECT_EQ(lost[0].outcome.failure, order_failure::unanswered);
 }
 
-TEST(relay_hub, takes_no_answer_that_is_for_another_leader) {
+TEST(relay_hub, ignores_an_answer_for_another_leader) {
     hub_world world;
-    world.hear(near, "near");
+    world.announce(near, "near");
     ASSERT_TRUE(world.hub.add(make_hold("w1"), "near", 1, world.now));
     job_wire::relay_answers old;
     old.set_term(term - 1);
@@ -231,7 +230,7 @@
 
 TEST(relay_hub, writes_a_payload_once_a_frame) {
     hub_world world;
-    world.hear(near, "near");
+    world.announce(near, "near");
     const std::string payload(4000, 'x');
     for (std::uint32_t index = 0; index < 40; ++index) {
         ASSERT_TRUE(world.hub.add(make_start("w1", index, payload), "near", 1, world.now));
@@ -242,9 +241,9 @@
     EXPECT_LT(frames[0].orders->ByteSizeLong(), 2 * payload.size());
 }
 
-TEST(relay_hub, gathers_orders_into_few_frames) {
+TEST(relay_hub, batches_orders_into_few_frames) {
     hub_world world;
-    world.hear(near, "near");
+    world.announce(near, "near");
     std::size_t frames = 0;
     for (int turn = 0; turn < 1000; ++turn) {
         world.now += std::chrono::microseconds{100};
--- a/unit_tests/relay/relay_term_test.cpp
+++ b/unit_tests/relay/relay_term_test.cpp
@@ -1,4 +1,4 @@
-// Answers that a relay sends under another term than the one in which the order was given.
+// Answers whose term differs from the term in which the order was sent.
 #include "poplarpitch/relay/relay_codec.h"
 #include "poplarpitch/relay/relay_hub.h"
 #include "poplarpitch/wire/scheduling.pb.h"
@@ -11,16 +11,16 @@
 constexpr std::uint32_t relay_ip = 0x0a010002;
 constexpr log_term term = 7;
 
-job_wire::relay_answers make_answers(log_term told) {
+job_wire::relay_answers make_answers(log_term answer_term) {
     job_wire::relay_answers frame;
-    frame.set_term(told);
+    frame.set_term(answer_term);
     frame.set_ip(relay_ip);
     frame.set_data_centre("near");
     frame.set_version(relay_version);
     return frame;
 }
 
-TEST(relay_term, is_that_of_the_order_in_every_answer) {
+TEST(relay_term, ignores_answers_of_another_term) {
     const time_point now{seconds{100}};
     relay_hub hub{relay_settings{}};
     hub.lead(term);
