--- a/poplarpitch/scheduler/caller_service.h
+++ b/poplarpitch/scheduler/caller_service.h
@@ -15,19 +15,21 @@
 
 namespace poplarpitch {
 
-/// Answers what callers ask: submission, state, cancelling, and how many jobs of a queue wait. Entry
-/// instances relay to the leader, which alone knows the newest configuration and every accepted job. Thread
-/// safety: the loop's thread.
+/// Handles the requests of callers: submitting a job, getting its state, cancelling it, and counting the
+/// pending jobs of a queue.
+///
+/// Entry instances relay requests to the leader, because only the leader knows the newest configuration and
+/// every accepted job. Thread safety: the loop's thread.
 template <scheduler_dialect Dialect>
 class caller_service {
 public:
-    /// Called once. `taken` is false when nothing was done; a status of 0 says that the outcome is unknown.
+    /// Called once. `taken` is false when nothing was done; a status of 0 means that the outcome is unknown.
     using answer_handler = std::function<void(const job_wire::relay_answer&)>;
 
-    /// Precondition: the parts outlive the object.
+    /// Precondition: `parts` outlives the object.
     explicit caller_service(scheduler_parts& parts) : m_parts(parts) {}
 
-    /// Answers a relayed request.
+    /// Handles a relayed request.
     void handle(const job_wire::relay_request& request, const answer_handler& on_answer) {
         job_wire::relay_answer answer;
         answer.set_number(request.number());
@@ -79,7 +81,8 @@
         on_answer(answer);
     }
 
-    /// Turns what became of a command into an answer: an unknown outcome is never told as a refusal.
+    /// Returns a handler that answers with a command's commit result. An unknown outcome is never answered as
+    /// a refusal.
     static auto make_result_handler(job_wire::relay_answer answer, answer_handler on_answer) {
         return [answer = std::move(answer), on_answer = std::move(on_answer)](commit_result outcome) mutable {
             answer.set_taken(outcome != commit_result::not_proposed);
@@ -100,10 +103,11 @@
     void submit(const job_wire::relay_request& request, const queue_settings& queue, job_id id,
                 const job_wire::relay_answer& answer, const answer_handler& on_answer) {
         if (find(queue, id) != nullptr) {
-            finish(answer, 200, "", on_answer); // sent again
+            finish(answer, 200, "", on_answer); // a repeated request
             return;
         }
-        // Sent again while the first one is on its way into the log: to refuse it now could be untrue.
+        // A repeated request, sent while the command of the first one is being committed, must not be
+        // refused: the job may be accepted.
         const bool is_submitting = m_submitting.contains(id);
         const auto open = static_cast<std::int64_t>(m_parts.dispatch.count_open());
         if (!is_submitting && open >= m_parts.settings.dispatch.max_open_jobs) {
@@ -155,14 +159,14 @@
         finish(std::move(answer), 429, "", on_answer);
     }
 
-    /// The job was not taken: its caller is told when to come back.
+    /// Answers that the job was not admitted, with the time after which to retry.
     static void refuse(job_id id, const admission& decision, job_wire::relay_answer answer,
                        const answer_handler& on_answer) {
         const bool is_quota = decision.what == admission::verdict::lasting_quota;
         log_event(log_level::info, "job_refused")
             .add("job", format_job_id(id))
-            .add("reason",
-                 is_quota ? "jobs that last reserve their share of the pool" : "the leader is behind")
+            .add("reason", is_quota ? "long-running jobs have reserved their share of the pool"
+                                    : "the leader is behind")
             .add("lag_ms", to_milliseconds(decision.lag))
             .add("wanted_millicores", decision.wanted)
             .add("reserved_millicores", decision.reserved)
@@ -171,9 +175,9 @@
         answer_retry_later(decision.retry_after, std::move(answer), on_answer);
     }
 
-    /// Too many jobs are open to keep another: the caller is told when to come back. Below that bound every
-    /// job is taken, also under a burst: late is worth more to its caller than never, and what can still be
-    /// in time goes first.
+    /// Answers that too many jobs are open, with the time after which to retry. Below that bound every job is
+    /// accepted, also during a burst: a late job is worth more to its caller than none, and jobs that can
+    /// still meet their deadline go first.
     static void refuse_for_overload(job_id id, std::int64_t open, job_wire::relay_answer answer,
                                     const answer_handler& on_answer) {
         log_event(log_level::warn, "job_refused")
@@ -220,7 +224,7 @@
     }
 
     scheduler_parts& m_parts;
-    absl::flat_hash_set<job_id> m_submitting; ///< taken and on their way into the log
+    absl::flat_hash_set<job_id> m_submitting; ///< accepted, but not committed yet
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/command_batcher.h
+++ b/poplarpitch/scheduler/command_batcher.h
@@ -22,16 +22,16 @@
 class replica;
 struct log_entry;
 
-/// What became of a command.
+/// Result of committing a command.
 enum class commit_result : std::uint8_t {
-    applied,      ///< committed now or before
-    refused,      ///< committed, but it did not fit what came before it
-    not_proposed, ///< this instance does not lead; the command is nowhere
-    unknown,      ///< leadership was lost on the way: it may still be committed
+    applied,      ///< committed, by this proposal or an earlier one
+    refused,      ///< committed, but refused by the state after the commands before it
+    not_proposed, ///< this instance does not lead; the command is not in the log
+    unknown,      ///< leadership was lost meanwhile; the command may still be committed
 };
 
-/// Gathers commands and commits them in batches: one log entry, one sync and one message to each follower for
-/// all that came while the last batch was on its way.
+/// Commits commands in batches. All commands that arrive while a batch is being committed go into the next
+/// one, which takes one log entry, one sync and one message to each follower.
 ///
 /// Load pattern: 200 to 1,500 task starts a second, each with two commands, at 6 ms a sync. Thread safety:
 /// the loop's thread, for all methods.
@@ -39,11 +39,11 @@
 public:
     using result_handler = std::function<void(commit_result)>;
 
-    /// The log refuses a proposal beyond what it keeps uncommitted, and what is refused is lost. While a disk
-    /// hangs for seconds more than that may be gathered.
+    /// Limits a batch, because the log refuses a proposal beyond its limit of uncommitted bytes and refused
+    /// commands are lost. While a disk hangs for seconds, more than that limit may be pending.
     static constexpr std::size_t max_batch_bytes = 1U << 20;
 
-    /// Precondition: loop, log and book outlive the batcher; the log takes twice `max_bytes` uncommitted.
+    /// Preconditions: loop, log and book outlive the batcher; the log accepts twice `max_bytes` uncommitted.
     command_batcher(event_loop& loop, replica& log, job_book& book, std::size_t max_bytes = max_batch_bytes);
     ~command_batcher();
     command_batcher(const command_batcher&) = delete;
@@ -51,22 +51,24 @@
 
     /// Adds a command to the next batch; `on_result`, which may be empty, is called once.
     void add(job_wire::job_command command, result_handler on_result);
-    /// Returns true when the next flush proposes what is gathered until then.
+    /// Returns true when the next flush will propose the pending commands.
     [[nodiscard]] bool can_flush() const { return m_in_flight == 0; }
-    /// Proposes what was gathered, as much as one entry of the log may hold, unless a batch is on its way.
+    /// Proposes the pending commands, up to the limit of a batch. Does nothing while a batch is in flight.
     void flush();
-    /// Applies a committed batch to the book and appends what it changed to `events`.
+    /// Applies a committed batch to the book and appends the changes to `events`.
     void apply(const log_entry& entry, std::vector<book_event>& events);
-    /// Gives up what was gathered and not proposed.
+    /// Drops the commands that were not proposed. Their result is `not_proposed`.
     void drop_pending();
 
-    /// Returns how many batches were committed, and how many commands in them.
+    /// Returns the number of committed batches.
     [[nodiscard]] std::uint64_t get_batches() const { return m_batches; }
+    /// Returns the number of commands in all committed batches.
     [[nodiscard]] std::uint64_t get_commands() const { return m_commands; }
 
 private:
-    /// Returns how many of the gathered commands the next batch holds, at least one of some.
+    /// Returns how many pending commands go into the next batch: at least one when there are any.
     [[nodiscard]] std::size_t count_next_batch() const;
+    /// Calls the handlers of a batch with the result of each command.
     void on_batch_result(const std::vector<result_handler>& handlers, bool is_applied, bool is_refused);
 
     event_loop& m_loop;
@@ -74,8 +76,8 @@
     job_book& m_book;
     std::size_t m_max_bytes;
     std::unique_ptr<job_wire::job_command_batch> m_pending;
-    std::vector<result_handler> m_handlers;  ///< one for each gathered command
-    std::vector<command_outcome> m_outcomes; ///< of the batch applied last
+    std::vector<result_handler> m_handlers;  ///< one for each pending command
+    std::vector<command_outcome> m_outcomes; ///< of the last applied batch
     int m_in_flight = 0;
     std::uint64_t m_batches = 0;
     std::uint64_t m_commands = 0;
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -17,15 +17,15 @@
 
 namespace poplarpitch {
 
-/// Answers workers and operators. An instance that does not lead sends them to the one that does; one that
-/// cannot be sure that it leads says so. Thread safety: the loop's thread.
+/// Handles the requests of workers and operators. An instance that does not lead redirects them to the
+/// leader, or answers 503 when it knows none. Thread safety: the loop's thread.
 template <scheduler_dialect Dialect>
 class control_service {
 public:
-    /// Precondition: the parts and the agent outlive the object.
+    /// Precondition: `parts` and `agent` outlive the object.
     control_service(scheduler_parts& parts, relay_agent& agent) : m_parts(parts), m_agent(agent) {}
 
-    /// Answers a request.
+    /// Handles a request.
     void handle(http_request request, http_responder respond) {
         auto call = Dialect::read_control_call(request);
         if (!m_parts.may_answer()) {
@@ -45,8 +45,8 @@
         return response;
     }
 
-    /// Takes a heartbeat for the leader. One that says that its worker leaves is the leader's to answer: it
-    /// has to be committed first.
+    /// Accepts a heartbeat on behalf of the leader. Returns false for any other call, and for a heartbeat of
+    /// a worker that is leaving: only the leader can answer it, after a commit.
     bool try_relay(const control_call& call, const http_responder& respond) {
         const auto now = m_parts.loop.now();
         const auto* heartbeat = std::get_if<heartbeat_call>(&call);
@@ -58,7 +58,7 @@
         return true;
     }
 
-    /// Names the instance that is to take a worker's later heartbeats.
+    /// Returns the body that tells a worker where to send its later heartbeats.
     [[nodiscard]] std::string make_heartbeat_answer(std::uint32_t ip) const {
         const auto port = static_cast<std::uint16_t>(m_parts.settings.control_port);
         return Dialect::format_heartbeat_answer(format_address({ip, port}));
@@ -68,7 +68,7 @@
         const auto leader = m_parts.log.get_leader_ip();
         const bool is_self = format_ip(leader) == m_parts.settings.replica.host;
         if (leader == 0 || is_self) {
-            return make_error_response(503, "no_leader", "no instance leads at present");
+            return make_error_response(503, "no_leader", "there is no leader at present");
         }
         auto response = make_response(307);
         const auto port = static_cast<std::uint16_t>(m_parts.settings.control_port);
@@ -76,14 +76,15 @@
         return response;
     }
 
-    /// Turns what became of a command into an answer: an unknown outcome is never told as a refusal.
+    /// Returns a handler that answers with a command's commit result. An unknown outcome is never answered as
+    /// a refusal.
     static auto make_result_handler(std::string body, http_responder respond) {
         return [body = std::move(body), respond = std::move(respond)](commit_result outcome) {
             if (outcome == commit_result::applied) {
                 respond(make_response(200, body));
                 return;
             }
-            respond(make_error_response(503, "unknown", "leadership was lost; send it again"));
+            respond(make_error_response(503, "unknown", "leadership was lost; retry the request"));
         };
     }
 
@@ -121,7 +122,7 @@
             .add("held", current_version)
             .add("queues", static_cast<std::uint64_t>(call.configuration.queues.size()));
         if (call.configuration.version <= current_version) {
-            respond(make_response(200)); // overtaken or sent again
+            respond(make_response(200)); // a newer version is in force, or a repeated request
             return;
         }
         job_wire::job_command command;
@@ -133,7 +134,8 @@
         m_parts.log.read([this, respond = std::move(respond)](bool is_confirmed) {
             const auto& configuration = m_parts.book.get_configuration();
             if (!is_confirmed || configuration.version == 0) {
-                respond(make_error_response(503, "unsure", "the newest configuration is not known here"));
+                respond(
+                    make_error_response(503, "unsure", "the newest configuration cannot be confirmed here"));
                 return;
             }
             respond(make_response(200, configuration.document));
--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -21,10 +21,10 @@
 
 namespace poplarpitch {
 
-/// A scheduler instance: keeps its part of the replicated log, and schedules while it leads.
+/// A scheduler instance: takes part in the replicated log, and schedules while it leads.
 ///
-/// One thread does all: the instances have one core, and a thread for traffic would add a wake-up to each
-/// message. Thread safety: none.
+/// One thread runs everything: the instances have one core, and a separate I/O thread would add a wake-up to
+/// each message. Thread safety: none.
 template <scheduler_dialect Dialect>
 class scheduler_daemon {
 public:
@@ -43,7 +43,8 @@
     /// Runs until SIGTERM. Returns the process's exit code.
     int run() {
         auto& loop = m_parts.loop;
-        loop.on_turn_end([this] { flush(); }); // before the log's own turn, so one turn proposes and syncs
+        loop.on_turn_end(
+            [this] { flush(); }); // before the log's handler, so that one turn proposes and syncs
         const auto started = m_parts.log.start();
         const auto port = m_listener.start();
         if (!started || !port) {
@@ -59,7 +60,7 @@
         loop.on_signal(SIGTERM, [this] { stop(); });
         loop.on_signal(SIGINT, [this] { stop(); });
         loop.on_signal(SIGHUP, [] {
-            log_event(log_level::info, "reload_ignored").add("reason", "seeds only count at the start");
+            log_event(log_level::info, "reload_ignored").add("reason", "seeds are read at startup only");
         });
         log_event(log_level::info, "started")
             .add("id", m_parts.settings.id)
@@ -73,7 +74,7 @@
 
 private:
     static constexpr int start_failed_exit_code = 1;
-    static constexpr duration tick_interval = milliseconds{10}; // of a leader with work; timers are this late
+    static constexpr duration tick_interval = milliseconds{10}; // of a leader; its timers may be this late
     static constexpr duration idle_interval = milliseconds{200};
 
     static http_listener_settings make_listener_settings(const scheduler_settings& settings) {
@@ -102,7 +103,7 @@
             m_agent.on_leading(term);
             m_parts.relays.lead(term);
             m_parts.dispatch.lead(term, m_parts.loop.now(), get_wall_ms());
-            m_parts.loop.post([] {}); // another turn sends what that asked for
+            m_parts.loop.post([] {}); // wakes the loop to send the new orders
         };
         handler.on_leading_lost = [this] {
             m_parts.relays.retire();
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Takes a frame of the leader that this instance relays for.
+    /// Handles a frame of orders from the leader.
     void on_orders(const job_wire::relay_orders& frame,
                    const std::function<void(const job_wire::cluster_frame&)>& reply) {
         if (auto refusal = m_agent.on_orders(frame, m_parts.loop.now()); refusal.has_value()) {
@@ -173,7 +174,7 @@
         m_reply_to_leader = reply;
     }
 
-    /// Tells the leader what there is to tell, a few frames a hundredth of a second at most.
+    /// Sends due answers and heartbeats to the leader, at most a few frames in 10 ms.
     void send_answers() {
         if (auto answers = m_agent.take_answers(m_parts.loop.now()); answers.has_value()) {
             job_wire::cluster_frame frame;
@@ -211,7 +212,7 @@
     std::vector<book_event> m_events;
     scheduler_parts m_parts;
     worker_link<Dialect> m_link;
-    relay_agent m_agent; ///< while another instance leads
+    relay_agent m_agent; ///< in use while another instance leads
     std::function<void(const job_wire::cluster_frame&)> m_reply_to_leader;
     timer_id m_answer_timer = 0;
     worker_orders<Dialect> m_orders;
--- a/poplarpitch/scheduler/scheduler_dialect.h
+++ b/poplarpitch/scheduler/scheduler_dialect.h
@@ -14,7 +14,8 @@
 
 namespace poplarpitch {
 
-/// The names, formats and calls that a deployment's callers, workers and operators use.
+/// Converts between the requests and formats of a deployment's callers, workers and operators, and the
+/// scheduler's own types.
 template <class T>
 concept scheduler_dialect = requires(const std::string& text, const http_request& request,
                                      const http_response& response, const hold_order& hold,
--- a/poplarpitch/scheduler/scheduler_metrics.h
+++ b/poplarpitch/scheduler/scheduler_metrics.h
@@ -9,13 +9,13 @@
 struct job_timing;
 struct scheduler_parts;
 
-/// The metrics of a scheduler instance: histograms by queue as things happen, counters and gauges when they
-/// are asked for. Thread safety: the loop's thread.
+/// The metrics of a scheduler instance. Histograms by queue are updated by `observe`; counters and gauges are
+/// read when the metrics are formatted. Thread safety: the loop's thread.
 class scheduler_metrics {
 public:
-    /// Notes how long something in a job's life took.
+    /// Records the duration of a phase of a job.
     void observe(const job_timing& timing);
-    /// Returns everything as Prometheus text.
+    /// Returns all metrics in the Prometheus text format.
     [[nodiscard]] std::string format(const scheduler_parts& parts);
 
 private:
--- a/poplarpitch/scheduler/scheduler_parts.h
+++ b/poplarpitch/scheduler/scheduler_parts.h
@@ -12,7 +12,7 @@
 
 namespace poplarpitch {
 
-/// The parts of a scheduler instance that its services share. All live on the loop's thread.
+/// The components of a scheduler instance that its services share. All are used on the loop's thread only.
 struct scheduler_parts {
     explicit scheduler_parts(const scheduler_settings& chosen, replica_handler handler)
         : settings(chosen), log(loop, settings.replica, std::move(handler)), batcher(loop, log, book),
@@ -25,9 +25,10 @@
     command_batcher batcher;
     dispatcher dispatch;
     http_caller caller;
-    relay_hub relays; ///< while this instance leads
+    relay_hub relays; ///< in use while this instance leads
 
-    /// Returns true when this instance may answer for the whole system. Thread safety: the loop's thread.
+    /// Returns true when this instance leads and holds the leader's lease, so that it may answer for the
+    /// whole system. Thread safety: the loop's thread.
     [[nodiscard]] bool may_answer() const { return log.is_leading() && log.has_lease(); }
 };
 
--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -95,7 +95,7 @@
         reader.finish();
     }
     if (!has_instance || !has_control) {
-        parsed.errors.push_back({0, "the sections [instance] and [control] are needed"});
+        parsed.errors.push_back({0, "the sections [instance] and [control] are required"});
     }
     return parsed;
 }
--- a/poplarpitch/scheduler/scheduler_settings.h
+++ b/poplarpitch/scheduler/scheduler_settings.h
@@ -18,13 +18,13 @@
     std::string id; ///< name of this instance, unique among all
     std::string data_centre = "default";
     std::string log_level = "info";
-    std::string control_host = "127.0.0.1"; ///< where workers and operators call
+    std::string control_host = "127.0.0.1"; ///< address on which workers and operators call
     int control_port = 0;
-    std::string advice_address;      ///< of the advice service; empty where there is none
+    std::string advice_address;      ///< of the advice service; empty if there is none
     int metrics_port = 0;            ///< 0: no metrics are served
-    duration stop_wait = seconds{2}; ///< at a stop: how long answers under way may take
-    std::size_t max_accepted = 1750; ///< connections of workers and operators; the share of 6,000 descriptors
-    http_caller_settings caller;     ///< its bound comes from the descriptors that the process may have
+    duration stop_wait = seconds{2}; ///< during a stop: how long to wait for open requests
+    std::size_t max_accepted = 1750; ///< connections of workers and operators, out of 6,000 descriptors
+    http_caller_settings caller;     ///< its connection limit is derived from the process's file descriptors
     relay_settings relay;
     replica_settings replica;
     dispatch_settings dispatch;
@@ -32,13 +32,13 @@
     friend bool operator==(const scheduler_settings&, const scheduler_settings&) = default;
 };
 
-/// Settings, or every reason why the text does not give them.
+/// Parsed settings, or all errors in the text.
 struct parsed_scheduler_settings {
     scheduler_settings value;
     std::vector<config_error> errors;
 };
 
-/// Reads the settings of a scheduler instance. Thread safety: any thread.
+/// Parses the settings of a scheduler instance. Thread safety: any thread.
 [[nodiscard]] parsed_scheduler_settings parse_scheduler_settings(std::string_view text);
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -17,23 +17,24 @@
 
 namespace poplarpitch {
 
-/// Carries orders to workers by the deployment's calls.
+/// Sends orders to workers with the deployment's HTTP requests.
 ///
-/// An acknowledgement names a worker's id on the wire and no life of it, and the next life would forget ends
-/// that it has yet to tell. So it goes only over a connection that was open before the life that is meant
-/// answered a call for its list: lives follow one another, and a connection ends with the life that accepted
-/// it. Where there is none, the list is asked for without it, and the life that answers is told later. Thread
-/// safety: the loop's thread.
+/// An acknowledgement of ended runs carries a worker's id on the wire, but not which life (process) of the
+/// worker it is for. Received by the next life, it would make that life drop ends that it has not listed yet.
+/// So an acknowledgement is sent only over a connection that was open before the intended life answered a
+/// request for its list: the lives of a worker follow one another, and a connection ends with the life that
+/// accepted it. Where there is no such connection, the list is requested without an acknowledgement, and the
+/// life that answers gets it later. Thread safety: the loop's thread.
 template <scheduler_dialect Dialect>
 class worker_link {
 public:
     using outcome_handler = std::function<void(hold_outcome)>;
 
-    /// Precondition: the loop and the caller outlive the object.
+    /// Precondition: `loop` and `caller` outlive the object.
     worker_link(event_loop& loop, http_caller& caller) : m_loop(loop), m_caller(caller) {}
 
     /// Sends an order; `on_outcome` is called once, in a later turn. Only the answer to a hold has lists.
-    /// Precondition: the order is none for the advice service.
+    /// Precondition: the order is not for the advice service.
     void send(const worker_order& order, outcome_handler on_outcome) {
         std::visit(
             [&](const auto& item) {
@@ -56,14 +57,14 @@
                                                                : order_failure::unanswered;
     }
 
-    /// What ends runs and what keeps leases goes first, what only tunes goes last.
+    /// Orders that end runs or renew leases go first; orders that only tune a run go last.
     static call_importance get_importance(const hold_order& /*order*/) { return call_importance::high; }
     static call_importance get_importance(const start_order& /*order*/) { return call_importance::normal; }
     static call_importance get_importance(const stop_order& /*order*/) { return call_importance::high; }
     static call_importance get_importance(const pace_order& /*order*/) { return call_importance::low; }
 
-    /// Returns true where a start that was repeated was refused, and the refusal says nothing of the attempt
-    /// before it. The run's own end and another life do.
+    /// Returns true when the refusal of a repeated start does not tell whether the earlier attempt succeeded.
+    /// A refusal because the run is old, or because another life of the worker answered, does tell.
     static bool is_inconclusive(const http_response& response, const std::optional<order_failure>& failure) {
         const bool is_refused =
             failure.has_value() && failure != order_failure::old_run && failure != order_failure::other_life;
@@ -89,14 +90,14 @@
         }
     }
 
-    /// A life that answered a call for its list.
+    /// The life of a worker that answered a request for its list, and when the request was sent.
     struct answered_list {
         worker_life life;
         time_point requested_at{};
     };
 
     void send_hold(const hold_order& order, outcome_handler on_outcome) {
-        const bool has_one_life = order.target.worker.born_ms == 0; // its id names it
+        const bool has_one_life = order.target.worker.born_ms == 0; // the id alone identifies it
         if (order.acknowledged == 0 || has_one_life) {
             request_list(order, make_call(order), std::move(on_outcome));
             return;
@@ -137,7 +138,7 @@
 
     void record_list(const order_target& target, std::int64_t born_ms, time_point requested_at) {
         if (m_lists.size() >= max_lists) {
-            m_lists.clear(); // acknowledgements wait for one list more
+            m_lists.clear(); // acknowledgements are delayed until the next list
         }
         m_lists[target.address] = {{target.worker.id, born_ms}, requested_at};
     }
@@ -162,11 +163,11 @@
                       });
     }
 
-    static constexpr std::size_t max_lists = 20'000; // addresses; twice the workers to come
+    static constexpr std::size_t max_lists = 20'000; // addresses; twice the planned number of workers
 
     event_loop& m_loop;
     http_caller& m_caller;
-    absl::flat_hash_map<std::string, answered_list> m_lists; ///< the last one at each address
+    absl::flat_hash_map<std::string, answered_list> m_lists; ///< the last answer from each address
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/worker_orders.h
+++ b/poplarpitch/scheduler/worker_orders.h
@@ -12,16 +12,17 @@
 
 namespace poplarpitch {
 
-/// Carries the dispatcher's orders to the workers, by a relay where there is one, and their answers back.
-/// Thread safety: the loop's thread.
+/// Sends the dispatcher's orders to the workers, through a relay where there is one, and passes the answers
+/// to the dispatcher. Thread safety: the loop's thread.
 template <scheduler_dialect Dialect>
 class worker_orders {
 public:
-    /// Precondition: the parts and the link outlive the object.
+    /// Precondition: `parts` and `link` outlive the object.
     worker_orders(scheduler_parts& parts, worker_link<Dialect>& link) : m_parts(parts), m_link(link) {}
 
-    /// Sends what the dispatcher wants sent. Nothing leaves without the leader's lease, since another
-    /// instance may lead by now: the orders wait until it is back, and go with the leadership.
+    /// Sends the dispatcher's pending orders. Nothing is sent without the leader's lease, since another
+    /// instance may lead by now. The orders wait until the lease is renewed, and are dropped when leadership
+    /// is lost.
     void send_all() {
         if (!m_parts.may_answer()) {
             return;
@@ -35,7 +36,7 @@
         send_frames();
     }
 
-    /// Takes what a relay says. Precondition: this instance leads.
+    /// Processes a frame of answers and heartbeats from a relay. Precondition: this instance leads.
     void on_answers(const job_wire::relay_answers& frame) {
         const auto now = m_parts.loop.now();
         for (const auto& outcome : m_parts.relays.on_answers(frame, now)) {
@@ -68,6 +69,7 @@
             });
     }
 
+    /// Queues an order for a relay. Returns false when the order has to be sent directly.
     bool try_relay(const worker_order& order) {
         const auto* worker = m_parts.dispatch.find_worker_state(get_order_target(order)->worker);
         return worker != nullptr &&
@@ -91,6 +93,7 @@
         }
     }
 
+    /// Passes an order's outcome to the dispatcher.
     void deliver(const relayed_outcome& item) {
         const auto now = m_parts.loop.now();
         const auto& order = item.order;
