--- a/unit_tests/scheduler/command_batcher_test.cpp
+++ b/unit_tests/scheduler/command_batcher_test.cpp
@@ -1,4 +1,4 @@
-// Commands that were gathered while the log stood still.
+// Commands that became pending while a batch was in flight.
 #include "poplarpitch/scheduler/command_batcher.h"
 
 #include "poplarpitch/net/event_loop.h"
@@ -17,12 +17,12 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration test_timeout = seconds{60};          // bounds a failure; no test reaches it when it passes
-constexpr std::size_t max_uncommitted_bytes = 8U << 10; // bytes that the log keeps without a commit
+constexpr duration test_timeout = seconds{60};          // reached only when the test fails
+constexpr std::size_t max_uncommitted_bytes = 8U << 10; // limit of the log
 constexpr std::size_t max_bytes = 1U << 10;             // of a batch
 constexpr std::size_t payload_bytes = 3U << 10;
 
-/// A folder that goes with the test.
+/// A temporary folder, removed with the object.
 class temporary_folder {
 public:
     temporary_folder() : m_path(testing::TempDir() + "command_batcher_" + std::to_string(::getpid())) {
@@ -45,7 +45,7 @@
     return command;
 }
 
-TEST(command_batcher, loses_no_command_where_more_is_gathered_than_the_log_takes_at_once) {
+TEST(command_batcher, loses_no_command_where_more_is_pending_than_the_log_accepts_at_once) {
     const temporary_folder folder;
     event_loop loop;
     job_book book;
@@ -54,7 +54,7 @@
     settings.seeds = {settings.host};
     settings.may_found = true;
     settings.raft.max_uncommitted_bytes = max_uncommitted_bytes;
-    std::vector<commit_result> results; // under the present leadership
+    std::vector<commit_result> results; // in the present term of leadership
     std::vector<commit_result> outcome;
     command_batcher* batcher = nullptr;
     replica_handler handler;
@@ -67,7 +67,7 @@
     };
     handler.on_load = [](const std::string& /*bytes*/) {
     };
-    int leaderships = 0; // on a machine that stands still one may be lost
+    int leaderships = 0; // counts lost leaderships; a stalled machine may cause one
     handler.on_leading_lost = [&] {
         ++leaderships;
         batcher->drop_pending();
--- a/unit_tests/scheduler/relayed_room_test.cpp
+++ b/unit_tests/scheduler/relayed_room_test.cpp
@@ -1,10 +1,10 @@
-// What the leader believes of a worker's room when its heartbeats come by several instances.
+// The leader's view of a worker's capacity when its heartbeats arrive through several relays.
 //
-// A relay tells the leader a worker's whole report once, and later only that nothing is new since. A worker
-// whose heartbeats went by one relay, then another, then the first again was believed what the other one had
-// told: its room of 4 cores stood as 8 at the leader, until it changed again. So it did when the one frame
-// with the whole report was lost with its connection. Now "nothing new" names the report that it repeats, and
-// the leader asks for the whole one where it knows another.
+// A relay sends a worker's full report once, and later only that nothing has changed. A worker that moved
+// from one relay to another and back kept the capacity that the other relay had reported, 8 cores instead of
+// 4, until its capacity changed again. The same happened when the one frame with the full report was lost
+// with its connection. So an unchanged report names the full report that it repeats, and the leader requests
+// the full report where it has another one.
 #include "poplarpitch/dispatch/dispatcher.h"
 #include "poplarpitch/relay/relay_agent.h"
 #include "poplarpitch/relay/relay_codec.h"
@@ -21,28 +21,28 @@
 constexpr std::int64_t large = 8000; // millicores
 constexpr std::int64_t small = 4000;
 
-/// A leader and two relays that pass heartbeats on to it.
+/// A leader and two relays that forward heartbeats to it.
 class relayed_world {
 public:
     relayed_world() : leader(dispatch_settings{}, m_book), first(make_agent(1)), second(make_agent(2)) {
         leader.lead(1, m_now, 0);
-        greet(first);
-        greet(second);
+        send_leader_frame(first);
+        send_leader_frame(second);
     }
 
-    /// Lets a heartbeat of the one worker come to a relay, and what the relay says to the leader.
-    void beat(relay_agent& relay, std::int64_t millicores) {
-        hear(relay, millicores);
-        pass_on(relay);
+    /// Delivers a heartbeat of the only worker to a relay, and the relay's frames to the leader.
+    void send_heartbeat(relay_agent& relay, std::int64_t millicores) {
+        receive_heartbeat(relay, millicores);
+        forward_to_leader(relay);
     }
-    /// Lets a heartbeat come to a relay whose frame is lost on its way to the leader.
-    void beat_in_vain(relay_agent& relay, std::int64_t millicores) {
-        hear(relay, millicores);
-        greet(relay);
+    /// Delivers a heartbeat to a relay, and loses the relay's frame to the leader.
+    void send_lost_heartbeat(relay_agent& relay, std::int64_t millicores) {
+        receive_heartbeat(relay, millicores);
+        send_leader_frame(relay);
         m_now += m_settings.min_frame_interval;
         EXPECT_TRUE(relay.take_answers(m_now).has_value());
     }
-    [[nodiscard]] std::int64_t get_believed() const {
+    [[nodiscard]] std::int64_t get_known_millicores() const {
         return leader.find_worker_state({"w1", 0})->report.capacity.millicores;
     }
 
@@ -63,14 +63,14 @@
                            [](const worker_order&, const relay_agent::outcome_handler&) {});
     }
 
-    void greet(relay_agent& relay, const std::vector<std::string>& unknown = {}) {
+    void send_leader_frame(relay_agent& relay, const std::vector<std::string>& unknown = {}) {
         job_wire::relay_orders frame;
         frame.set_term(1);
         frame.mutable_unknown_workers()->Add(unknown.begin(), unknown.end());
         EXPECT_FALSE(relay.on_orders(frame, m_now).has_value());
     }
 
-    void hear(relay_agent& relay, std::int64_t millicores) {
+    void receive_heartbeat(relay_agent& relay, std::int64_t millicores) {
         worker_report report;
         report.life = {"w1", 0};
         report.address = "10.9.0.1:80";
@@ -81,10 +81,10 @@
         relay.on_report(report, m_now);
     }
 
-    void pass_on(relay_agent& relay) {
+    void forward_to_leader(relay_agent& relay) {
         std::vector<std::string> unknown;
         do {
-            greet(relay, std::exchange(unknown, {}));
+            send_leader_frame(relay, std::exchange(unknown, {}));
             m_now += m_settings.min_frame_interval;
             const auto frame = relay.take_answers(m_now).value_or(job_wire::relay_answers{});
             for (const auto& report : frame.reports()) {
@@ -98,21 +98,21 @@
     }
 };
 
-TEST(relayed_room, is_what_the_worker_told_last_by_whichever_relay) {
+TEST(relayed_room, is_what_the_worker_reported_last_through_any_relay) {
     relayed_world world;
-    world.beat(world.first, small);
-    world.beat(world.second, large);
-    EXPECT_EQ(world.get_believed(), large);
-    world.beat(world.first, small);
-    EXPECT_EQ(world.get_believed(), small);
+    world.send_heartbeat(world.first, small);
+    world.send_heartbeat(world.second, large);
+    EXPECT_EQ(world.get_known_millicores(), large);
+    world.send_heartbeat(world.first, small);
+    EXPECT_EQ(world.get_known_millicores(), small);
 }
 
-TEST(relayed_room, is_asked_for_again_when_the_frame_that_told_it_was_lost) {
+TEST(relayed_room, is_requested_again_when_the_frame_that_reported_it_was_lost) {
     relayed_world world;
-    world.beat(world.first, large);
-    world.beat_in_vain(world.first, small);
-    world.beat(world.first, small);
-    EXPECT_EQ(world.get_believed(), small);
+    world.send_heartbeat(world.first, large);
+    world.send_lost_heartbeat(world.first, small);
+    world.send_heartbeat(world.first, small);
+    EXPECT_EQ(world.get_known_millicores(), small);
 }
 
 } // namespace
--- a/unit_tests/scheduler/settings_test.cpp
+++ b/unit_tests/scheduler/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings of the two programs: every mistake is told with its line, and the templates of deploy/ use only
+// Settings of the two programs: every error is reported with its line, and the templates of deploy/ use only
 // known keys.
 #include "poplarpitch/core/text_file.h"
 #include "poplarpitch/gateway/gateway_settings.h"
@@ -12,7 +12,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Fills `{{name}}` in a template as the platform does.
+/// Replaces `{{name}}` in a template as the platform does.
 std::string fill(std::string text, const std::map<std::string, std::string>& values) {
     for (const auto& [name, value] : values) {
         const auto mark = "{{" + name + "}}";
@@ -67,7 +67,7 @@
     }
     EXPECT_GE(parsed.value.caller.max_connections, 3600U) << "two for each of 1,800 workers";
     EXPECT_LE(parsed.value.caller.max_connections + parsed.value.max_accepted, 6424U - 640U)
-        << "files, and a link from each of 600 entry instances";
+        << "files, and a connection from each of 600 entry instances";
 }
 
 TEST(scheduler_settings, refuses_fewer_descriptors_than_it_can_work_with) {
@@ -84,7 +84,7 @@
     EXPECT_EQ(parsed.value.dispatch.lease, seconds{3});
 }
 
-TEST(scheduler_settings, tells_every_mistake_with_its_line) {
+TEST(scheduler_settings, reports_every_error_with_its_line) {
     const auto parsed =
         parse_scheduler_settings("[instance]\nhost = here\n[control]\nlisten = 8080\nlease = 3s\n[other]\n");
     std::map<int, int> lines;
