--- a/poplarpitch/replica/founding.cpp
+++ b/poplarpitch/replica/founding.cpp
@@ -18,7 +18,7 @@
             return {founding_decision::kind::join, {}};
         }
         if (seed.phase != node_phase::founding) {
-            is_complete = false; // it joins something that we have not seen yet
+            is_complete = false; // it joins a cluster that this node has not seen yet
             continue;
         }
         members = members.with_voter(seed.node);
--- a/poplarpitch/replica/founding.h
+++ b/poplarpitch/replica/founding.h
@@ -10,22 +10,22 @@
 
 namespace poplarpitch {
 
-/// What a blank seed learned of another seed.
+/// What a blank seed knows about another seed.
 struct seed_status {
     bool is_reached = false;
     node_id node = 0;
     node_phase phase = node_phase::founding;
-    raft_membership members; ///< that it knows of; empty while it is blank
+    raft_membership members; ///< the members that it knows; empty while it is blank
 
     friend auto operator<=>(const seed_status&, const seed_status&) = default;
 };
 
-/// What a blank seed is to do.
+/// What a blank seed should do next.
 struct founding_decision {
     enum class kind : std::uint8_t {
-        wait,  ///< ask again
-        found, ///< write `members` and take part
-        join,  ///< there is a cluster without us
+        wait,  ///< request the statuses again
+        found, ///< store `members` as the founders and start the node
+        join,  ///< a cluster exists already, without this node
     };
     kind action = kind::wait;
     raft_membership members;
@@ -33,9 +33,11 @@
     friend auto operator<=>(const founding_decision&, const founding_decision&) = default;
 };
 
-/// Decides for a blank seed at the first start of the whole system. The founders are all seeds: each waits
-/// until it has seen the numbers of all others, so all write the same members. A seed that has written them
-/// already tells them to the others, in case it is the only one that has seen all. Thread safety: any thread.
+/// Decides what a blank seed does when the whole system starts for the first time.
+///
+/// All seeds are founders. Each waits until it knows the node IDs of all others, so that all store the same
+/// members. A seed that has stored them reports them in its status, because it may be the only one that has
+/// seen all others. Thread safety: any thread.
 [[nodiscard]] founding_decision decide_founding(node_id self, const std::vector<seed_status>& others);
 
 } // namespace poplarpitch
--- a/poplarpitch/replica/member_planner.cpp
+++ b/poplarpitch/replica/member_planner.cpp
@@ -7,9 +7,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration candidate_timeout = seconds{2}; // a node that joins asks several times a second
+constexpr duration candidate_timeout = seconds{2}; // a joining node sends several requests a second
 constexpr duration answer_timeout = seconds{1};    // ten heartbeats
-constexpr log_index catch_up_gap = 50;             // entries; less than what one message carries
+constexpr log_index catch_up_gap = 50;             // entries; fewer than one message carries
 
 bool is_caught_up(const membership_view& view, node_id node, time_point now) {
     const auto found = view.progress.find(node);
--- a/poplarpitch/replica/member_planner.h
+++ b/poplarpitch/replica/member_planner.h
@@ -11,7 +11,7 @@
 
 namespace poplarpitch {
 
-/// One step of a change of the members.
+/// One step of a membership change.
 struct member_step {
     enum class kind : std::uint8_t { add_learner, promote, remove };
     kind action = kind::add_learner;
@@ -20,30 +20,31 @@
     friend auto operator<=>(const member_step&, const member_step&) = default;
 };
 
-/// What the planner looks at.
+/// The input of the planner.
 struct membership_view {
     raft_membership members;
-    std::map<node_id, raft_progress> progress; ///< what the leader knows of the others
+    std::map<node_id, raft_progress> progress; ///< replication progress of the other members
     node_id self = 0;
     log_index last_index = 0;
     time_point leading_since{};
 };
 
-/// Decides how the members change: up to the wanted number of voters, lost disks and lost instances replaced.
+/// Decides how the membership changes: adds voters up to the wanted number, and replaces lost disks and lost
+/// instances.
 ///
-/// An instance that asks to join under a new number while its old one is a member has lost its disk: the old
-/// number goes first, since it can never confirm anything again and each of its kind lowers what else may be
-/// lost. A silent voter goes only when a learner that has caught up can take its place at once.
-/// Thread safety: none, as for all methods.
+/// An instance that requests to join with a new node ID while its old one is a member has lost its disk. The
+/// old ID is removed first: it can never acknowledge an entry again, and each such member lowers the number
+/// of further losses that are tolerated. A silent voter is removed only when a learner that has caught up can
+/// take its place at once. Thread safety: none, as for all methods.
 class member_planner {
 public:
     member_planner(std::size_t voters, duration voter_loss);
 
-    /// Notes that a node that is not a member asked to be one.
+    /// Called when a node that is not a member requests to join.
     void on_join(node_id node, time_point now);
-    /// Forgets who asked, at the start of a term of leadership.
+    /// Removes all candidates. Called at the start of a term of leadership.
     void clear() { m_candidates.clear(); }
-    /// Returns the next step, or nothing. One step is under way at a time.
+    /// Returns the next step, or nothing. Only one step is in progress at a time.
     [[nodiscard]] std::optional<member_step> plan(const membership_view& view, time_point now) const;
 
 private:
@@ -56,7 +57,7 @@
 
     std::size_t m_voters;
     duration m_voter_loss;
-    std::map<node_id, time_point> m_candidates; ///< when each last asked
+    std::map<node_id, time_point> m_candidates; ///< time of the last join request of each
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/replica/node_identity.h
+++ b/poplarpitch/replica/node_identity.h
@@ -13,11 +13,12 @@
 
 namespace poplarpitch {
 
+/// Name of the file in the data folder that holds the node ID.
 inline constexpr const char* node_identity_file_name = "node-id";
 
-/// Returns the node's number out of its data folder. `new_id` is written there first when the folder holds
-/// none: the number is durable before anybody hears of it. Precondition: `files` is locked. Thread safety:
-/// none.
+/// Returns the node ID stored in the data folder. When there is none, stores `new_id` first and returns it,
+/// so that the ID is durable before any other node learns of it. Precondition: `files` is locked. Thread
+/// safety: none.
 template <file_system FileSystem>
 result<node_id> load_node_identity(FileSystem& files, node_id new_id) {
     BOOST_OUTCOME_TRY(names, files.list());
@@ -27,7 +28,7 @@
         if (!text.empty() && text.back() == '\n' && absl::SimpleAtoi(text.substr(0, text.size() - 1), &id)) {
             return id;
         }
-        // Torn by a loss of power before its sync: nobody has heard of the number.
+        // Truncated by a power failure before the sync: no other node knows the ID.
         BOOST_OUTCOME_TRY(files.remove(node_identity_file_name));
     }
     BOOST_OUTCOME_TRY(files.append(node_identity_file_name, absl::StrCat(new_id, "\n")));
--- a/poplarpitch/replica/node_phase.h
+++ b/poplarpitch/replica/node_phase.h
@@ -4,11 +4,11 @@
 
 namespace poplarpitch {
 
-/// How far a control instance is in becoming a member. The numbers stand in frames between processes.
+/// Phase of a control instance on its way to membership. The values are part of the wire format.
 enum class node_phase : std::uint8_t {
-    founding = 1, ///< blank, and one of those that found the cluster
-    joining = 2,  ///< not a founder; waits to be added
-    formed = 3,   ///< has written who the founders are, or that it joins; takes part
+    founding = 1, ///< blank, and one of the founders of the cluster
+    joining = 2,  ///< not a founder; waits to be added to the cluster
+    formed = 3,   ///< has stored the founders, or that it joins; its node runs
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/replica/peer_mesh.cpp
+++ b/poplarpitch/replica/peer_mesh.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr duration connect_timeout = milliseconds{700}; // a round trip is a few milliseconds
-constexpr duration retry_pause = milliseconds{150};     // of a peer that cannot be reached
-constexpr duration silence_timeout = milliseconds{800}; // eight heartbeats without a sign of life
+constexpr duration retry_pause = milliseconds{150};     // after a failed or lost connection
+constexpr duration silence_timeout = milliseconds{800}; // eight heartbeats without a frame
 
 } // namespace
 
--- a/poplarpitch/replica/peer_mesh.h
+++ b/poplarpitch/replica/peer_mesh.h
@@ -17,24 +17,26 @@
 class event_loop;
 class frame_socket;
 
-/// Connections to other control instances by address, opened when there is something to send.
+/// Connections to other control instances by address, opened when there is a frame to send.
 ///
-/// Frames may be lost, never changed: the log sends again what matters. A connection on which nothing was
-/// heard for a while although something was sent is replaced by a fresh one, because a path can go silent for
-/// good while new connections work. Thread safety: the loop's thread, for all methods.
+/// Frames may be lost but not corrupted; the log resends what matters. A connection on which frames were sent
+/// but none was received for a while is replaced, because a network path can stay dead while new connections
+/// work. Thread safety: the loop's thread, for all methods.
 class peer_mesh {
 public:
     using frame_handler = std::function<void(std::uint32_t ip, const job_wire::cluster_frame&)>;
 
-    /// Precondition: `loop` outlives the mesh. `on_frame` gets what comes back on these connections.
+    /// `on_frame` is called with each frame received on these connections. Precondition: `loop` outlives the
+    /// mesh.
     peer_mesh(event_loop& loop, int port, frame_handler on_frame);
     ~peer_mesh();
     peer_mesh(const peer_mesh&) = delete;
     peer_mesh& operator=(const peer_mesh&) = delete;
 
-    /// Sends a frame to the instance at `ip`. Returns false when there is no connection: it was not sent.
+    /// Sends a frame to the instance at `ip`. Returns false when it was not sent, because there is no
+    /// connection.
     bool send(std::uint32_t ip, const job_wire::cluster_frame& frame);
-    /// Notes that the instance at `ip` was heard on any connection.
+    /// Called when a frame of the instance at `ip` arrived on any connection.
     void on_received(std::uint32_t ip);
 
 private:
@@ -43,7 +45,7 @@
         bool is_connecting = false;
         time_point retry_at{};
         time_point
-            first_unanswered{}; ///< when the first frame since the last sign of life was sent; zero: none
+            first_unanswered{}; ///< when the first frame after the last received one was sent; zero: none
     };
 
     void connect(std::uint32_t ip);
@@ -52,7 +54,7 @@
     int m_port;
     frame_handler m_on_frame;
     std::map<std::uint32_t, link> m_links;
-    std::shared_ptr<bool> m_is_alive; ///< false once the mesh is gone; connects under way look at it
+    std::shared_ptr<bool> m_is_alive; ///< false after destruction; checked by pending connects
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -19,9 +19,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration reported_leader_timeout = seconds{2}; // how long the word of others on the leader counts
-// Messages of other nodes kept during one sync; a leader sends some 20 a second and repeats what is lost, so
-// only a disk that stalls for long comes here.
+constexpr duration reported_leader_timeout = seconds{2}; // for the leader that other instances report
+// Messages of other nodes deferred during one sync. A leader sends about 20 a second and resends lost ones,
+// so only a disk that stalls for long reaches this limit.
 constexpr std::size_t max_deferred_messages = 256;
 
 node_id generate_node_id(std::uint32_t ip) {
@@ -219,7 +219,7 @@
         return;
     }
     if (m_deferred_messages >= max_deferred_messages) {
-        return; // as if lost on the way: its sender repeats what matters
+        return; // treated as lost: the sender resends what matters
     }
     ++m_deferred_messages;
     m_deferred.emplace_back([this, kept = decode(message)] { m_node->step(kept, m_loop.now()); });
@@ -260,7 +260,8 @@
                });
 }
 
-/// What the node asked for is on disk: sends, applies, and answers reads, which wait for what was applied.
+/// Called when the node's output is on disk. Sends messages, applies entries, then answers the reads that
+/// waited for them.
 void replica::finish_output() {
     const auto output = std::exchange(m_output, {});
     for (const auto& message : output.messages) {
@@ -372,7 +373,7 @@
         .add("bytes", static_cast<std::uint64_t>(snapshot.data->size()));
 }
 
-// ---- what others ask for
+// ---- queries
 
 bool replica::has_lease() const {
     return m_node != nullptr && m_node->has_lease(m_loop.now());
--- a/poplarpitch/replica/replica.h
+++ b/poplarpitch/replica/replica.h
@@ -34,40 +34,43 @@
 class frame_listener;
 class frame_socket;
 
-/// What became of a proposal.
+/// Result of a proposal.
 enum class proposal_result : std::uint8_t {
     applied, ///< committed, and applied on this instance
-    refused, ///< this instance does not lead; the proposal is nowhere
-    unknown, ///< leadership was lost first: it may still be committed
+    refused, ///< this instance does not lead; the proposal is not in the log
+    unknown, ///< leadership was lost first; the proposal may still be committed
 };
 
-/// What runs on top of the replicated log.
+/// Callbacks of the state machine on top of the replicated log.
 struct replica_handler {
-    /// Applies a committed command. Called on every instance, in the order of the log.
+    /// Applies a committed command. Called on every instance, in log order.
     std::function<void(const log_entry&)> on_command;
-    /// Returns all state as bytes, for a snapshot.
+    /// Returns the whole state, serialized for a snapshot.
     std::function<std::string()> on_save;
-    /// Replaces all state by a snapshot.
+    /// Replaces the whole state by that of a snapshot.
     std::function<void(const std::string&)> on_load;
-    /// This instance leads, and everything committed before is applied here.
+    /// Called when this instance leads and has applied everything committed before its term.
     std::function<void(log_term)> on_leading;
-    /// This instance leads no longer.
+    /// Called when this instance no longer leads.
     std::function<void()> on_leading_lost;
-    /// A frame of another process that is not the log's own; `reply` sends one back on its connection.
+    /// Called with a frame of another process that is not for the log. The second argument sends a frame back
+    /// on the same connection.
     std::function<void(const job_wire::cluster_frame&,
                        const std::function<void(const job_wire::cluster_frame&)>&)>
         on_frame;
 };
 
-/// A control instance's part in the replicated log, on an event loop: raft node, storage, peers, founding and
+/// A control instance's replica of the log, on an event loop: raft node, storage, peers, founding and
 /// membership.
 ///
-/// Each turn takes all that arrived, steps the log, syncs once, then sends and applies. A thread of its own
-/// waits for the disk, so that the loop serves workers and callers meanwhile; the log itself stands still:
-/// what arrives for it is kept until the sync has ended, as if the sync had taken no time. So nothing is said
-/// before it is on disk, and an instance whose disk stalls falls silent, so that another takes over. A failed
-/// write or sync ends the process: the state of the disk is not known any more, and an answer that was not
-/// given can be asked for again. Thread safety: the loop's thread, for all methods.
+/// Each turn of the loop handles everything that arrived, steps the raft node, syncs once, then sends
+/// messages and applies entries. A separate thread waits for the disk, so that the loop can serve workers and
+/// callers in the meantime. The raft node does not run during a sync: input for it is deferred until the sync
+/// has ended. So nothing that depends on the sync is sent before it is on disk. An instance whose disk stalls
+/// sends no messages, and another instance takes over.
+///
+/// A failed write or sync ends the process: the state of the disk is unknown, and callers can retry requests
+/// that got no answer. Thread safety: the loop's thread, for all methods.
 class replica {
 public:
     /// Precondition: `loop` outlives the replica.
@@ -76,22 +79,23 @@
     replica(const replica&) = delete;
     replica& operator=(const replica&) = delete;
 
-    /// Opens the data folder and the port, and begins to found, join or take part.
+    /// Opens the data folder and the port, then starts to found a cluster, to join one, or to run as a
+    /// member.
     result<void> start();
-    /// Commits a command; `on_result` is called once, in a later turn or before this returns.
+    /// Commits a command. `on_result` is called once, in a later turn or before this returns.
     void propose(std::string payload, std::function<void(proposal_result)> on_result);
-    /// Calls `on_ready(true)` once what was committed before the call is applied here and this instance has
-    /// led until then; `on_ready(false)` when that cannot be said.
+    /// Linearizable read: calls `on_ready(true)` once everything committed before the call is applied here
+    /// and this instance has led until then. Calls `on_ready(false)` when that cannot be confirmed.
     void read(std::function<void(bool)> on_ready);
-    /// Hands leadership on if this instance leads.
+    /// Transfers leadership to another instance if this one leads.
     void resign();
 
-    /// Sends a frame to the instance at `ip`; it may be lost on the way. Returns false when it was not sent.
+    /// Sends a frame to the instance at `ip`; it may be lost in transit. Returns false when it was not sent.
     bool send_frame(std::uint32_t ip, const job_wire::cluster_frame& frame);
     /// Returns the addresses of all other members, in host order.
     [[nodiscard]] std::vector<std::uint32_t> get_other_members() const;
 
-    /// Returns true when this instance leads and no other can have been elected yet.
+    /// Returns true while this instance leads and no other can have been elected.
     [[nodiscard]] bool has_lease() const;
     /// Returns true when this instance leads and has applied everything committed before its term.
     [[nodiscard]] bool is_leading() const { return m_is_leading; }
@@ -106,10 +110,12 @@
         std::function<void(proposal_result)> on_result;
     };
 
-    /// Tells what the disk holds.
+    /// Logs the state found on disk.
     void log_stored_state() const;
     void start_node(const raft_membership& initial);
+    /// Runs periodically: founds the cluster or joins it, as far as is possible yet.
     void found_or_join();
+    /// Requests the statuses of other instances while no leader is known.
     void request_statuses();
     void ask_to_join();
     void on_frame(std::uint32_t ip, const job_wire::cluster_frame& frame,
@@ -122,12 +128,14 @@
     void finish_output();
     void send(const raft_message& message);
     void take_message(const wire::raft_message& message);
-    /// Calls `work` now, or once the sync under way has ended.
+    /// Calls `work` now, or after the sync in progress.
     void run_after_sync(std::function<void()> work);
     void run_deferred();
     void apply(const log_entry& entry);
+    /// Calls the handler when leadership was gained or lost.
     void update_role();
     void fail_pending_proposals();
+    /// Proposes the next membership step while this instance leads.
     void update_membership();
     void take_snapshot_if_due();
     void arm_tick();
@@ -147,15 +155,15 @@
     std::unique_ptr<raft_storage<posix_file_system>> m_storage;
     stored_state m_stored;
     std::unique_ptr<raft_node> m_node;
-    raft_output m_output; ///< being carried out; belongs to the disk's thread while `m_disk` runs
-    result<void> m_save_result =
-        boost::outcome_v2::success(); ///< what became of the last sync; belongs to the disk's thread too
-    std::vector<std::function<void()>> m_deferred; ///< for the log, while `m_disk` runs
-    std::size_t m_deferred_messages = 0;           ///< of other nodes, among them
+    raft_output m_output; ///< being processed; owned by the disk thread while `m_disk` runs
+    /// Result of the last sync. Owned by the disk thread while `m_disk` runs.
+    result<void> m_save_result = boost::outcome_v2::success();
+    std::vector<std::function<void()>> m_deferred; ///< input for the raft node, deferred while `m_disk` runs
+    std::size_t m_deferred_messages = 0;           ///< number of messages of other nodes in `m_deferred`
     hard_state m_hard_state;
     raft_membership m_applied_members;
     log_index m_applied = 0;
-    std::uint64_t m_bytes_at_snapshot = 0; ///< bytes written at the last snapshot
+    std::uint64_t m_bytes_at_snapshot = 0; ///< bytes written by the time of the last snapshot
     member_planner m_planner;
     std::unique_ptr<peer_mesh> m_mesh;
     std::unique_ptr<frame_listener> m_listener;
@@ -163,17 +171,17 @@
     std::map<log_index, pending_proposal> m_proposals;
     std::map<std::uint64_t, std::function<void(bool)>> m_reads;
     std::map<std::uint32_t, seed_status> m_peer_statuses; ///< other instances, by address
-    std::set<std::uint32_t> m_known_addresses;            ///< addresses of control instances heard of
-    std::uint32_t m_reported_leader = 0; ///< leader by the word of others, while not a member
+    std::set<std::uint32_t> m_known_addresses;            ///< addresses of all known control instances
+    std::uint32_t m_reported_leader = 0; ///< last instance that reported to lead; used while not a member
     time_point m_leader_reported_at{};
     raft_role m_last_role = raft_role::follower;
     log_term m_last_term = 0;
     bool m_is_leading = false;
     time_point m_leading_since{};
     time_point m_next_member_check{};
-    std::uint64_t m_tick_timer = 0; ///< timer
+    std::uint64_t m_tick_timer = 0;
     time_point m_tick_at{};
-    background_task m_disk; ///< last: its work ends before what it touches goes
+    background_task m_disk; ///< last member: its work ends before the others are destroyed
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/replica/replica_calls.cpp
+++ b/poplarpitch/replica/replica_calls.cpp
@@ -1,4 +1,4 @@
-// What others ask of the log: proposals, reads, resigning. All of it waits for a sync under way.
+// Requests to the log: proposals, reads and resigning. All are deferred while a sync is in progress.
 #include "poplarpitch/replica/replica.h"
 
 #include "poplarpitch/net/event_loop.h"
@@ -63,7 +63,7 @@
     run_after_sync([this] {
         if (m_node != nullptr && m_node->get_role() == raft_role::leader) {
             static_cast<void>(
-                m_node->transfer_leadership(0, m_loop.now())); // where it fails, an election follows
+                m_node->transfer_leadership(0, m_loop.now())); // if it fails, an election follows
         }
     });
 }
--- a/poplarpitch/replica/replica_members.cpp
+++ b/poplarpitch/replica/replica_members.cpp
@@ -1,4 +1,4 @@
-// How a control instance becomes a member, and how the one that leads keeps the members.
+// How a control instance becomes a member, and how the leader maintains the membership.
 #include "poplarpitch/replica/replica.h"
 
 #include "poplarpitch/net/event_loop.h"
@@ -10,7 +10,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration status_interval = milliseconds{60};  // while founding: the system waits for it
+constexpr duration status_interval = milliseconds{60};  // while founding: the whole system waits for it
 constexpr duration join_interval = milliseconds{250};   // while not a member
 constexpr duration member_interval = milliseconds{100}; // between two steps of a membership change
 
@@ -79,7 +79,7 @@
 void replica::request_statuses() {
     const bool is_member = m_node != nullptr && m_node->get_leader() != 0;
     if (is_member) {
-        return; // the log tells who leads
+        return; // the raft node knows the leader
     }
     job_wire::cluster_frame frame;
     frame.mutable_ask_status();
@@ -97,7 +97,7 @@
         return;
     }
     if (m_node == nullptr || m_node->get_leader() != 0) {
-        return; // followed by a leader, as a member or a learner
+        return; // already receives the log from a leader, as a member or a learner
     }
     job_wire::cluster_frame frame;
     frame.mutable_join()->set_node(m_id);
--- a/poplarpitch/replica/replica_settings.h
+++ b/poplarpitch/replica/replica_settings.h
@@ -11,20 +11,20 @@
 
 namespace poplarpitch {
 
-/// How a control instance takes part in the replicated log.
+/// Settings of a control instance's replica of the log.
 struct replica_settings {
-    std::string cluster = "poplarpitch"; ///< name of the cluster; a data folder of another one is refused
-    std::string host = "127.0.0.1";      ///< address to listen on and to be reached at
-    int port = 0;                        ///< for frames of own processes; the same on all instances
+    std::string cluster = "poplarpitch"; ///< name of the cluster; a data folder of another cluster is refused
+    std::string host = "127.0.0.1";      ///< address to listen on, and at which peers connect
+    int port = 0;                        ///< for frames between instances; the same on all instances
     std::string data_folder;
     std::vector<std::string> seeds; ///< addresses of up to three control instances, without port
-    bool may_found = false;         ///< the whole system starts for the first time
+    bool may_found = false;         ///< true when the whole system starts for the first time
     std::size_t voters = 5;         ///< tolerates the loss of two disks
-    duration voter_loss =
-        milliseconds{2500}; ///< a voter silent for this long is replaced where another can be: a replaced
-                            ///< instance must count again within 4 s, an election takes 1
-    std::uint64_t snapshot_bytes = 8U << 20; ///< of log since the last snapshot; replays in under a second
-    std::uint64_t kept_entries = 500; ///< before the snapshot, so that a follower a little behind needs none
+    /// A voter that is silent for this long is replaced when there is another instance. A replaced instance
+    /// must count as a voter again within 4 s, and an election takes 1 s.
+    duration voter_loss = milliseconds{2500};
+    std::uint64_t snapshot_bytes = 8U << 20; ///< log size that triggers a snapshot; replayed in under 1 s
+    std::uint64_t kept_entries = 500; ///< kept before a snapshot, so that a slightly slow follower needs none
     raft_settings raft;
 
     friend auto operator<=>(const replica_settings&, const replica_settings&) = default;
