--- a/unit_tests/replica/membership_test.cpp
+++ b/unit_tests/replica/membership_test.cpp
@@ -1,4 +1,4 @@
-// Founding from seeds, and how members that lost their disk or are gone for good are replaced.
+// Founding a cluster from its seeds, and replacing members that lost their disk or are lost for good.
 #include "poplarpitch/replica/founding.h"
 #include "poplarpitch/replica/member_planner.h"
 #include "poplarpitch/replica/node_address.h"
@@ -16,7 +16,7 @@
     return make_node_id(ip, nonce);
 }
 
-/// Five voters on the instances 1 to 5, of which 1 leads and all have answered just now.
+/// Five voters on instances 1 to 5. Instance 1 leads, and all others have just answered.
 membership_view make_view(time_point now) {
     membership_view view;
     view.self = make_node(1);
@@ -32,7 +32,7 @@
     return view;
 }
 
-TEST(founding, waits_until_every_seed_has_told_its_number) {
+TEST(founding, waits_until_it_knows_the_node_ids_of_all_seeds) {
     const seed_status unreached;
     const seed_status blank{true, make_node(2), node_phase::founding, {}};
     EXPECT_EQ(decide_founding(make_node(1), {blank, unreached}).action, founding_decision::kind::wait);
@@ -42,7 +42,7 @@
     EXPECT_EQ(decision.members.voters.size(), 3U);
 }
 
-TEST(founding, takes_over_what_another_founder_has_written) {
+TEST(founding, takes_the_members_that_another_founder_has_stored) {
     raft_membership members;
     members = members.with_voter(make_node(1)).with_voter(make_node(2)).with_voter(make_node(3));
     const seed_status formed{true, make_node(2), node_phase::formed, members};
@@ -56,14 +56,14 @@
     EXPECT_EQ(decide_founding(make_node(1, 10), {formed, formed}).action, founding_decision::kind::join);
 }
 
-TEST(member_planner, does_nothing_while_all_is_well) {
+TEST(member_planner, does_nothing_while_all_members_are_healthy) {
     const member_planner planner(5, voter_loss);
     const auto now = start + seconds{1};
     EXPECT_FALSE(planner.plan(make_view(now), now).has_value());
 }
 
 TEST(member_planner,
-     removes_the_old_number_of_an_instance_that_lost_its_disk_then_adds_and_promotes_the_new) {
+     removes_the_old_id_of_an_instance_that_lost_its_disk_then_adds_and_promotes_the_new_one) {
     member_planner planner(5, voter_loss);
     const auto now = start + seconds{1};
     auto view = make_view(now);
@@ -75,7 +75,7 @@
     view.members = view.members.with_learner(fresh);
     view.progress[fresh].match = 100;
     view.progress[fresh].last_answer = now;
-    EXPECT_FALSE(planner.plan(view, now).has_value()); // it catches up
+    EXPECT_FALSE(planner.plan(view, now).has_value()); // not caught up yet
     view.progress[fresh].match = 990;
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::promote, fresh}));
 }
@@ -105,9 +105,9 @@
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::remove, make_node(4)}));
 }
 
-TEST(member_planner, replaces_an_instance_that_is_gone_for_good_before_two_more_may_be_lost) {
-    // A replaced instance counts as lost until its successor has had 4 s; two disks may be lost right after
-    // that.
+TEST(member_planner, replaces_a_lost_instance_before_two_more_may_be_lost) {
+    // A replaced instance counts as lost until its successor has run for 4 s. Two disks may be lost right
+    // after that.
     const replica_settings settings;
     member_planner planner(settings.voters, settings.voter_loss);
     const auto now = start + seconds{3};
--- a/unit_tests/replica/replaced_disks_test.cpp
+++ b/unit_tests/replica/replaced_disks_test.cpp
@@ -1,6 +1,6 @@
-// Whether anything that a leader saw committed is lost where all control instances lose their power at one
-// moment and as many as are tolerated lose their disks too, and come back as new members.
-// POPLARPITCH_SEEDS sets how many seeds are tried.
+// Checks that no committed entry is lost when all control instances lose power at once, and as many of them
+// as tolerated also lose their disks and come back as new members. POPLARPITCH_SEEDS sets the number of
+// seeds.
 #include "poplarpitch/consensus/early_messages.h"
 #include "poplarpitch/consensus/raft_node.h"
 #include "poplarpitch/replica/member_planner.h"
@@ -29,9 +29,9 @@
 constexpr std::uint32_t tolerated_losses = 2;
 constexpr duration step_length = milliseconds{5};
 constexpr duration member_interval = milliseconds{100};
-constexpr duration max_start_delay = milliseconds{800}; // between a loss of power and the next process
-constexpr duration power_loss_interval =
-    seconds{6}; // between two losses of power; replaced disks count again
+constexpr duration max_start_delay = milliseconds{800}; // from a loss of power to the next process
+/// Between two losses of power. Replaced disks count as voters again by then.
+constexpr duration power_loss_interval = seconds{6};
 constexpr duration voter_loss = milliseconds{2500};
 constexpr int power_losses = 6; // per seed
 constexpr int one_message_lost_in = 50;
@@ -49,9 +49,9 @@
     std::uint32_t nonce = 1;
     std::unique_ptr<memory_file_system> files = std::make_unique<memory_file_system>();
     std::unique_ptr<memory_storage> storage;
-    std::unique_ptr<raft_node> node;   ///< null while it has no process
-    std::optional<raft_output> saving; ///< on its way to the disk
-    raft_membership members;           ///< as far as applied
+    std::unique_ptr<raft_node> node;   ///< null while the process is down
+    std::optional<raft_output> saving; ///< being written to the disk
+    raft_membership members;           ///< as of the last applied entry
     log_index applied = 0;
     hard_state state;
     std::uint64_t bytes_at_snapshot = 0;
@@ -60,10 +60,10 @@
     [[nodiscard]] node_id get_id() const { return make_node_id(ip, nonce); }
 };
 
-/// Five instances that store what they are asked to and lose what was not synced with their power.
+/// Simulates five instances that lose all data that was not synced when they lose power.
 class replaced_disks {
 public:
-    /// `answers_early`: breaks on purpose that an answer waits for the disk.
+    /// `answers_early`: deliberately sends answers before they are on disk.
     explicit replaced_disks(std::uint64_t seed, bool answers_early = false)
         : m_random(seed), m_answers_early(answers_early) {
         raft_membership founders;
@@ -84,17 +84,17 @@
         }
     }
 
-    /// All processes end with what they had not synced; up to `wiped` instances lose their disks.
+    /// Ends all processes, which lose what was not synced. `wiped` instances also lose their disks.
     void lose_power(std::uint32_t wiped) {
         std::vector<std::size_t> order = {0, 1, 2, 3, 4};
         std::shuffle(order.begin(), order.end(), m_random);
         for (std::size_t place = 0; place < order.size(); ++place) {
             auto& self = m_instances[order[place]];
             if (self.saving.has_value() && pick(2) == 0) {
-                static_cast<void>(self.storage->save(*self.saving)); // the sync ended, nothing after it
+                static_cast<void>(self.storage->save(*self.saving)); // the power fails right after the sync
             } else if (self.saving.has_value()) {
                 self.files->fail_after(static_cast<int>(pick(2)), storage_errc::io_failed);
-                static_cast<void>(self.storage->save(*self.saving)); // the power goes while it is written
+                static_cast<void>(self.storage->save(*self.saving)); // the power fails during the write
             }
             self.files->cut_power(m_random);
             self.saving.reset();
@@ -112,7 +112,7 @@
 
     [[nodiscard]] const std::string& get_violation() const { return m_violation; }
     [[nodiscard]] std::size_t count_committed() const { return m_committed.size(); }
-    /// Returns how many instances lead with everything applied that was ever committed.
+    /// Returns true when an instance leads with all entries applied and five voters.
     [[nodiscard]] bool is_recovered() const {
         for (const auto& self : m_instances) {
             if (self.node != nullptr && self.node->has_own_commit() &&
@@ -218,8 +218,7 @@
         }
         const auto [known, is_new] = m_committed.emplace(entry.index, entry);
         if (!is_new && known->second != entry && m_violation.empty()) {
-            m_violation =
-                "what was committed at index " + std::to_string(entry.index) + " is another entry now";
+            m_violation = "two different entries at index " + std::to_string(entry.index) + " were committed";
         }
     }
 
@@ -236,7 +235,7 @@
         self.bytes_at_snapshot = self.storage->get_written_bytes();
     }
 
-    /// What a leader does to have as many voters as are wanted.
+    /// Runs the leader's membership changes.
     void update_membership(instance& self) {
         if (m_now < m_next_member_check) {
             return;
@@ -271,7 +270,7 @@
         }
     }
 
-    /// Messages find an instance by its address, as real ones do, and overtake each other.
+    /// Delivers messages by the address in the node ID, as the replica does, in random order.
     void deliver() {
         std::vector<raft_message> later;
         std::shuffle(m_messages.begin(), m_messages.end(), m_random);
@@ -309,7 +308,7 @@
         world.run(power_loss_interval);
         std::size_t before = 0;
         for (int loss = 0; loss < power_losses; ++loss) {
-            ASSERT_GT(world.count_committed(), before) << "nothing was committed, seed " << seed;
+            ASSERT_GT(world.count_committed(), before) << "no entry was committed, seed " << seed;
             before = world.count_committed();
             world.lose_power(tolerated_losses);
             world.run(power_loss_interval);
