--- a/poplarpitch/relay/frame_delay_estimator.cpp
+++ b/poplarpitch/relay/frame_age.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/relay/frame_delay_estimator.h"
+#include "poplarpitch/relay/frame_age.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-duration frame_delay_estimator::estimate(std::int64_t sent_ms, time_point now) {
+duration frame_age::estimate(std::int64_t sent_ms, time_point now) {
     if (sent_ms == 0) {
         return duration{0};
     }
--- a/poplarpitch/relay/relay_agent.cpp
+++ b/poplarpitch/relay/relay_agent.cpp
@@ -68,7 +68,7 @@
             add_full_report(known->second);
         }
     }
-    execute_orders(frame, m_frame_delay.estimate(frame.sent_ms(), now));
+    execute_orders(frame, m_frame_age.estimate(frame.sent_ms(), now));
     return std::nullopt;
 }
 
@@ -76,7 +76,7 @@
     m_term = term;
     m_is_leader = false;
     m_frame = nullptr;
-    m_frame_delay.clear();
+    m_frame_age.clear();
     m_places.clear();
     remove_expired_reports(now);
     for (auto& [worker, known] : m_reports) {
--- a/poplarpitch/relay/relay_agent.h
+++ b/poplarpitch/relay/relay_agent.h
@@ -2,7 +2,7 @@
 
 #include "poplarpitch/consensus/node_id.h"
 #include "poplarpitch/core/time.h"
-#include "poplarpitch/relay/frame_delay_estimator.h"
+#include "poplarpitch/relay/frame_age.h"
 #include "poplarpitch/relay/relay_registry.h"
 #include "poplarpitch/relay/relay_settings.h"
 #include "poplarpitch/scheduling/worker_order.h"
@@ -86,7 +86,7 @@
     order_executor m_execute;
     log_term m_term = 0;      ///< highest term seen
     bool m_is_leader = false; ///< this instance is the leader in `m_term`
-    frame_delay_estimator m_frame_delay;
+    frame_age m_frame_age;
     time_point m_last_frame_at{}; ///< arrival of the last frame in that term
     time_point m_last_answer_at{};
     bool m_must_answer = false; ///< a frame arrived and no answer was sent since
--- a/unit_tests/relay/relay_age_test.cpp
+++ b/unit_tests/relay/relay_age_test.cpp
@@ -1,5 +1,5 @@
 // Orders that were delayed in a suspended relay, or on their way to it.
-#include "poplarpitch/relay/frame_delay_estimator.h"
+#include "poplarpitch/relay/frame_age.h"
 #include "poplarpitch/relay/relay_agent.h"
 #include "poplarpitch/relay/relay_codec.h"
 #include "poplarpitch/relay/relay_hub.h"
--- a/unit_tests/relay/relay_hub_test.cpp
+++ b/unit_tests/relay/relay_hub_test.cpp
@@ -101,7 +101,8 @@
 TEST(relay_hub, accepts_no_order_while_no_relay_is_known) {
     hub_world world;
     EXPECT_FALSE(world.hub.add(make_hold("w1"), "near", 1, world.now));
-    EXPECT_EQ(world.hub.take_frames({near, far}, world.now).size(), 2U) << "each instance is probed";
+    EXPECT_EQ(world.hub.take_frames({near, far}, world.now).size(), 2U)
+        << "each instance is asked whether it relays";
 }
 
 TEST(relay_hub, sends_an_order_by_the_relay_in_the_data_centre_of_its_worker) {
