--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -68,7 +68,7 @@
         const auto leader = m_parts.log.get_leader_ip();
         const bool is_self = format_ip(leader) == m_parts.settings.replica.host;
         if (leader == 0 || is_self) {
-            return make_error_response(503, "no_leader", "there is no leader at present");
+            return make_error_response(503, "no_leader", "no instance leads at present");
         }
         auto response = make_response(307);
         const auto port = static_cast<std::uint16_t>(m_parts.settings.control_port);
--- a/unit_tests/relay/relay_agent_test.cpp
+++ b/unit_tests/relay/relay_agent_test.cpp
@@ -110,7 +110,7 @@
     EXPECT_FALSE(world.agent.is_serving(world.now));
     EXPECT_TRUE(world.send(3, 1).has_value());
     EXPECT_TRUE(world.orders.empty());
-    EXPECT_FALSE(world.send(5, 1).has_value()) << "until another instance leads in a later term";
+    EXPECT_FALSE(world.send(5, 1).has_value()) << "until another one leads in a later term";
     EXPECT_EQ(world.orders.size(), 1U);
 }
 
@@ -222,7 +222,7 @@
 
 TEST(relay_agent, takes_no_heartbeats_once_the_leader_is_silent) {
     agent_world world;
-    EXPECT_FALSE(world.agent.is_serving(world.now)) << "before a frame of a leader arrived";
+    EXPECT_FALSE(world.agent.is_serving(world.now)) << "before it received one frame of a leader";
     static_cast<void>(world.send(3));
     EXPECT_TRUE(world.agent.is_serving(world.now));
     EXPECT_FALSE(world.agent.is_serving(world.now + world.settings.peer_timeout + milliseconds{1}));
--- a/unit_tests/relay/relay_hub_test.cpp
+++ b/unit_tests/relay/relay_hub_test.cpp
@@ -155,9 +155,9 @@
     const auto lost = world.hub.take_lost(world.now);
     ASSERT_EQ(lost.size(), 2U);
     EXPECT_EQ(lost[0].outcome.failure, order_failure::unanswered) << "the start may have been carried out";
-    EXPECT_EQ(lost[1].outcome.failure, order_failure::not_sent) << "it says nothing about the worker";
+    EXPECT_EQ(lost[1].outcome.failure, order_failure::not_sent) << "this has nothing to do with the worker";
     EXPECT_EQ(world.hub.count_relays(), 0U);
-    EXPECT_TRUE(world.answer(near, numbers).empty()) << "a late answer is ignored";
+    EXPECT_TRUE(world.answer(near, numbers).empty()) << "what arrives late is ignored";
     EXPECT_EQ(world.hub.count_relays(), 1U) << "but it makes the relay known again";
 }
 
--- a/unit_tests/replica/replaced_disks_test.cpp
+++ b/unit_tests/replica/replaced_disks_test.cpp
@@ -218,7 +218,8 @@
         }
         const auto [known, is_new] = m_committed.emplace(entry.index, entry);
         if (!is_new && known->second != entry && m_violation.empty()) {
-            m_violation = "two different entries at index " + std::to_string(entry.index) + " were committed";
+            m_violation =
+                "what was committed at index " + std::to_string(entry.index) + " is another entry now";
         }
     }
 
