--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -18,7 +18,8 @@
 namespace poplarpitch {
 
 /// Handles the requests of workers and operators. An instance that does not lead redirects them to the
-/// leader, or answers 503 when it knows none. Thread safety: the loop's thread.
+/// leader. It answers 503 when it knows no leader, or when it leads but has no valid lease. Thread safety:
+/// the loop's thread.
 template <scheduler_dialect Dialect>
 class control_service {
 public:
--- a/unit_tests/replica/membership_test.cpp
+++ b/unit_tests/replica/membership_test.cpp
@@ -105,7 +105,7 @@
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::remove, make_node(4)}));
 }
 
-TEST(member_planner, replaces_a_lost_instance_before_two_more_may_be_lost) {
+TEST(member_planner, replaces_an_instance_that_is_gone_for_good_before_two_more_may_be_lost) {
     // A replaced instance counts as lost until its successor has run for 4 s. Two disks may be lost right
     // after that.
     const replica_settings settings;
