--- a/poplarpitch/relay/frame_age.h
+++ b/poplarpitch/relay/frame_age.h
@@ -6,22 +6,25 @@
 
 namespace poplarpitch {
 
-/// Tells how long frames were on their way, by the clocks of both ends, whose zeros differ: the fastest of
-/// late is taken for one that took no time. The time of arrival alone does not tell, since a process that
-/// stood still reads what has waited for it as if it had just come. Thread safety: none.
+/// Estimates the age of frames on arrival: how long they were delayed between sender and receiver, whose
+/// clocks have different zeros. The fastest recent frame counts as one without delay.
+///
+/// The time of arrival alone is not enough: a process that was suspended reads the frames that have waited
+/// for it as if they had just arrived. Thread safety: none.
 class frame_age {
 public:
-    /// Takes a frame that was sent at `sent_ms` by the sender's clock, 0 where it does not say. Returns how
-    /// much longer than the fastest of late it took.
-    duration note(std::int64_t sent_ms, time_point now);
-    /// Forgets all frames: another sender's follow.
+    /// Returns how much longer a frame took than the fastest recent one. `sent_ms`: time of sending on the
+    /// sender's clock; 0 where the frame has none, which counts as no delay.
+    duration estimate(std::int64_t sent_ms, time_point now);
+    /// Discards all observations. Called before the frames of another sender.
     void clear() { *this = frame_age{}; }
 
 private:
     bool m_has_any = false;
-    std::int64_t m_span_begin_ms = 0; ///< by the sender's clock: one that stands still must not lose its mark
-    std::int64_t m_least_ms = 0;      ///< smallest difference of the clocks in this span
-    std::int64_t m_least_before_ms = 0; ///< the same of the span before
+    /// On the sender's clock, so that a pause of the receiver does not end the window.
+    std::int64_t m_window_begin_ms = 0;
+    std::int64_t m_min_offset_ms = 0;          ///< smallest clock offset in this window
+    std::int64_t m_previous_min_offset_ms = 0; ///< the same of the previous window
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_codec.cpp
+++ b/poplarpitch/relay/relay_codec.cpp
@@ -21,8 +21,8 @@
     return {decode(message.task()), message.run()};
 }
 
-void encode_what(const hold_order& order, job_wire::relayed_order& message,
-                 job_wire::relay_orders& /*frame*/) {
+void encode_order(const hold_order& order, job_wire::relayed_order& message,
+                  job_wire::relay_orders& /*frame*/) {
     auto& hold = *message.mutable_hold();
     hold.set_has_until(order.until_ms.has_value());
     hold.set_until_ms(order.until_ms.value_or(0));
@@ -30,7 +30,7 @@
     hold.set_wait_ms(to_milliseconds(order.wait));
 }
 
-void encode_what(const start_order& order, job_wire::relayed_order& message, job_wire::relay_orders& frame) {
+void encode_order(const start_order& order, job_wire::relayed_order& message, job_wire::relay_orders& frame) {
     auto& start = *message.mutable_start();
     encode_run(order.run, start);
     const auto& payloads = frame.payloads();
@@ -43,13 +43,13 @@
     start.set_ticket(order.ticket);
 }
 
-void encode_what(const stop_order& order, job_wire::relayed_order& message,
-                 job_wire::relay_orders& /*frame*/) {
+void encode_order(const stop_order& order, job_wire::relayed_order& message,
+                  job_wire::relay_orders& /*frame*/) {
     encode_run(order.run, *message.mutable_stop());
 }
 
-void encode_what(const pace_order& order, job_wire::relayed_order& message,
-                 job_wire::relay_orders& /*frame*/) {
+void encode_order(const pace_order& order, job_wire::relayed_order& message,
+                  job_wire::relay_orders& /*frame*/) {
     encode_run(order.run, *message.mutable_pace());
     message.mutable_pace()->set_percent(static_cast<std::uint32_t>(order.percent));
 }
@@ -69,7 +69,7 @@
     if (message.payload() >= static_cast<std::uint32_t>(frame.payloads_size())) {
         return std::nullopt;
     }
-    auto job = std::make_shared<step_job>(); // a worker is told nothing else of its job
+    auto job = std::make_shared<step_job>(); // a worker gets only the payload of its job
     job->payload = frame.payloads(static_cast<int>(message.payload()));
     start_order order;
     order.run = decode_run(message);
@@ -82,7 +82,7 @@
 
 order_target read_target(const job_wire::relayed_order& message, const job_wire::relay_orders& frame) {
     const auto fence =
-        message.fence() == 0 ? frame.term() : message.fence(); // none by order in older versions
+        message.fence() == 0 ? frame.term() : message.fence(); // older versions have no fence per order
     return {{message.worker(), message.born_ms()},
             message.address(),
             fence,
@@ -133,7 +133,7 @@
     std::visit(
         [&](const auto& item) {
             if constexpr (!std::is_same_v<std::decay_t<decltype(item)>, advise_order>) {
-                encode_what(item, message, frame);
+                encode_order(item, message, frame);
             }
         },
         order);
--- a/poplarpitch/replica/founding.cpp
+++ b/poplarpitch/replica/founding.cpp
@@ -2,7 +2,7 @@
 
 namespace poplarpitch {
 
-founding_decision decide_founding(node_id self, const std::vector<seed_sight>& others) {
+founding_decision decide_founding(node_id self, const std::vector<seed_status>& others) {
     raft_membership members;
     members = members.with_voter(self);
     bool is_complete = true;
@@ -18,7 +18,7 @@
             return {founding_decision::kind::join, {}};
         }
         if (seed.phase != node_phase::founding) {
-            is_complete = false; // it joins something that we have not seen yet
+            is_complete = false; // it joins a cluster that this node has not seen yet
             continue;
         }
         members = members.with_voter(seed.node);
--- a/poplarpitch/scheduler/caller_service.h
+++ b/poplarpitch/scheduler/caller_service.h
@@ -15,19 +15,21 @@
 
 namespace poplarpitch {
 
-/// Answers what callers ask: submission, state, cancelling, and how many jobs of a queue wait. Entry
-/// instances relay to the leader, which alone knows the newest configuration and every accepted job. Thread
-/// safety: the loop's thread.
+/// Handles the requests of callers: submitting a job, getting its state, cancelling it, and counting the
+/// pending jobs of a queue.
+///
+/// Entry instances relay requests to the leader, because only the leader knows the newest configuration and
+/// every accepted job. Thread safety: the loop's thread.
 template <scheduler_dialect Dialect>
 class caller_service {
 public:
-    /// Called once. `taken` is false when nothing was done; a status of 0 says that the outcome is unknown.
+    /// Called once. `taken` is false when nothing was done; a status of 0 means that the outcome is unknown.
     using answer_handler = std::function<void(const job_wire::relay_answer&)>;
 
-    /// Precondition: the parts outlive the object.
+    /// Precondition: `parts` outlives the object.
     explicit caller_service(scheduler_parts& parts) : m_parts(parts) {}
 
-    /// Answers a relayed request.
+    /// Handles a relayed request.
     void handle(const job_wire::relay_request& request, const answer_handler& on_answer) {
         job_wire::relay_answer answer;
         answer.set_number(request.number());
@@ -61,7 +63,7 @@
         } else if (request.method() == "POST") {
             submit(request, *queue, *id, answer, on_answer);
         } else if (request.method() == "GET") {
-            tell_state(*queue, *id, answer, on_answer);
+            answer_state(*queue, *id, answer, on_answer);
         } else if (request.method() == "DELETE") {
             cancel(*queue, *id, answer, on_answer);
         } else {
@@ -70,7 +72,7 @@
     }
 
 private:
-    static constexpr duration retry_after_load = seconds{5}; // bursts last 4 to 6 s
+    static constexpr duration retry_after_overload = seconds{5}; // bursts last 4 to 6 s
 
     static void finish(job_wire::relay_answer answer, int status, std::string body,
                        const answer_handler& on_answer) {
@@ -79,11 +81,14 @@
         on_answer(answer);
     }
 
-    /// Turns what became of a command into an answer: an unknown outcome is never told as a refusal.
-    static auto make_fate_handler(job_wire::relay_answer answer, answer_handler on_answer) {
-        return [answer = std::move(answer), on_answer = std::move(on_answer)](command_fate fate) mutable {
-            answer.set_taken(fate != command_fate::not_taken);
-            const int status = fate == command_fate::applied ? 200 : fate == command_fate::refused ? 410 : 0;
+    /// Returns a handler that answers with a command's commit result. An unknown outcome is never answered as
+    /// a refusal.
+    static auto make_result_handler(job_wire::relay_answer answer, answer_handler on_answer) {
+        return [answer = std::move(answer), on_answer = std::move(on_answer)](commit_result outcome) mutable {
+            answer.set_taken(outcome != commit_result::not_proposed);
+            const int status = outcome == commit_result::applied   ? 200
+                               : outcome == commit_result::refused ? 410
+                                                                   : 0;
             finish(answer, status, "", on_answer);
         };
     }
@@ -98,14 +103,15 @@
     void submit(const job_wire::relay_request& request, const queue_settings& queue, job_id id,
                 const job_wire::relay_answer& answer, const answer_handler& on_answer) {
         if (find(queue, id) != nullptr) {
-            finish(answer, 200, "", on_answer); // sent again
+            finish(answer, 200, "", on_answer); // a repeated request
             return;
         }
-        // Sent again while the first one is on its way into the log: to refuse it now could be untrue.
-        const bool is_decided = m_deciding.contains(id);
+        // A repeated request, sent while the command of the first one is being committed, must not be
+        // refused: the job may be accepted.
+        const bool is_submitting = m_submitting.contains(id);
         const auto open = static_cast<std::int64_t>(m_parts.dispatch.count_open());
-        if (!is_decided && open >= m_parts.settings.dispatch.max_open_jobs) {
-            refuse_for_load(id, open, answer, on_answer);
+        if (!is_submitting && open >= m_parts.settings.dispatch.max_open_jobs) {
+            refuse_for_overload(id, open, answer, on_answer);
             return;
         }
         auto job = Dialect::read_job(request.body());
@@ -121,10 +127,10 @@
             finish(answer, 400, "", on_answer);
             return;
         }
-        if (!is_decided) {
-            const auto decided = m_parts.dispatch.admit(*job, m_parts.loop.now());
-            if (!decided.is_taken()) {
-                refuse(id, decided, answer, on_answer);
+        if (!is_submitting) {
+            const auto decision = m_parts.dispatch.admit(*job, m_parts.loop.now());
+            if (!decision.is_taken()) {
+                refuse(id, decision, answer, on_answer);
                 return;
             }
         }
@@ -135,53 +141,54 @@
             .add("queue", queue.name)
             .add("config", m_parts.book.get_configuration().version)
             .add("steps", static_cast<std::uint64_t>(job->steps.size()));
-        m_deciding.insert(id);
-        m_parts.batcher.add(std::move(command), [this, id, answer = make_fate_handler(answer, on_answer)](
-                                                    command_fate fate) mutable {
-            m_deciding.erase(id);
-            const bool is_sure = fate == command_fate::refused || fate == command_fate::not_taken;
+        m_submitting.insert(id);
+        m_parts.batcher.add(std::move(command), [this, id, answer = make_result_handler(answer, on_answer)](
+                                                    commit_result outcome) mutable {
+            m_submitting.erase(id);
+            const bool is_sure = outcome == commit_result::refused || outcome == commit_result::not_proposed;
             if (is_sure) {
                 m_parts.dispatch.on_not_accepted(id);
             }
-            answer(fate);
+            answer(outcome);
         });
     }
 
-    static void send_away(duration wait, job_wire::relay_answer answer, const answer_handler& on_answer) {
+    static void answer_retry_later(duration wait, job_wire::relay_answer answer,
+                                   const answer_handler& on_answer) {
         answer.set_retry_after_ms(to_milliseconds(wait));
         finish(std::move(answer), 429, "", on_answer);
     }
 
-    /// The job was not taken: its caller is told when to come back.
-    static void refuse(job_id id, const admission& decided, job_wire::relay_answer answer,
+    /// Answers that the job was not admitted, with the time after which to retry.
+    static void refuse(job_id id, const admission& decision, job_wire::relay_answer answer,
                        const answer_handler& on_answer) {
-        const bool is_quota = decided.what == admission::verdict::lasting_quota;
+        const bool is_quota = decision.what == admission::verdict::lasting_quota;
         log_event(log_level::info, "job_refused")
             .add("job", format_job_id(id))
-            .add("reason",
-                 is_quota ? "jobs that last reserve their share of the pool" : "the leader is behind")
-            .add("lag_ms", to_milliseconds(decided.lag))
-            .add("wanted_millicores", decided.wanted)
-            .add("reserved_millicores", decided.reserved)
-            .add("allowed_millicores", decided.allowed)
-            .add("retry_after_ms", to_milliseconds(decided.retry_after));
-        send_away(decided.retry_after, std::move(answer), on_answer);
+            .add("reason", is_quota ? "jobs that last long have reserved their share of the pool"
+                                    : "the leader is behind")
+            .add("lag_ms", to_milliseconds(decision.lag))
+            .add("wanted_millicores", decision.wanted)
+            .add("reserved_millicores", decision.reserved)
+            .add("allowed_millicores", decision.allowed)
+            .add("retry_after_ms", to_milliseconds(decision.retry_after));
+        answer_retry_later(decision.retry_after, std::move(answer), on_answer);
     }
 
-    /// Too many jobs are open to keep another: the caller is told when to come back. Below that bound every
-    /// job is taken, also under a burst: late is worth more to its caller than never, and what can still be
-    /// in time goes first.
-    static void refuse_for_load(job_id id, std::int64_t open, job_wire::relay_answer answer,
-                                const answer_handler& on_answer) {
+    /// Answers that too many jobs are open, with the time after which to retry. Below that bound every job is
+    /// accepted, also during a burst: a late job is worth more to its caller than none, and jobs that can
+    /// still meet their deadline go first.
+    static void refuse_for_overload(job_id id, std::int64_t open, job_wire::relay_answer answer,
+                                    const answer_handler& on_answer) {
         log_event(log_level::warn, "job_refused")
             .add("job", format_job_id(id))
             .add("reason", "too many open jobs")
             .add("open", open);
-        send_away(retry_after_load, std::move(answer), on_answer);
+        answer_retry_later(retry_after_overload, std::move(answer), on_answer);
     }
 
-    void tell_state(const queue_settings& queue, job_id id, const job_wire::relay_answer& answer,
-                    const answer_handler& on_answer) {
+    void answer_state(const queue_settings& queue, job_id id, const job_wire::relay_answer& answer,
+                      const answer_handler& on_answer) {
         const auto* record = find(queue, id);
         if (record == nullptr) {
             finish(answer, 410, "", on_answer);
@@ -213,11 +220,11 @@
         job_wire::job_command command;
         command.mutable_cancel()->set_id(id);
         log_event(log_level::info, "job_cancel").add("job", format_job_id(id)).add("queue", queue.name);
-        m_parts.batcher.add(std::move(command), make_fate_handler(answer, on_answer));
+        m_parts.batcher.add(std::move(command), make_result_handler(answer, on_answer));
     }
 
     scheduler_parts& m_parts;
-    absl::flat_hash_set<job_id> m_deciding; ///< taken and on their way into the log
+    absl::flat_hash_set<job_id> m_submitting; ///< accepted, but not committed yet
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -17,19 +17,20 @@
 
 namespace poplarpitch {
 
-/// Answers workers and operators. An instance that does not lead sends them to the one that does; one that
-/// cannot be sure that it leads says so. Thread safety: the loop's thread.
+/// Handles the requests of workers and operators. An instance that does not lead redirects them to the
+/// leader. It answers 503 when it knows no leader, or when it leads but has no valid lease. Thread safety:
+/// the loop's thread.
 template <scheduler_dialect Dialect>
 class control_service {
 public:
-    /// Precondition: the parts and the agent outlive the object.
+    /// Precondition: `parts` and `agent` outlive the object.
     control_service(scheduler_parts& parts, relay_agent& agent) : m_parts(parts), m_agent(agent) {}
 
-    /// Answers a request.
+    /// Handles a request.
     void handle(http_request request, http_responder respond) {
         auto call = Dialect::read_control_call(request);
         if (!m_parts.may_answer()) {
-            if (!is_relayed(call, respond)) {
+            if (!try_relay(call, respond)) {
                 respond(make_redirect(request));
             }
             return;
@@ -45,20 +46,20 @@
         return response;
     }
 
-    /// Takes a heartbeat for the leader. One that says that its worker leaves is the leader's to answer: it
-    /// has to be committed first.
-    bool is_relayed(const control_call& call, const http_responder& respond) {
+    /// Accepts a heartbeat on behalf of the leader. Returns false for any other call, and for a heartbeat of
+    /// a worker that is leaving: only the leader can answer it, after a commit.
+    bool try_relay(const control_call& call, const http_responder& respond) {
         const auto now = m_parts.loop.now();
-        const auto* beat = std::get_if<heartbeat_call>(&call);
-        if (beat == nullptr || beat->report.is_leaving || !m_agent.is_serving(now)) {
+        const auto* heartbeat = std::get_if<heartbeat_call>(&call);
+        if (heartbeat == nullptr || heartbeat->report.is_leaving || !m_agent.is_serving(now)) {
             return false;
         }
-        m_agent.on_report(beat->report, now);
-        respond(make_response(200, make_heartbeat_answer(m_agent.pick(beat->report))));
+        m_agent.on_report(heartbeat->report, now);
+        respond(make_response(200, make_heartbeat_answer(m_agent.pick(heartbeat->report))));
         return true;
     }
 
-    /// Names the instance that is to take a worker's later heartbeats.
+    /// Returns the body that tells a worker where to send its later heartbeats.
     [[nodiscard]] std::string make_heartbeat_answer(std::uint32_t ip) const {
         const auto port = static_cast<std::uint16_t>(m_parts.settings.control_port);
         return Dialect::format_heartbeat_answer(format_address({ip, port}));
@@ -76,14 +77,15 @@
         return response;
     }
 
-    /// Turns what became of a command into an answer: an unknown outcome is never told as a refusal.
-    static auto make_fate_handler(std::string body, http_responder respond) {
-        return [body = std::move(body), respond = std::move(respond)](command_fate fate) {
-            if (fate == command_fate::applied) {
+    /// Returns a handler that answers with a command's commit result. An unknown outcome is never answered as
+    /// a refusal.
+    static auto make_result_handler(std::string body, http_responder respond) {
+        return [body = std::move(body), respond = std::move(respond)](commit_result outcome) {
+            if (outcome == commit_result::applied) {
                 respond(make_response(200, body));
                 return;
             }
-            respond(make_error_response(503, "unknown", "leadership was lost; send it again"));
+            respond(make_error_response(503, "unknown", "leadership was lost; retry the request"));
         };
     }
 
@@ -98,7 +100,7 @@
         job_wire::job_command command;
         command.mutable_retire()->set_worker(call.report.life.id);
         command.mutable_retire()->set_born_ms(call.report.life.born_ms);
-        m_parts.batcher.add(std::move(command), make_fate_handler(std::move(body), std::move(respond)));
+        m_parts.batcher.add(std::move(command), make_result_handler(std::move(body), std::move(respond)));
     }
 
     void answer(const goodbye_call& call, const http_responder& respond) {
@@ -107,33 +109,34 @@
     }
 
     void answer(put_config_call& call, http_responder respond) {
-        const auto held = m_parts.book.get_configuration().version;
+        const auto current_version = m_parts.book.get_configuration().version;
         if (const auto error = find_configuration_error(call.configuration); error.has_value()) {
             log_event(log_level::warn, "config_refused")
                 .add("version", call.configuration.version)
-                .add("held", held)
+                .add("held", current_version)
                 .add("reason", *error);
             respond(make_error_response(400, "invalid", *error));
             return;
         }
         log_event(log_level::info, "config_received")
             .add("version", call.configuration.version)
-            .add("held", held)
+            .add("held", current_version)
             .add("queues", static_cast<std::uint64_t>(call.configuration.queues.size()));
-        if (call.configuration.version <= held) {
-            respond(make_response(200)); // overtaken or sent again
+        if (call.configuration.version <= current_version) {
+            respond(make_response(200)); // a newer version is in force, or a repeated request
             return;
         }
         job_wire::job_command command;
         encode(call.configuration, *command.mutable_config());
-        m_parts.batcher.add(std::move(command), make_fate_handler({}, std::move(respond)));
+        m_parts.batcher.add(std::move(command), make_result_handler({}, std::move(respond)));
     }
 
     void answer(const get_config_call&, http_responder respond) {
-        m_parts.log.read([this, respond = std::move(respond)](bool is_sure) {
+        m_parts.log.read([this, respond = std::move(respond)](bool is_confirmed) {
             const auto& configuration = m_parts.book.get_configuration();
-            if (!is_sure || configuration.version == 0) {
-                respond(make_error_response(503, "unsure", "the newest configuration is not known here"));
+            if (!is_confirmed || configuration.version == 0) {
+                respond(
+                    make_error_response(503, "unsure", "the newest configuration cannot be confirmed here"));
                 return;
             }
             respond(make_response(200, configuration.document));
--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -21,10 +21,10 @@
 
 namespace poplarpitch {
 
-/// A scheduler instance: keeps its part of the replicated log, and schedules while it leads.
+/// A scheduler instance: takes part in the replicated log, and schedules while it leads.
 ///
-/// One thread does all: the instances have one core, and a thread for traffic would add a wake-up to each
-/// message. Thread safety: none.
+/// One thread runs everything: the instances have one core, and a separate I/O thread would add a wake-up to
+/// each message. Thread safety: none.
 template <scheduler_dialect Dialect>
 class scheduler_daemon {
 public:
@@ -43,14 +43,15 @@
     /// Runs until SIGTERM. Returns the process's exit code.
     int run() {
         auto& loop = m_parts.loop;
-        loop.on_turn_end([this] { flush(); }); // before the log's own turn, so one turn proposes and syncs
+        loop.on_turn_end(
+            [this] { flush(); }); // before the log's handler, so that one turn proposes and syncs
         const auto started = m_parts.log.start();
         const auto port = m_listener.start();
         if (!started || !port) {
             log_event(log_level::error, "start_failed")
                 .add("error", started ? port.error() : started.error())
                 .add("host", m_parts.settings.control_host);
-            return cannot_start_code;
+            return start_failed_exit_code;
         }
         loop.on_turn_end([this] { m_orders.send_all(); });
         loop.on_turn_end([this] { send_answers(); });
@@ -59,7 +60,8 @@
         loop.on_signal(SIGTERM, [this] { stop(); });
         loop.on_signal(SIGINT, [this] { stop(); });
         loop.on_signal(SIGHUP, [] {
-            log_event(log_level::info, "reload_ignored").add("reason", "seeds only count at the start");
+            log_event(log_level::info, "reload_ignored")
+                .add("reason", "seeds count only at the start of the process");
         });
         log_event(log_level::info, "started")
             .add("id", m_parts.settings.id)
@@ -72,8 +74,8 @@
     }
 
 private:
-    static constexpr int cannot_start_code = 1;
-    static constexpr duration tick_interval = milliseconds{10}; // of a leader with work; timers are this late
+    static constexpr int start_failed_exit_code = 1;
+    static constexpr duration tick_interval = milliseconds{10}; // of a leader; its timers may be this late
     static constexpr duration idle_interval = milliseconds{200};
 
     static http_listener_settings make_listener_settings(const scheduler_settings& settings) {
@@ -99,15 +101,15 @@
             }
         };
         handler.on_leading = [this](log_term term) {
-            m_agent.on_own_term(term);
+            m_agent.on_leading(term);
             m_parts.relays.lead(term);
             m_parts.dispatch.lead(term, m_parts.loop.now(), get_wall_ms());
-            m_parts.loop.post([] {}); // another turn sends what that asked for
+            m_parts.loop.post([] {}); // wakes the loop to send the new orders
         };
         handler.on_leading_lost = [this] {
             m_parts.relays.retire();
             m_parts.dispatch.retire();
-            m_parts.batcher.drop();
+            m_parts.batcher.drop_pending();
         };
         handler.on_frame = [this](const job_wire::cluster_frame& frame, const auto& reply) {
             if (frame.has_orders()) {
@@ -150,7 +152,7 @@
     void flush() {
         m_parts.dispatch.on_load({m_parts.loop.get_busy_share(), m_parts.loop.get_lag()});
         if (m_parts.may_answer()) {
-            m_parts.dispatch.tick(m_parts.loop.now(), get_wall_ms(), m_parts.batcher.is_free());
+            m_parts.dispatch.tick(m_parts.loop.now(), get_wall_ms(), m_parts.batcher.can_flush());
         }
         for (auto& command : m_parts.dispatch.take_commands()) {
             m_parts.batcher.add(std::move(command), nullptr);
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Takes a frame of the leader that this instance relays for.
+    /// Handles a frame of orders from the leader.
     void on_orders(const job_wire::relay_orders& frame,
                    const std::function<void(const job_wire::cluster_frame&)>& reply) {
         if (auto refusal = m_agent.on_orders(frame, m_parts.loop.now()); refusal.has_value()) {
@@ -170,15 +172,15 @@
             reply(back);
             return;
         }
-        m_to_leader = reply;
+        m_reply_to_leader = reply;
     }
 
-    /// Tells the leader what there is to tell, a few frames a hundredth of a second at most.
+    /// Sends due answers and heartbeats to the leader, at most a few frames in 10 ms.
     void send_answers() {
         if (auto answers = m_agent.take_answers(m_parts.loop.now()); answers.has_value()) {
             job_wire::cluster_frame frame;
             *frame.mutable_answers() = std::move(*answers);
-            m_to_leader(frame);
+            m_reply_to_leader(frame);
         }
         const auto due = m_agent.get_due();
         if (due.has_value() && m_answer_timer == 0) {
@@ -211,8 +213,8 @@
     std::vector<book_event> m_events;
     scheduler_parts m_parts;
     worker_link<Dialect> m_link;
-    relay_agent m_agent; ///< while another instance leads
-    std::function<void(const job_wire::cluster_frame&)> m_to_leader;
+    relay_agent m_agent; ///< in use while another instance leads
+    std::function<void(const job_wire::cluster_frame&)> m_reply_to_leader;
     timer_id m_answer_timer = 0;
     worker_orders<Dialect> m_orders;
     caller_service<Dialect> m_callers;
--- a/unit_tests/scheduler/command_batcher_test.cpp
+++ b/unit_tests/scheduler/command_batcher_test.cpp
@@ -1,4 +1,4 @@
-// Commands that were gathered while the log stood still.
+// Commands that became pending while a batch was in flight.
 #include "poplarpitch/scheduler/command_batcher.h"
 
 #include "poplarpitch/net/event_loop.h"
@@ -17,20 +17,20 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{60};         // bounds a failure; no test reaches it when it passes
-constexpr std::size_t most_uncommitted = 8U << 10; // bytes that the log keeps without a commit
-constexpr std::size_t most_bytes = 1U << 10;       // of a batch
+constexpr duration test_timeout = seconds{60};          // reached only when the test fails
+constexpr std::size_t max_uncommitted_bytes = 8U << 10; // limit of the log
+constexpr std::size_t max_bytes = 1U << 10;             // of a batch
 constexpr std::size_t payload_bytes = 3U << 10;
 
-/// A folder that goes with the test.
-class own_folder {
+/// A temporary folder, removed with the object.
+class temporary_folder {
 public:
-    own_folder() : m_path(testing::TempDir() + "command_batcher_" + std::to_string(::getpid())) {
+    temporary_folder() : m_path(testing::TempDir() + "command_batcher_" + std::to_string(::getpid())) {
         std::filesystem::create_directories(m_path);
     }
-    ~own_folder() { std::filesystem::remove_all(m_path); }
-    own_folder(const own_folder&) = delete;
-    own_folder& operator=(const own_folder&) = delete;
+    ~temporary_folder() { std::filesystem::remove_all(m_path); }
+    temporary_folder(const temporary_folder&) = delete;
+    temporary_folder& operator=(const temporary_folder&) = delete;
     [[nodiscard]] const std::string& get_path() const { return m_path; }
 
 private:
@@ -45,17 +45,17 @@
     return command;
 }
 
-TEST(command_batcher, loses_no_command_where_more_is_gathered_than_the_log_takes_at_once) {
-    const own_folder folder;
+TEST(command_batcher, loses_no_command_where_more_is_pending_than_the_log_accepts_at_once) {
+    const temporary_folder folder;
     event_loop loop;
     job_book book;
     replica_settings settings;
     settings.data_folder = folder.get_path();
     settings.seeds = {settings.host};
     settings.may_found = true;
-    settings.raft.max_uncommitted_bytes = most_uncommitted;
-    std::vector<command_fate> fates; // under the present leadership
-    std::vector<command_fate> outcome;
+    settings.raft.max_uncommitted_bytes = max_uncommitted_bytes;
+    std::vector<commit_result> results; // in the present term of leadership
+    std::vector<commit_result> outcome;
     command_batcher* batcher = nullptr;
     replica_handler handler;
     handler.on_command = [&](const log_entry& entry) {
@@ -67,35 +67,35 @@
     };
     handler.on_load = [](const std::string& /*bytes*/) {
     };
-    int leaderships = 0; // on a machine that stands still one may be lost
+    int leaderships = 0; // counts lost leaderships; a stalled machine may cause one
     handler.on_leading_lost = [&] {
         ++leaderships;
-        batcher->drop();
-        fates.clear();
+        batcher->drop_pending();
+        results.clear();
     };
     constexpr std::size_t count = 4;
     handler.on_leading = [&](log_term /*term*/) {
         for (std::size_t number = 1; number <= count; ++number) {
-            batcher->add(make_submit(number), [&, at = leaderships](command_fate fate) {
+            batcher->add(make_submit(number), [&, at = leaderships](commit_result commit) {
                 if (at != leaderships) {
                     return;
                 }
-                fates.push_back(fate);
-                if (fates.size() == count) {
-                    outcome = fates;
+                results.push_back(commit);
+                if (results.size() == count) {
+                    outcome = results;
                     loop.stop();
                 }
             });
         }
     };
     replica log(loop, settings, std::move(handler));
-    command_batcher own(loop, log, book, most_bytes);
-    batcher = &own;
-    loop.on_turn_end([&] { own.flush(); });
+    command_batcher own_batcher(loop, log, book, max_bytes);
+    batcher = &own_batcher;
+    loop.on_turn_end([&] { own_batcher.flush(); });
     ASSERT_TRUE(log.start());
-    loop.call_after(patience, [&] { loop.stop(); });
+    loop.call_after(test_timeout, [&] { loop.stop(); });
     loop.run();
-    EXPECT_EQ(outcome, std::vector<command_fate>(count, command_fate::applied));
+    EXPECT_EQ(outcome, std::vector<commit_result>(count, commit_result::applied));
 }
 
 } // namespace
