--- a/poplarpitch/gateway/gateway_daemon.cpp
+++ b/poplarpitch/gateway/gateway_daemon.cpp
@@ -19,31 +19,31 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int cannot_start_code = 1;
-constexpr duration answer_margin = milliseconds{50}; // an answer must reach the caller before it gives up
+constexpr int startup_failure_exit_code = 1;
+constexpr duration response_margin = milliseconds{50}; // an answer must reach the caller before it gives up
 
 /// The parts of an entry instance. All live on the loop's thread.
 class gateway {
 public:
     explicit gateway(const gateway_settings& settings)
         : m_settings(settings), m_link(m_loop, settings.seeds, settings.link_port, settings.leader_wait),
-          m_callers(m_loop, make_listener(settings.callers_host, settings.callers_port),
-                    [this](const http_request& request, const http_responder& respond) {
-                        relay(request, respond);
-                    }),
-          m_ready(m_loop, make_listener(settings.ready_host, settings.ready_port),
-                  [this](const http_request& request, const http_responder& respond) {
-                      tell_ready(request, respond);
-                  }) {}
+          m_caller_listener(m_loop, make_listener_settings(settings.callers_host, settings.callers_port),
+                            [this](const http_request& request, const http_responder& respond) {
+                                relay(request, respond);
+                            }),
+          m_readiness_listener(m_loop, make_listener_settings(settings.ready_host, settings.ready_port),
+                               [this](const http_request& request, const http_responder& respond) {
+                                   answer_readiness_probe(request, respond);
+                               }) {}
 
     int run() {
-        const auto callers = m_callers.start();
-        const auto ready = m_ready.start();
-        if (!callers || !ready) {
+        const auto caller_port = m_caller_listener.start();
+        const auto readiness_port = m_readiness_listener.start();
+        if (!caller_port || !readiness_port) {
             log_event(log_level::error, "start_failed")
-                .add("error", callers ? ready.error() : callers.error())
+                .add("error", caller_port ? readiness_port.error() : caller_port.error())
                 .add("host", m_settings.callers_host);
-            return cannot_start_code;
+            return startup_failure_exit_code;
         }
         m_loop.on_signal(SIGTERM, [this] { stop(); });
         m_loop.on_signal(SIGINT, [this] { stop(); });
@@ -53,14 +53,14 @@
         m_loop.on_turn_end([] { flush_logs(); });
         start_metrics();
         m_link.start();
-        log_event(log_level::info, "started").add("id", m_settings.id).add("port", callers.value());
+        log_event(log_level::info, "started").add("id", m_settings.id).add("port", caller_port.value());
         m_loop.run();
         log_event(log_level::info, "stopped").add("id", m_settings.id);
         return 0;
     }
 
 private:
-    static http_listener_settings make_listener(const std::string& host, int port) {
+    static http_listener_settings make_listener_settings(const std::string& host, int port) {
         http_listener_settings listener;
         listener.host = host;
         listener.port = port;
@@ -81,17 +81,18 @@
     std::string format_metrics() {
         m_metrics.set("poplarpitch_leader_connected", {}, m_link.is_connected() ? 1 : 0);
         m_metrics.set("poplarpitch_open_requests", {}, static_cast<double>(m_link.get_open_requests()));
-        m_metrics.set("poplarpitch_caller_connections", {}, static_cast<double>(m_callers.get_connections()));
+        m_metrics.set("poplarpitch_caller_connections", {},
+                      static_cast<double>(m_caller_listener.get_connections()));
         return m_metrics.format();
     }
 
-    [[nodiscard]] duration read_deadline(const http_request& request) const {
-        std::int64_t limit = 0;
+    [[nodiscard]] duration read_request_timeout(const http_request& request) const {
+        std::int64_t timeout = 0;
         const auto text = request.headers.get(m_settings.deadline_header);
-        if (!absl::SimpleAtoi(text, &limit) || limit <= 0) {
+        if (!absl::SimpleAtoi(text, &timeout) || timeout <= 0) {
             return m_settings.default_deadline;
         }
-        return milliseconds{limit};
+        return milliseconds{timeout};
     }
 
     void relay(const http_request& request, const http_responder& respond) {
@@ -100,14 +101,15 @@
         message.set_host(request.headers.get("Host"));
         message.set_target(request.target);
         message.set_body(request.body);
-        const auto limit = std::max(read_deadline(request) - answer_margin, answer_margin);
-        message.set_remaining_ms(to_milliseconds(limit));
-        m_link.relay(std::move(message), m_loop.now() + limit,
-                     [this, respond, since = m_loop.now()](const relay_outcome& outcome) {
-                         const auto answer = make_answer(outcome);
+        const auto timeout = std::max(read_request_timeout(request) - response_margin, response_margin);
+        message.set_remaining_ms(to_milliseconds(timeout));
+        m_link.relay(std::move(message), m_loop.now() + timeout,
+                     [this, respond, received_at = m_loop.now()](const relay_outcome& outcome) {
+                         const auto response = make_response(outcome);
                          m_metrics.observe("poplarpitch_request_seconds",
-                                           {"", "", std::to_string(answer.status)}, m_loop.now() - since);
-                         respond(answer);
+                                           {"", "", std::to_string(response.status)},
+                                           m_loop.now() - received_at);
+                         respond(response);
                      });
     }
 
@@ -117,9 +119,9 @@
         }
     }
 
-    static http_response make_answer(const relay_outcome& outcome) {
+    static http_response make_response(const relay_outcome& outcome) {
         http_response response;
-        switch (outcome.what) {
+        switch (outcome.result) {
         case relay_outcome::kind::answered:
             response.status = outcome.status;
             response.body = outcome.body;
@@ -139,7 +141,7 @@
         return response;
     }
 
-    void tell_ready(const http_request& request, const http_responder& respond) {
+    void answer_readiness_probe(const http_request& request, const http_responder& respond) {
         http_response response;
         const bool is_ready = m_link.is_connected() && !m_is_stopping;
         response.status = request.get_path() != m_settings.ready_path ? 404 : is_ready ? 200 : 503;
@@ -153,18 +155,18 @@
         m_is_stopping = true;
         log_event(log_level::info, "stopping")
             .add("id", m_settings.id)
-            .add("connections", static_cast<std::uint64_t>(m_callers.get_connections()))
-            .add("open", static_cast<std::uint64_t>(m_callers.get_open_requests()));
-        m_callers.close_after_answers();
+            .add("connections", static_cast<std::uint64_t>(m_caller_listener.get_connections()))
+            .add("open", static_cast<std::uint64_t>(m_caller_listener.get_open_requests()));
+        m_caller_listener.close_after_answers();
         m_stop_deadline = m_loop.now() + m_settings.stop_limit;
         m_loop.call_after(m_settings.drain_wait, [this] {
-            m_callers.drain();
+            m_caller_listener.drain();
             wait_for_answers();
         });
     }
 
     void wait_for_answers() {
-        if (m_callers.get_open_requests() == 0 || m_loop.now() >= m_stop_deadline) {
+        if (m_caller_listener.get_open_requests() == 0 || m_loop.now() >= m_stop_deadline) {
             m_loop.stop();
             return;
         }
@@ -174,8 +176,8 @@
     const gateway_settings m_settings;
     event_loop m_loop;
     leader_link m_link;
-    http_listener m_callers;
-    http_listener m_ready;
+    http_listener m_caller_listener;
+    http_listener m_readiness_listener;
     metrics_registry m_metrics;
     std::unique_ptr<http_listener> m_metrics_listener;
     bool m_is_stopping = false;
--- a/poplarpitch/gateway/leader_link.h
+++ b/poplarpitch/gateway/leader_link.h
@@ -30,7 +30,7 @@
         not_read,   ///< it only asks, and no answer came: it may be asked again anywhere, at once
         unknown,    ///< sent, but no answer came: it may have been done
     };
-    kind what = kind::answered;
+    kind result = kind::answered;
     int status = 0;
     std::string body;
     duration retry_after{}; ///< when to come back; zero for none
@@ -69,35 +69,35 @@
 private:
     struct pending_request;
 
-    void look();
-    void ask(std::uint32_t ip);
+    void poll_status();
+    void request_status(std::uint32_t ip);
     void connect(std::uint32_t ip);
     void on_frame(std::uint32_t ip, const std::string& bytes);
     void on_status(std::uint32_t ip, const job_wire::cluster_status& status);
     void on_answer(std::uint32_t ip, const job_wire::relay_answer& answer);
-    void lose_leader(const char* reason);
+    void mark_leader_lost(const char* reason);
     void send_pending();
     [[nodiscard]] duration get_retry_after() const;
     /// Returns until when a request that reached no leader waits for one.
-    [[nodiscard]] time_point get_wait_end() const;
+    [[nodiscard]] time_point get_leader_wait_deadline() const;
     void send(pending_request& item);
     void expire(std::uint64_t number);
-    static void tell_given_up(const pending_request& item, relay_outcome::kind what);
+    static void log_abandoned(const pending_request& item, relay_outcome::kind result);
     /// Returns what is known of a request that is given up.
-    [[nodiscard]] static relay_outcome::kind judge(const pending_request& item);
+    [[nodiscard]] static relay_outcome::kind classify_abandoned(const pending_request& item);
 
     event_loop& m_loop;
     int m_port;
     duration m_leader_wait;
-    std::set<std::uint32_t> m_known; ///< control instances heard of
+    std::set<std::uint32_t> m_control_ips; ///< control instances heard of
     std::map<std::uint32_t, std::shared_ptr<frame_socket>> m_sockets;
     std::set<std::uint32_t> m_connecting;
-    std::map<std::uint32_t, time_point> m_asked; ///< instances that owe an answer, since when
+    std::map<std::uint32_t, time_point> m_status_requested_at; ///< instances that owe an answer, since when
     std::uint32_t m_leader = 0;
-    time_point m_leader_heard{};
-    time_point m_lost_at{}; ///< while no leader is known: since when
+    time_point m_leader_heard_at{};
+    time_point m_leader_lost_at{}; ///< while no leader is known: since when
     std::map<std::uint64_t, std::unique_ptr<pending_request>> m_pending;
-    bool m_is_holding = false; ///< requests wait for a sign of life of the leader
+    bool m_is_confirming_leader = false; ///< requests wait for a sign of life of the leader
     std::uint64_t m_next_number = 1;
     std::shared_ptr<bool> m_is_alive;
 };
--- a/unit_tests/gateway/leader_link_test.cpp
+++ b/unit_tests/gateway/leader_link_test.cpp
@@ -19,22 +19,22 @@
 
 constexpr duration leader_wait = milliseconds{300};
 constexpr duration deadline = milliseconds{1500};
-constexpr duration longest_test = seconds{20};
+constexpr duration test_timeout = seconds{20};
 
 /// A control instance that leads for as long as the test wants, on a real connection.
-class pretended_leader {
+class fake_leader {
 public:
-    explicit pretended_leader(event_loop& loop)
+    explicit fake_leader(event_loop& loop)
         : m_listener(loop, "127.0.0.1", 0,
                      [this](std::shared_ptr<frame_socket> socket) { serve(std::move(socket)); }) {
         port = m_listener.start();
     }
 
     int port = 0;
-    bool dies_with_request = false;
+    bool stops_at_first_request = false;
     std::uint32_t status = 200;
-    bool is_alive = true;           ///< false: the connection stays, nothing is answered
-    std::vector<std::string> taken; ///< targets of the requests that arrived, alive or not
+    bool is_responsive = true;                 ///< false: the connection stays, nothing is answered
+    std::vector<std::string> received_targets; ///< targets of the requests that arrived, alive or not
 
 private:
     void serve(std::shared_ptr<frame_socket> socket) {
@@ -47,12 +47,12 @@
         job_wire::cluster_frame frame;
         ASSERT_TRUE(frame.ParseFromString(bytes));
         if (frame.has_request()) {
-            taken.push_back(frame.request().target());
-            if (dies_with_request && taken.size() == 1) {
-                is_alive = false;
+            received_targets.push_back(frame.request().target());
+            if (stops_at_first_request && received_targets.size() == 1) {
+                is_responsive = false;
             }
         }
-        if (!is_alive) {
+        if (!is_responsive) {
             return;
         }
         job_wire::cluster_frame reply;
@@ -71,11 +71,11 @@
 };
 
 /// A link to a pretended leader, on one loop.
-class link_world {
+class link_test_environment {
 public:
-    link_world() : leader(loop), link(loop, {"127.0.0.1"}, leader.port, leader_wait) {
+    link_test_environment() : leader(loop), link(loop, {"127.0.0.1"}, leader.port, leader_wait) {
         link.start();
-        loop.call_after(longest_test, [this] {
+        loop.call_after(test_timeout, [this] {
             ADD_FAILURE() << "the test did not end";
             loop.stop();
         });
@@ -83,19 +83,19 @@
 
     /// Runs until the link has found the leader and has heard nothing of it for longer than a sign of life
     /// counts.
-    void wait_until_quiet() {
+    void wait_until_confirmation_expires() {
         wait_for_connection();
         run();
     }
 
     /// Lets the leader die without a sign, while its connection looks as before.
-    void lose_leader() {
-        wait_until_quiet();
-        leader.is_alive = false;
+    void stop_leader_responses() {
+        wait_until_confirmation_expires();
+        leader.is_responsive = false;
     }
 
     /// Lets time pass.
-    void pass(duration length) {
+    void run_for(duration length) {
         loop.call_after(length, [this] { loop.stop(); });
         run();
     }
@@ -115,7 +115,7 @@
     }
 
     event_loop loop;
-    pretended_leader leader;
+    fake_leader leader;
     leader_link link;
 
 private:
@@ -137,87 +137,87 @@
 };
 
 TEST(leader_link, relays_to_a_leader_that_answers) {
-    link_world world;
-    world.wait_until_quiet();
-    const auto outcome = world.relay("POST");
-    EXPECT_EQ(outcome.what, relay_outcome::kind::answered);
+    link_test_environment env;
+    env.wait_until_confirmation_expires();
+    const auto outcome = env.relay("POST");
+    EXPECT_EQ(outcome.result, relay_outcome::kind::answered);
     EXPECT_EQ(outcome.status, 200);
 }
 
 /// Load pattern: all control instances lose power at once; the connection looks as before for a second.
-TEST(leader_link, sends_no_change_to_a_leader_that_has_just_died_and_says_so) {
-    link_world world;
-    world.lose_leader();
-    const auto outcome = world.relay("POST");
-    EXPECT_EQ(outcome.what, relay_outcome::kind::never_sent);
-    EXPECT_TRUE(world.leader.taken.empty()); // so "not accepted" is true
+TEST(leader_link, rejects_a_change_unsent_when_the_leader_has_just_died) {
+    link_test_environment env;
+    env.stop_leader_responses();
+    const auto outcome = env.relay("POST");
+    EXPECT_EQ(outcome.result, relay_outcome::kind::never_sent);
+    EXPECT_TRUE(env.leader.received_targets.empty()); // so "not accepted" is true
     EXPECT_GE(outcome.retry_after, seconds{1});
 }
 
-TEST(leader_link, takes_no_refusal_of_a_second_copy_for_what_became_of_the_first) {
-    link_world world;
-    world.wait_until_quiet();
-    world.leader.dies_with_request = true;
-    world.leader.status = 429;
-    world.loop.call_after(milliseconds{1080}, [&world] { world.leader.is_alive = true; });
-    const auto outcome = world.relay("POST");
-    EXPECT_EQ(world.leader.taken.size(), 2U);
-    EXPECT_EQ(outcome.what, relay_outcome::kind::unknown) << outcome.status;
+TEST(leader_link, reports_unknown_when_only_a_second_copy_was_refused) {
+    link_test_environment env;
+    env.wait_until_confirmation_expires();
+    env.leader.stops_at_first_request = true;
+    env.leader.status = 429;
+    env.loop.call_after(milliseconds{1080}, [&env] { env.leader.is_responsive = true; });
+    const auto outcome = env.relay("POST");
+    EXPECT_EQ(env.leader.received_targets.size(), 2U);
+    EXPECT_EQ(outcome.result, relay_outcome::kind::unknown) << outcome.status;
 }
 
-TEST(leader_link, asks_a_silent_leader_for_a_state_all_the_same) {
-    link_world world;
-    world.lose_leader();
-    const auto outcome = world.relay("GET");
-    EXPECT_EQ(outcome.what, relay_outcome::kind::not_read); // whether it arrived makes no difference
+TEST(leader_link, sends_reads_to_a_silent_leader) {
+    link_test_environment env;
+    env.stop_leader_responses();
+    const auto outcome = env.relay("GET");
+    EXPECT_EQ(outcome.result, relay_outcome::kind::not_read); // whether it arrived makes no difference
     EXPECT_GE(outcome.retry_after, seconds{1});
-    EXPECT_EQ(world.leader.taken.size(), 1U);
+    EXPECT_EQ(env.leader.received_targets.size(), 1U);
 }
 
 /// Load pattern: all control instances lose power for seconds while callers ask for their jobs' states. Each
 /// was told 504 at its deadline, which a caller has to take for a request that may have been carried out.
-TEST(leader_link, tells_who_asked_for_a_state_before_the_deadline_once_the_leader_is_known_to_be_gone) {
-    link_world world;
-    world.lose_leader();
-    const auto began = world.loop.now();
-    const auto outcome = world.relay("GET");
-    EXPECT_EQ(outcome.what, relay_outcome::kind::not_read);
-    EXPECT_LT(world.loop.now() - began, deadline);
+TEST(leader_link, fails_reads_before_the_deadline_once_the_leader_is_lost) {
+    link_test_environment env;
+    env.stop_leader_responses();
+    const auto started_at = env.loop.now();
+    const auto outcome = env.relay("GET");
+    EXPECT_EQ(outcome.result, relay_outcome::kind::not_read);
+    EXPECT_LT(env.loop.now() - started_at, deadline);
 }
 
 /// Load pattern: all control instances lose power for 5 s. Every caller waited 1.2 s for a leader that an
 /// election could not bring any more, and was sent away then.
-TEST(leader_link, sends_callers_away_at_once_when_no_election_can_still_be_going_on) {
-    link_world world;
-    world.lose_leader();
-    EXPECT_EQ(world.relay("POST").what, relay_outcome::kind::never_sent);
-    while (world.link.is_connected()) {
-        world.pass(milliseconds{50});
+TEST(leader_link, rejects_changes_at_once_when_no_election_can_be_running) {
+    link_test_environment env;
+    env.stop_leader_responses();
+    EXPECT_EQ(env.relay("POST").result, relay_outcome::kind::never_sent);
+    while (env.link.is_connected()) {
+        env.run_for(milliseconds{50});
     }
-    world.pass(leader_wait * 2);
-    const auto began = world.loop.now();
-    const auto outcome = world.relay("POST");
-    EXPECT_EQ(outcome.what, relay_outcome::kind::never_sent);
-    EXPECT_LT(world.loop.now() - began, leader_wait / 2);
+    env.run_for(leader_wait * 2);
+    const auto started_at = env.loop.now();
+    const auto outcome = env.relay("POST");
+    EXPECT_EQ(outcome.result, relay_outcome::kind::never_sent);
+    EXPECT_LT(env.loop.now() - started_at, leader_wait / 2);
     EXPECT_GE(outcome.retry_after, seconds{1});
-    world.leader.is_alive = true;
-    while (!world.link.is_connected()) {
-        world.pass(milliseconds{50});
+    env.leader.is_responsive = true;
+    while (!env.link.is_connected()) {
+        env.run_for(milliseconds{50});
     }
-    EXPECT_EQ(world.relay("POST").what, relay_outcome::kind::answered)
+    EXPECT_EQ(env.relay("POST").result, relay_outcome::kind::answered)
         << "and goes on once there is one again";
 }
 
-TEST(leader_link, tells_callers_to_stay_away_longer_the_longer_no_leader_is_there) {
-    link_world world;
-    world.lose_leader();
+TEST(leader_link, raises_retry_after_with_the_length_of_the_outage) {
+    link_test_environment env;
+    env.stop_leader_responses();
     duration last{};
     for (int request = 0; request < 8; ++request) {
-        const auto outcome = world.relay("POST");
-        EXPECT_EQ(outcome.what, relay_outcome::kind::never_sent);
+        const auto outcome = env.relay("POST");
+        EXPECT_EQ(outcome.result, relay_outcome::kind::never_sent);
         EXPECT_GE(outcome.retry_after, last);
         last = outcome.retry_after;
-        world.pass(leader_wait);
+        env.run_for(leader_wait);
     }
     EXPECT_GT(last, seconds{2});
     EXPECT_LE(last, seconds{5});
