--- a/poplarpitch/gateway/gateway_daemon.cpp
+++ b/poplarpitch/gateway/gateway_daemon.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 constexpr int startup_failure_exit_code = 1;
-constexpr duration response_margin = milliseconds{50}; // an answer must reach the caller before it gives up
+constexpr duration response_margin = milliseconds{50}; // lets a response arrive before the deadline
 
-/// The parts of an entry instance. All live on the loop's thread.
+/// The components of an entry instance. All are used on the loop's thread only.
 class gateway {
 public:
     explicit gateway(const gateway_settings& settings)
@@ -48,7 +48,7 @@
         m_loop.on_signal(SIGTERM, [this] { stop(); });
         m_loop.on_signal(SIGINT, [this] { stop(); });
         m_loop.on_signal(SIGHUP, [] {
-            log_event(log_level::info, "reload_ignored").add("reason", "seeds only count at the start");
+            log_event(log_level::info, "reload_ignored").add("reason", "seeds are read only at startup");
         });
         m_loop.on_turn_end([] { flush_logs(); });
         start_metrics();
@@ -128,15 +128,17 @@
             add_retry_after(response, outcome.retry_after);
             return response;
         case relay_outcome::kind::never_sent:
-            response = make_error_response(503, "no_leader", "not accepted: no instance leads at present");
+            response = make_error_response(503, "no_leader", "request not accepted: no leader is available");
             add_retry_after(response, outcome.retry_after);
             return response;
         case relay_outcome::kind::not_read:
-            response = make_error_response(503, "no_answer", "nothing was changed: ask again");
+            response = make_error_response(
+                503, "no_answer", "no answer from the leader; nothing was changed, repeat the request");
             add_retry_after(response, outcome.retry_after);
             return response;
         case relay_outcome::kind::unknown:
-            return make_error_response(504, "unknown", "no answer came; send it again under the same id");
+            return make_error_response(504, "unknown",
+                                       "no answer from the leader; repeat the request with the same id");
         }
         return response;
     }
--- a/poplarpitch/gateway/gateway_settings.cpp
+++ b/poplarpitch/gateway/gateway_settings.cpp
@@ -17,10 +17,10 @@
     value.metrics_port = static_cast<int>(reader.get_integer("metrics_port", 0, 0, max_port));
     value.seeds = read_seed_hosts(reader, "seeds");
     if (value.id.empty()) {
-        reader.add_error("id", "id is missing: the name of this instance");
+        reader.add_error("id", "id is missing: it names this instance");
     }
     if (value.seeds.empty()) {
-        reader.add_error("seeds", "seeds is missing: addresses of control instances");
+        reader.add_error("seeds", "seeds is missing: it lists addresses of control instances");
     }
 }
 
@@ -64,7 +64,7 @@
         reader.finish();
     }
     if (!has_instance || !has_entry) {
-        parsed.errors.push_back({0, "the sections [instance] and [entry] are needed"});
+        parsed.errors.push_back({0, "the sections [instance] and [entry] are required"});
     }
     return parsed;
 }
--- a/poplarpitch/gateway/gateway_settings.h
+++ b/poplarpitch/gateway/gateway_settings.h
@@ -9,37 +9,37 @@
 
 namespace poplarpitch {
 
-/// Settings of an entry instance: `[instance]` and `[entry]` of its settings file.
+/// Settings of an entry instance, from the sections `[instance]` and `[entry]` of its settings file.
 struct gateway_settings {
-    std::string id; ///< name of this instance, unique among all
+    std::string id; ///< name of this instance, unique among all instances
     std::string data_centre = "default";
     std::string log_level = "info";
-    std::vector<std::string> seeds; ///< addresses of up to three control instances, without port
-    int link_port = 0;              ///< where control instances take frames; the same on all
+    std::vector<std::string> seeds; ///< hosts of up to three control instances, without port
+    int link_port = 0; ///< port on which control instances accept frames; the same on all of them
     std::string callers_host = "127.0.0.1";
     int callers_port = 0;
     std::string ready_host = "127.0.0.1";
     int ready_port = 0;
-    std::string ready_path = "/readyz";                      ///< where the balancer asks
-    std::string deadline_header = "Poplarpitch-Deadline-Ms"; ///< what a caller waits, milliseconds
+    std::string ready_path = "/readyz";                      ///< path of the load balancer's health check
+    std::string deadline_header = "Poplarpitch-Deadline-Ms"; ///< how long a caller waits, in milliseconds
     duration default_deadline = seconds{3};
-    duration leader_wait =
-        milliseconds{1200}; ///< a request waits this long for a leader: an election takes 0.4 to 1 s
-    duration drain_wait =
-        milliseconds{2600};           ///< at a stop: until the balancer has seen two misses of one a second
-    duration stop_limit = seconds{5}; ///< at a stop: the latest end
+    /// How long a request waits for a leader. An election takes 0.4 to 1 s.
+    duration leader_wait = milliseconds{1200};
+    /// At shutdown: time for the load balancer to see two failed health checks, which it makes once a second.
+    duration drain_wait = milliseconds{2600};
+    duration stop_limit = seconds{5}; ///< at shutdown: time limit for open requests
     int metrics_port = 0;
 
     friend bool operator==(const gateway_settings&, const gateway_settings&) = default;
 };
 
-/// Settings, or every reason why the text does not give them.
+/// The settings, or all errors found in the text.
 struct parsed_gateway_settings {
     gateway_settings value;
     std::vector<config_error> errors;
 };
 
-/// Reads the settings of an entry instance. Thread safety: any thread.
+/// Parses the text of an entry instance's settings file. Thread safety: any thread.
 [[nodiscard]] parsed_gateway_settings parse_gateway_settings(std::string_view text);
 
 } // namespace poplarpitch
--- a/poplarpitch/gateway/leader_link.cpp
+++ b/poplarpitch/gateway/leader_link.cpp
@@ -13,17 +13,17 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration leader_search_interval = milliseconds{100}; // while requests may wait for a leader
-constexpr duration leader_poll_interval =
-    milliseconds{350};                                 // of a leader; a third of what is borne as silence
-constexpr duration silence_limit = milliseconds{1000}; // then the connection or the leader is given up
-constexpr duration leader_confirmation_validity =
-    milliseconds{50}; // of a sign of life; asking anew takes 1 to 3 ms
-// An outage lasts on about as long as it has lasted; a caller has four tries, which so cover some 15 s.
-constexpr duration min_retry_after = seconds{1}; // an election takes less
+constexpr duration leader_search_interval = milliseconds{100}; // while no leader is known
+constexpr duration leader_poll_interval = milliseconds{350};   // about a third of silence_limit
+constexpr duration silence_limit = milliseconds{1000}; // a connection or leader silent for longer is dropped
+// A change is sent only to a leader heard from within this time; a new status request takes 1 to 3 ms.
+constexpr duration leader_confirmation_validity = milliseconds{50};
+// An outage is expected to continue for about as long as it has already lasted. A caller has four attempts,
+// which then cover about 15 s.
+constexpr duration min_retry_after = seconds{1}; // an election takes less time
 constexpr duration max_retry_after = seconds{5};
 constexpr duration connect_timeout = milliseconds{700};
-constexpr int first_error_status = 400; // among HTTP statuses
+constexpr int first_error_status = 400; // the lowest HTTP status that rejects a request
 
 const char* get_outcome_name(relay_outcome::kind result) {
     switch (result) {
@@ -47,19 +47,21 @@
     outcome_handler on_outcome;
     time_point deadline{};
     std::uint64_t timer = 0;
-    std::vector<std::uint32_t> recipients; ///< the leaders it was sent to, one for each time
-    std::uint32_t sent_to = 0;             ///< the leader that owes the answer; 0 for none
+    std::vector<std::uint32_t> recipients; ///< leaders it was sent to, one entry per send
+    std::uint32_t sent_to = 0;             ///< leader whose answer is awaited; 0 for none
 
     [[nodiscard]] bool was_sent() const { return !recipients.empty(); }
-    /// Returns true where a refusal by `leader` says nothing of another copy, which may yet come to it over a
-    /// connection that was given up. A copy at an earlier leader can be accepted no more.
+    /// Returns true when `leader` was sent another copy of a change. That copy may still arrive over a
+    /// connection that was dropped, so a rejection does not tell its outcome. A copy at an earlier leader can
+    /// no longer be accepted.
     [[nodiscard]] bool has_another_copy_at(std::uint32_t leader) const {
         return !is_read_only() && std::count(recipients.begin(), recipients.end(), leader) > 1;
     }
 
     [[nodiscard]] bool is_read_only() const { return request->method() == "GET"; }
-    /// Returns true while waiting on is better than an answer now: for a change that may have been done only
-    /// the next leader can tell, for a question only one that has it.
+    /// Returns true while waiting is better than reporting an outcome now. Only the next leader can tell
+    /// whether a change that was sent has been carried out; a read waits only for a leader that has received
+    /// it.
     [[nodiscard]] bool should_keep_waiting() const { return is_read_only() ? sent_to != 0 : was_sent(); }
 };
 
@@ -112,8 +114,7 @@
         return;
     }
     const auto requested_at = m_status_requested_at.try_emplace(ip, m_loop.now()).first->second;
-    if (m_loop.now() - requested_at >
-        silence_limit) { // the path may have gone silent: a fresh connection tells
+    if (m_loop.now() - requested_at > silence_limit) { // the connection may be dead: open a new one
         found->second->close();
         m_sockets.erase(found);
         m_status_requested_at.erase(ip);
@@ -216,7 +217,7 @@
     }
     m_leader = 0;
     m_leader_lost_at = m_loop.now();
-    m_is_confirming_leader = false; // all go to the next leader
+    m_is_confirming_leader = false; // all pending requests are sent to the next leader
     for (auto& [number, item] : m_pending) {
         item->sent_to = 0;
     }
@@ -250,9 +251,9 @@
     request_status(m_leader);
 }
 
-/// Load pattern: all control instances lose power for 5 to 10 s. An election takes up to 1.2 s, so what comes
-/// while one may be going on waits for its end; what comes later is sent away at once, since nothing says
-/// that the next second brings what the last ones did not.
+/// Load pattern: all control instances lose power for 5 to 10 s. An election takes up to 1.2 s, so a request
+/// that arrives while one may be running waits for its end. A later request is rejected at once, since
+/// nothing indicates that a leader will appear within the next second.
 time_point leader_link::get_leader_wait_deadline() const {
     const auto now = m_loop.now();
     return m_leader != 0 ? now + m_leader_wait : std::max(now, m_leader_lost_at + m_leader_wait);
@@ -287,11 +288,12 @@
 void leader_link::on_answer(std::uint32_t ip, const job_wire::relay_answer& answer) {
     const auto found = m_pending.find(answer.number());
     if (found == m_pending.end()) {
-        return; // given up
+        return; // already abandoned
     }
     auto& item = *found->second;
     if (!answer.taken() || answer.status() == 0) {
-        // Not taken, or its outcome is not known there: the next leader is asked again.
+        // `taken` is false when the instance does not lead; status 0 means that it does not know the outcome.
+        // The request is sent again to the next leader.
         item.sent_to = 0;
         if (m_leader != 0) {
             mark_leader_lost(answer.taken() ? "outcome_unknown" : "leads_no_longer");
--- a/poplarpitch/gateway/leader_link.h
+++ b/poplarpitch/gateway/leader_link.h
@@ -22,48 +22,54 @@
 class event_loop;
 class frame_socket;
 
-/// How a relayed request ended.
+/// The outcome of a relayed request.
 struct relay_outcome {
     enum class kind : std::uint8_t {
         answered,
-        never_sent, ///< no leader was found in time: nothing was done and never will be
-        not_read,   ///< it only asks, and no answer came: it may be asked again anywhere, at once
-        unknown,    ///< sent, but no answer came: it may have been done
+        never_sent, ///< no leader was found in time; the request was not and will not be carried out
+        not_read,   ///< a read without an answer; safe to repeat at once and through any entry instance
+        unknown,    ///< a change that was sent, with an unknown outcome; it may have been carried out
     };
     kind result = kind::answered;
     int status = 0;
     std::string body;
-    duration retry_after{}; ///< when to come back; zero for none
+    duration retry_after{}; ///< delay that the caller is asked to wait before a retry; zero for none
 
     friend bool operator==(const relay_outcome&, const relay_outcome&) = default;
 };
 
-/// An entry instance's connection to the instance that leads.
+/// An entry instance's connection to the control instance that leads.
 ///
-/// While no leader is known it asks all control instances that it has heard of. One that leads is asked again
-/// a few times a second; one that falls silent, or says that it leads no longer, is given up, and requests
-/// without an answer go to the next one: every relayed request may arrive twice. A request that changes
-/// something is sent only to a leader that was heard a moment ago, otherwise it asks first: what was sent to
-/// one that had just lost power could be told neither accepted nor refused, and its caller waited to its
-/// deadline for a 504 where a 503 after 1.2 s is true (19 to 21 requests a power loss of all control
-/// instances; 0 to 3 since). Thread safety: the loop's thread, for all methods.
+/// While no leader is known, the link requests the status of all known control instances. It polls a known
+/// leader a few times a second, and drops it when it falls silent or reports that it no longer leads.
+/// Requests without an answer are then sent to the next leader, so every relayed request may arrive twice.
+///
+/// A change is sent only to a leader that was heard from within the last 50 ms. Otherwise the link first
+/// requests the leader's status. A change that was sent to a leader which had just lost power could be
+/// reported neither as accepted nor as rejected, so its caller waited until its deadline for a 504 where a
+/// 503 after 1.2 s is correct (19 to 21 requests per power loss of all control instances; 0 to 3 with this
+/// check).
+///
+/// Thread safety: the loop's thread, for all methods.
 class leader_link {
 public:
     using outcome_handler = std::function<void(const relay_outcome&)>;
 
-    /// Precondition: `loop` outlives the link. `seeds` are IPv4 addresses.
+    /// `seeds` are IPv4 addresses of control instances; all of them listen on `port`. A request waits for a
+    /// leader for `leader_wait`. Precondition: `loop` outlives the link.
     leader_link(event_loop& loop, const std::vector<std::string>& seeds, int port, duration leader_wait);
     ~leader_link();
     leader_link(const leader_link&) = delete;
     leader_link& operator=(const leader_link&) = delete;
 
-    /// Begins to look for a leader.
+    /// Starts the search for a leader.
     void start();
-    /// Sends a request to the leader; `on_outcome` is called once, at the latest at `deadline`.
+    /// Sends a request to the leader, or queues it until a leader is found. `on_outcome` is called once, at
+    /// the latest at `deadline`.
     void relay(job_wire::relay_request request, time_point deadline, outcome_handler on_outcome);
-    /// Returns true when a leader answered a moment ago.
+    /// Returns true when a leader is known and was heard from within the silence limit.
     [[nodiscard]] bool is_connected() const;
-    /// Returns how many requests have no outcome yet.
+    /// Returns the number of requests that have no outcome yet.
     [[nodiscard]] std::size_t get_open_requests() const { return m_pending.size(); }
 
 private:
@@ -78,26 +84,27 @@
     void mark_leader_lost(const char* reason);
     void send_pending();
     [[nodiscard]] duration get_retry_after() const;
-    /// Returns until when a request that reached no leader waits for one.
+    /// Returns the time until which a new request waits for a leader.
     [[nodiscard]] time_point get_leader_wait_deadline() const;
     void send(pending_request& item);
     void expire(std::uint64_t number);
     static void log_abandoned(const pending_request& item, relay_outcome::kind result);
-    /// Returns what is known of a request that is given up.
+    /// Returns the outcome of a request that was abandoned without an answer.
     [[nodiscard]] static relay_outcome::kind classify_abandoned(const pending_request& item);
 
     event_loop& m_loop;
     int m_port;
     duration m_leader_wait;
-    std::set<std::uint32_t> m_control_ips; ///< control instances heard of
+    std::set<std::uint32_t> m_control_ips; ///< known control instances: seeds and reported voters
     std::map<std::uint32_t, std::shared_ptr<frame_socket>> m_sockets;
     std::set<std::uint32_t> m_connecting;
-    std::map<std::uint32_t, time_point> m_status_requested_at; ///< instances that owe an answer, since when
+    /// When the oldest unanswered status request to each instance was sent.
+    std::map<std::uint32_t, time_point> m_status_requested_at;
     std::uint32_t m_leader = 0;
     time_point m_leader_heard_at{};
-    time_point m_leader_lost_at{}; ///< while no leader is known: since when
+    time_point m_leader_lost_at{}; ///< start of the search for a leader while none is known
     std::map<std::uint64_t, std::unique_ptr<pending_request>> m_pending;
-    bool m_is_confirming_leader = false; ///< requests wait for a sign of life of the leader
+    bool m_is_confirming_leader = false; ///< queued changes wait for the leader's next frame
     std::uint64_t m_next_number = 1;
     std::shared_ptr<bool> m_is_alive;
 };
--- a/unit_tests/gateway/leader_link_test.cpp
+++ b/unit_tests/gateway/leader_link_test.cpp
@@ -1,4 +1,4 @@
-// What an entry instance does with requests while the leader dies, is away, or comes back.
+// Requests relayed by an entry instance while the leader fails, is absent or returns.
 #include "poplarpitch/gateway/leader_link.h"
 
 #include "poplarpitch/net/event_loop.h"
@@ -21,7 +21,7 @@
 constexpr duration deadline = milliseconds{1500};
 constexpr duration test_timeout = seconds{20};
 
-/// A control instance that leads for as long as the test wants, on a real connection.
+/// A leading control instance on a real connection, which the test can make unresponsive.
 class fake_leader {
 public:
     explicit fake_leader(event_loop& loop)
@@ -33,8 +33,8 @@
     int port = 0;
     bool stops_at_first_request = false;
     std::uint32_t status = 200;
-    bool is_responsive = true;                 ///< false: the connection stays, nothing is answered
-    std::vector<std::string> received_targets; ///< targets of the requests that arrived, alive or not
+    bool is_responsive = true;                 ///< false: keeps the connection open but answers nothing
+    std::vector<std::string> received_targets; ///< targets of all requests that arrived, answered or not
 
 private:
     void serve(std::shared_ptr<frame_socket> socket) {
@@ -70,37 +70,36 @@
     std::vector<std::shared_ptr<frame_socket>> m_sockets;
 };
 
-/// A link to a pretended leader, on one loop.
+/// A leader link and a fake leader on one event loop.
 class link_test_environment {
 public:
     link_test_environment() : leader(loop), link(loop, {"127.0.0.1"}, leader.port, leader_wait) {
         link.start();
         loop.call_after(test_timeout, [this] {
-            ADD_FAILURE() << "the test did not end";
+            ADD_FAILURE() << "the test did not end within its time limit";
             loop.stop();
         });
     }
 
-    /// Runs until the link has found the leader and has heard nothing of it for longer than a sign of life
-    /// counts.
+    /// Runs until the link has found the leader and the validity of the leader's last frame has expired.
     void wait_until_confirmation_expires() {
         wait_for_connection();
         run();
     }
 
-    /// Lets the leader die without a sign, while its connection looks as before.
+    /// Makes the leader unresponsive while its connection stays open.
     void stop_leader_responses() {
         wait_until_confirmation_expires();
         leader.is_responsive = false;
     }
 
-    /// Lets time pass.
+    /// Runs the loop for this long.
     void run_for(duration length) {
         loop.call_after(length, [this] { loop.stop(); });
         run();
     }
 
-    /// Sends a request and runs until its outcome.
+    /// Sends a request, runs until it ends, and returns its outcome.
     relay_outcome relay(const std::string& method) {
         std::optional<relay_outcome> found;
         job_wire::relay_request request;
@@ -119,7 +118,7 @@
     leader_link link;
 
 private:
-    /// Runs until the loop is stopped; it may be run again after that.
+    /// Runs until the loop is stopped. May be called again after that.
     void run() {
         loop.get_context().restart();
         loop.run();
@@ -144,13 +143,13 @@
     EXPECT_EQ(outcome.status, 200);
 }
 
-/// Load pattern: all control instances lose power at once; the connection looks as before for a second.
+/// Load pattern: all control instances lose power at once; the connection stays open for a second.
 TEST(leader_link, rejects_a_change_unsent_when_the_leader_has_just_died) {
     link_test_environment env;
     env.stop_leader_responses();
     const auto outcome = env.relay("POST");
     EXPECT_EQ(outcome.result, relay_outcome::kind::never_sent);
-    EXPECT_TRUE(env.leader.received_targets.empty()); // so "not accepted" is true
+    EXPECT_TRUE(env.leader.received_targets.empty()); // so the answer "not accepted" is correct
     EXPECT_GE(outcome.retry_after, seconds{1});
 }
 
@@ -169,13 +168,13 @@
     link_test_environment env;
     env.stop_leader_responses();
     const auto outcome = env.relay("GET");
-    EXPECT_EQ(outcome.result, relay_outcome::kind::not_read); // whether it arrived makes no difference
+    EXPECT_EQ(outcome.result, relay_outcome::kind::not_read); // whether a read arrived makes no difference
     EXPECT_GE(outcome.retry_after, seconds{1});
     EXPECT_EQ(env.leader.received_targets.size(), 1U);
 }
 
-/// Load pattern: all control instances lose power for seconds while callers ask for their jobs' states. Each
-/// was told 504 at its deadline, which a caller has to take for a request that may have been carried out.
+/// Load pattern: all control instances lose power for seconds while callers read their jobs' states. Each
+/// caller got a 504 at its deadline, which means that the request may have been carried out.
 TEST(leader_link, fails_reads_before_the_deadline_once_the_leader_is_lost) {
     link_test_environment env;
     env.stop_leader_responses();
@@ -185,8 +184,8 @@
     EXPECT_LT(env.loop.now() - started_at, deadline);
 }
 
-/// Load pattern: all control instances lose power for 5 s. Every caller waited 1.2 s for a leader that an
-/// election could not bring any more, and was sent away then.
+/// Load pattern: all control instances lose power for 5 s. Every caller waited 1.2 s before it was rejected,
+/// although no election could be running any more.
 TEST(leader_link, rejects_changes_at_once_when_no_election_can_be_running) {
     link_test_environment env;
     env.stop_leader_responses();
@@ -205,7 +204,7 @@
         env.run_for(milliseconds{50});
     }
     EXPECT_EQ(env.relay("POST").result, relay_outcome::kind::answered)
-        << "and goes on once there is one again";
+        << "the link relays again once a leader is back";
 }
 
 TEST(leader_link, raises_retry_after_with_the_length_of_the_outage) {
