--- a/unit_tests/platform/dialect_test.cpp
+++ b/unit_tests/platform/dialect_test.cpp
@@ -1,6 +1,6 @@
-// Names, formats and calls of the users' platform, both ways.
+// Translation between the outer platform's requests, names and JSON bodies and the scheduler's types.
 #include "platform/dialect.h"
-#include "platform/run_name.h"
+#include "platform/task_name.h"
 
 #include <nlohmann/json.hpp>
 
@@ -39,7 +39,7 @@
     EXPECT_EQ(job->schedule, (job_schedule{3, 1000, 500}));
 }
 
-TEST(platform_job, refuses_what_it_cannot_read) {
+TEST(platform_job, rejects_invalid_jobs) {
     EXPECT_FALSE(read_job("").has_value());
     EXPECT_FALSE(read_job("[]").has_value());
     EXPECT_FALSE(read_job(R"({"spec":"text"})").has_value());
@@ -47,7 +47,7 @@
     EXPECT_FALSE(read_job(R"({"steps":[{"count":4)").has_value());
 }
 
-TEST(platform_run_name, is_read_as_it_is_written) {
+TEST(platform_task_name, survives_a_round_trip) {
     const task_key key{{0x5c0e7a21d94b36f8, 2, 1}, 17};
     EXPECT_EQ(format_task_name(key), "5c0e7a21d94b36f8.2.1.17");
     EXPECT_EQ(read_task_name("5c0e7a21d94b36f8.2.1.17"), key);
@@ -82,7 +82,7 @@
     EXPECT_EQ(heartbeat->report.sequence, 4U);
 }
 
-TEST(platform_control, reads_a_configuration_and_keeps_it_as_sent) {
+TEST(platform_control, reads_a_configuration_and_keeps_the_original_document) {
     const std::string document =
         R"({"version":7,"routes":[{"name":"r","host":"h","pathPrefix":"/p/","kind":"unsafe","timeoutMs":3000,
         "targetLatencyMs":250,"priority":2,"service":"s","maxAttempts":4,"stretch":1.5,
@@ -102,7 +102,7 @@
     EXPECT_TRUE(put->configuration.pools.at(0).enforces_capacity);
 }
 
-TEST(platform_control, tells_calls_that_cannot_be_read_from_unknown_ones) {
+TEST(platform_control, distinguishes_malformed_from_unknown_calls) {
     const auto is_malformed = [](const control_call& call) {
         return std::holds_alternative<malformed_call>(call);
     };
@@ -113,7 +113,7 @@
         std::holds_alternative<unsupported_call>(read_control_call(make_post("/v1/wave-start", "{}"))));
 }
 
-TEST(platform_worker, writes_orders_and_names_the_life_they_are_for) {
+TEST(platform_worker, writes_a_start_order_with_the_expected_worker_header) {
     start_order order;
     order.target.worker = {"i-7f", 0};
     order.target.fence = 7;
@@ -152,7 +152,7 @@
     }
 }
 
-TEST(platform_worker, reads_figures_that_are_not_whole) {
+TEST(platform_worker, truncates_numbers_that_are_not_integers) {
     http_response response;
     response.status = 200;
     response.body = R"({"clockMs":7.5,"running":[["5c0e7a21d94b36f8.0.1.17",2,"",41.5,12.9]],"ended":[]})";
@@ -163,7 +163,7 @@
     EXPECT_EQ(outcome.answer.running[0].level, 12);
 }
 
-TEST(platform_worker, writes_text_so_that_it_can_be_read_again) {
+TEST(platform_worker, escapes_text_in_order_bodies) {
     step_job job;
     job.payload = "a \"quoted\" line\nand \\ more";
     start_order order;
@@ -172,7 +172,7 @@
     EXPECT_EQ(body.at("spec"), job.payload);
 }
 
-TEST(platform_worker, reads_both_lists_of_a_hold) {
+TEST(platform_worker, reads_the_running_and_ended_runs_of_a_hold_answer) {
     http_response response;
     response.body = R"({"clockMs":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"0bb8",41,52]],
         "ended":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],[59,"5c0e7a21d94b36f8.0.1.8",3,"lapsed","77"]]})";
@@ -196,12 +196,13 @@
     EXPECT_EQ(read_hold_answer(response).failure, order_failure::unanswered);
 }
 
-TEST(platform_worker, reads_when_the_process_started_that_sends_a_list) {
+TEST(platform_worker, reads_the_process_start_time_from_a_hold_answer) {
     http_response response;
     response.body = R"({"clockMs":1,"running":[],"ended":[],"born":1764749492123})";
     EXPECT_EQ(read_hold_answer(response).answer.born_ms, 1764749492123);
     response.body = R"({"clockMs":1,"running":[],"ended":[]})";
-    EXPECT_EQ(read_hold_answer(response).answer.born_ms, 0) << "a deployment whose workers do not tell it";
+    EXPECT_EQ(read_hold_answer(response).answer.born_ms, 0)
+        << "a deployment whose workers do not report their start time";
     for (const auto* born :
          {"\"1764749492123\"", "1764749492123.5", "0", "-4", "null", "true", "1e300", "[1]"}) {
         response.body = std::string(R"({"clockMs":1,"running":[],"ended":[],"born":)") + born + "}";
