--- a/poplarpitch/gateway/gateway_daemon.cpp
+++ b/poplarpitch/gateway/gateway_daemon.cpp
@@ -48,7 +48,7 @@
         m_loop.on_signal(SIGTERM, [this] { stop(); });
         m_loop.on_signal(SIGINT, [this] { stop(); });
         m_loop.on_signal(SIGHUP, [] {
-            log_event(log_level::info, "reload_ignored").add("reason", "seeds are read only at startup");
+            log_event(log_level::info, "reload_ignored").add("reason", "seeds only count at startup");
         });
         m_loop.on_turn_end([] { flush_logs(); });
         start_metrics();
@@ -128,7 +128,7 @@
             add_retry_after(response, outcome.retry_after);
             return response;
         case relay_outcome::kind::never_sent:
-            response = make_error_response(503, "no_leader", "request not accepted: no leader is available");
+            response = make_error_response(503, "no_leader", "not accepted: no instance leads at present");
             add_retry_after(response, outcome.retry_after);
             return response;
         case relay_outcome::kind::not_read:
--- a/poplarpitch/gateway/gateway_settings.cpp
+++ b/poplarpitch/gateway/gateway_settings.cpp
@@ -17,7 +17,7 @@
     value.metrics_port = static_cast<int>(reader.get_integer("metrics_port", 0, 0, max_port));
     value.seeds = read_seed_hosts(reader, "seeds");
     if (value.id.empty()) {
-        reader.add_error("id", "id is missing: it names this instance");
+        reader.add_error("id", "id is missing: it is the name of this instance");
     }
     if (value.seeds.empty()) {
         reader.add_error("seeds", "seeds is missing: it lists addresses of control instances");
--- a/unit_tests/gateway/leader_link_test.cpp
+++ b/unit_tests/gateway/leader_link_test.cpp
@@ -204,7 +204,7 @@
         env.run_for(milliseconds{50});
     }
     EXPECT_EQ(env.relay("POST").result, relay_outcome::kind::answered)
-        << "the link relays again once a leader is back";
+        << "relaying goes on once there is one leader again";
 }
 
 TEST(leader_link, raises_retry_after_with_the_length_of_the_outage) {
