--- a/unit_tests/platform/crash_cluster_test.cpp
+++ b/unit_tests/platform/crash_cluster_test.cpp
@@ -10,54 +10,55 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{60}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{60}; // bounds a failure; each wait ends with its event
 constexpr int worker_count = 6;
 constexpr int task_count = 24;
-constexpr int most_starts = 5; // of a task: three crashes, and two starts more that are allowed after them
-const std::string killer = "0000000000000e01";
-const std::string neighbour = "0000000000000e02";
+constexpr int max_starts = 5; // of a task: three crashes, and two starts more that are allowed after them
+const std::string crashing_job = "0000000000000e01";
+const std::string healthy_job = "0000000000000e02";
 
 int count_starts(const stand_in_workers& workers) {
     int starts = 0;
     for (const auto& [task, count] : workers.get_start_counts()) {
-        starts += task.starts_with(killer) ? count : 0;
+        starts += task.starts_with(crashing_job) ? count : 0;
     }
     return starts;
 }
 
 void submit_both(scheduler_cluster& cluster) {
-    ASSERT_TRUE(cluster.submit(neighbour, task_count, patience));
-    ASSERT_TRUE(cluster.submit(killer, 1, patience, stand_in_workers::crashing_spec));
+    ASSERT_TRUE(cluster.submit(healthy_job, task_count, wait_timeout));
+    ASSERT_TRUE(cluster.submit(crashing_job, 1, wait_timeout, stand_in_workers::crashing_spec));
 }
 
-void expect_killer_failed_and_neighbour_done(scheduler_cluster& cluster, const stand_in_workers& workers) {
-    EXPECT_TRUE(cluster.wait_for_state(killer, "failed", patience));
-    EXPECT_LE(count_starts(workers), most_starts);
-    EXPECT_TRUE(cluster.wait_for_state(neighbour, "completed", patience));
-    expect_each_done_once(workers, neighbour, task_count);
+void expect_crashing_job_failed_and_healthy_job_done(scheduler_cluster& cluster,
+                                                     const stand_in_workers& workers) {
+    EXPECT_TRUE(cluster.wait_for_state(crashing_job, "failed", wait_timeout));
+    EXPECT_LE(count_starts(workers), max_starts);
+    EXPECT_TRUE(cluster.wait_for_state(healthy_job, "completed", wait_timeout));
+    expect_each_done_once(workers, healthy_job, task_count);
 }
 
-TEST(crash_cluster, tells_a_job_as_failed_that_crashes_its_workers_and_ends_those_beside_it) {
+TEST(crash_cluster, fails_a_job_that_crashes_its_workers_and_completes_the_others) {
     scheduler_cluster cluster(3);
     const stand_in_workers workers(worker_count, cluster.get_controls(), milliseconds{700});
     cluster.put_config(1);
     submit_both(cluster);
-    expect_killer_failed_and_neighbour_done(cluster, workers);
+    expect_crashing_job_failed_and_healthy_job_done(cluster, workers);
 }
 
-TEST(crash_cluster, counts_on_when_the_leader_that_saw_the_first_crash_is_killed) {
+TEST(crash_cluster, keeps_crash_counts_when_the_leader_that_saw_the_first_crash_is_killed) {
     scheduler_cluster cluster(3);
     const stand_in_workers workers(worker_count, cluster.get_controls(), milliseconds{700});
     cluster.put_config(1);
     submit_both(cluster);
     const int leader = cluster.find_leader();
     ASSERT_NE(leader, 0);
-    while (cluster.get_scheduler(leader).read_log().find("event=task_crashed job=" + killer) ==
+    while (cluster.get_scheduler(leader).read_log().find("event=task_crashed job=" + crashing_job) ==
            std::string::npos) {
         absl::SleepFor(absl::Milliseconds(10));
     }
     cluster.get_scheduler(leader).kill();
-    expect_killer_failed_and_neighbour_done(cluster, workers);
+    expect_crashing_job_failed_and_healthy_job_done(cluster, workers);
 }
 
 } // namespace
--- a/unit_tests/platform/malformed_call_test.cpp
+++ b/unit_tests/platform/malformed_call_test.cpp
@@ -17,11 +17,11 @@
 namespace poplarpitch::platform {
 namespace {
 
-const char* const sound_heartbeat =
+const char* const valid_heartbeat =
     R"({"service":"s","addr":"10.0.0.9:80","zone":"z","version":"v1","slots":8,
     "state":"ready","coldLeftMs":0,"capacity":{"cpu":16000,"memMb":32768,"gpu":2},"labels":["a","r1-3"],"clockMs":48,
     "seq":4})";
-const char* const sound_job = R"({"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estimateMs":900},
+const char* const valid_job = R"({"spec":"text","steps":[{"count":4,"cpu":500,"memMb":256,"estimateMs":900},
     {"count":20,"cpu":2000,"memMb":1024,"estimateMs":7000,"dependsOn":[0],"checkpointing":true}]})";
 
 control_call read_heartbeat(const std::string& body) {
@@ -32,12 +32,12 @@
     return read_control_call(request);
 }
 
-TEST(malformed_call, takes_no_worker_from_a_heartbeat_whose_start_time_cannot_be_read) {
-    auto body = nlohmann::json::parse(sound_heartbeat);
+TEST(malformed_call, rejects_a_heartbeat_with_an_invalid_start_time) {
+    auto body = nlohmann::json::parse(valid_heartbeat);
     body["born"] = 1764749492123;
-    const auto sound = read_heartbeat(body.dump());
-    ASSERT_TRUE(std::holds_alternative<heartbeat_call>(sound));
-    EXPECT_EQ(std::get<heartbeat_call>(sound).report.life.born_ms, 1764749492123);
+    const auto valid = read_heartbeat(body.dump());
+    ASSERT_TRUE(std::holds_alternative<heartbeat_call>(valid));
+    EXPECT_EQ(std::get<heartbeat_call>(valid).report.life.born_ms, 1764749492123);
     for (const nlohmann::json& born :
          {nlohmann::json("1764749492123"), nlohmann::json(1764749492123.5), nlohmann::json(0),
           nlohmann::json(-4), nlohmann::json(nullptr), nlohmann::json(true), nlohmann::json::array({1})}) {
@@ -47,7 +47,7 @@
 }
 
 /// A value of a type that a field does not expect, or of a range that it does not.
-nlohmann::json draw_value() {
+nlohmann::json generate_unexpected_value() {
     switch (*rc::gen::inRange(0, 8)) {
     case 0:
         return nullptr;
@@ -69,29 +69,29 @@
 }
 
 /// Takes out a field or gives it another value.
-nlohmann::json change_a_field(nlohmann::json source) {
+nlohmann::json modify_random_field(nlohmann::json source) {
     auto field = source.begin();
     std::advance(field, *rc::gen::inRange<int>(0, static_cast<int>(source.size())));
     if (*rc::gen::arbitrary<bool>()) {
         source.erase(field);
     } else {
-        *field = draw_value();
+        *field = generate_unexpected_value();
     }
     return source;
 }
 
 /// Changes one byte or cuts the text short.
-std::string damage(std::string text) {
-    const auto place = *rc::gen::inRange<std::size_t>(0, text.size());
+std::string corrupt(std::string text) {
+    const auto position = *rc::gen::inRange<std::size_t>(0, text.size());
     if (*rc::gen::arbitrary<bool>()) {
-        return text.substr(0, place);
+        return text.substr(0, position);
     }
-    text[place] = *rc::gen::arbitrary<char>();
+    text[position] = *rc::gen::arbitrary<char>();
     return text;
 }
 
 /// It was refused, or what was read names a worker that may be used.
-bool is_harmless(const control_call& call) {
+bool is_rejected_or_valid(const control_call& call) {
     if (std::holds_alternative<malformed_call>(call)) {
         return true;
     }
@@ -100,55 +100,55 @@
            report.capacity.millicores >= 0 && report.capacity.memory_mb >= 0 && report.remaining_ms >= 0;
 }
 
-TEST(malformed_call, takes_the_sound_heartbeat) {
-    EXPECT_TRUE(std::holds_alternative<heartbeat_call>(read_heartbeat(sound_heartbeat)));
+TEST(malformed_call, accepts_a_valid_heartbeat) {
+    EXPECT_TRUE(std::holds_alternative<heartbeat_call>(read_heartbeat(valid_heartbeat)));
 }
 
-TEST(malformed_call, refuses_a_heartbeat_of_an_unknown_state) {
+TEST(malformed_call, rejects_a_heartbeat_with_an_unknown_state) {
     for (const char* state : {"broken", "", "READY", "ready "}) {
-        auto source = nlohmann::json::parse(sound_heartbeat);
+        auto source = nlohmann::json::parse(valid_heartbeat);
         source["state"] = state;
         EXPECT_TRUE(std::holds_alternative<malformed_call>(read_heartbeat(source.dump()))) << state;
     }
-    auto source = nlohmann::json::parse(sound_heartbeat);
+    auto source = nlohmann::json::parse(valid_heartbeat);
     source.erase("state");
     EXPECT_TRUE(std::holds_alternative<malformed_call>(read_heartbeat(source.dump())));
 }
 
-TEST(malformed_call, refuses_a_heartbeat_without_a_readable_address) {
+TEST(malformed_call, rejects_a_heartbeat_with_an_invalid_address) {
     for (const char* address : {"", "10.0.0.9", "host:80", "10.0.0.9:port", "10.0.0.9:70000"}) {
-        auto source = nlohmann::json::parse(sound_heartbeat);
+        auto source = nlohmann::json::parse(valid_heartbeat);
         source["addr"] = address;
         EXPECT_TRUE(std::holds_alternative<malformed_call>(read_heartbeat(source.dump()))) << address;
     }
 }
 
-RC_GTEST_PROP(malformed_call, takes_a_changed_heartbeat_only_when_it_still_names_a_worker, ()) {
-    auto source = nlohmann::json::parse(sound_heartbeat);
+RC_GTEST_PROP(malformed_call, accepts_a_modified_heartbeat_only_when_it_names_a_usable_worker, ()) {
+    auto source = nlohmann::json::parse(valid_heartbeat);
     const int changes = *rc::gen::inRange(1, 4);
     for (int change = 0; change < changes && !source.empty(); ++change) {
-        source = change_a_field(source);
+        source = modify_random_field(source);
     }
     const auto call = read_heartbeat(source.dump());
-    RC_ASSERT(is_harmless(call));
+    RC_ASSERT(is_rejected_or_valid(call));
 }
 
-RC_GTEST_PROP(malformed_call, takes_a_damaged_heartbeat_only_when_it_still_names_a_worker, ()) {
-    const auto call = read_heartbeat(damage(sound_heartbeat));
-    RC_ASSERT(is_harmless(call));
+RC_GTEST_PROP(malformed_call, accepts_a_corrupted_heartbeat_only_when_it_names_a_usable_worker, ()) {
+    const auto call = read_heartbeat(corrupt(valid_heartbeat));
+    RC_ASSERT(is_rejected_or_valid(call));
 }
 
-RC_GTEST_PROP(malformed_call, reads_no_job_of_negative_amounts_out_of_a_damaged_one, ()) {
-    const auto job = read_job(damage(sound_job));
-    const bool is_refused = !job.has_value() || find_job_error(*job).has_value();
-    const bool is_sound =
-        is_refused || std::all_of(job->steps.begin(), job->steps.end(), [](const step_spec& step) {
+RC_GTEST_PROP(malformed_call, reads_no_negative_amounts_from_a_corrupted_job, ()) {
+    const auto job = read_job(corrupt(valid_job));
+    const bool is_rejected = !job.has_value() || find_job_error(*job).has_value();
+    const bool is_valid =
+        is_rejected || std::all_of(job->steps.begin(), job->steps.end(), [](const step_spec& step) {
             return step.count > 0 && step.millicores >= 0 && step.memory_mb >= 0 && step.estimate_ms >= 0;
         });
-    RC_ASSERT(is_sound);
+    RC_ASSERT(is_valid);
 }
 
-RC_GTEST_PROP(malformed_call, survives_any_bytes, ()) {
+RC_GTEST_PROP(malformed_call, rejects_arbitrary_bytes, ()) {
     const auto bytes = *rc::gen::arbitrary<std::string>();
     RC_ASSERT(std::holds_alternative<malformed_call>(read_heartbeat(bytes)));
     RC_ASSERT(!read_job(bytes).has_value());
--- a/unit_tests/platform/relay_cluster_test.cpp
+++ b/unit_tests/platform/relay_cluster_test.cpp
@@ -12,21 +12,21 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{20}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{20}; // bounds a failure; each wait ends with its event
 constexpr int task_count = 24;
 constexpr int worker_count = 6;
 
 /// A cluster of which all instances but the leader relay, with jobs that run.
-class relaying_cluster {
+class relay_cluster_environment {
 public:
-    explicit relaying_cluster(duration run_time, const std::string& settings = {})
+    explicit relay_cluster_environment(duration run_time, const std::string& settings = {})
         : cluster(3, settings), workers(worker_count, cluster.get_controls(), run_time) {
         cluster.put_config(1);
         leader = cluster.find_leader();
     }
 
     /// Waits until the leader has said `text` this often.
-    void wait_for_line(const std::string& text, int times) {
+    void wait_for_log_text(const std::string& text, int min_count) {
         const auto count = [&] {
             const auto log = cluster.get_scheduler(leader).read_log();
             int found = 0;
@@ -35,13 +35,13 @@
             }
             return found;
         };
-        while (count() < times) {
+        while (count() < min_count) {
             absl::SleepFor(absl::Milliseconds(10));
         }
     }
     [[nodiscard]] int get_relay() const { return leader == 1 ? 2 : 1; }
     void wait_until_all_run() const {
-        while (workers.get_running() < task_count) {
+        while (workers.get_running_count() < task_count) {
             absl::SleepFor(absl::Milliseconds(5));
         }
     }
@@ -55,64 +55,63 @@
 };
 
 TEST(relay_cluster, sends_orders_through_both_other_instances) {
-    relaying_cluster world(milliseconds{100});
-    world.wait_for_line("event=relay_found", 2);
+    relay_cluster_environment env(milliseconds{100});
+    env.wait_for_log_text("event=relay_found", 2);
     const std::string id = "0000000000000a01";
-    ASSERT_TRUE(world.cluster.submit(id, task_count, patience));
-    ASSERT_TRUE(world.cluster.wait_for_state(id, "completed", patience));
-    world.expect_each_done_once(id);
+    ASSERT_TRUE(env.cluster.submit(id, task_count, wait_timeout));
+    ASSERT_TRUE(env.cluster.wait_for_state(id, "completed", wait_timeout));
+    env.expect_each_done_once(id);
 }
 
-TEST(relay_cluster, calls_workers_itself_where_relaying_is_switched_off) {
-    relaying_cluster world(milliseconds{100}, "relayed = false\n");
+TEST(relay_cluster, calls_workers_directly_when_relaying_is_disabled) {
+    relay_cluster_environment env(milliseconds{100}, "relayed = false\n");
     const std::string id = "0000000000000a02";
-    ASSERT_TRUE(world.cluster.submit(id, task_count, patience));
-    ASSERT_TRUE(world.cluster.wait_for_state(id, "completed", patience));
-    world.expect_each_done_once(id);
-    EXPECT_EQ(world.cluster.get_scheduler(world.leader).read_log().find("relay_found"), std::string::npos);
+    ASSERT_TRUE(env.cluster.submit(id, task_count, wait_timeout));
+    ASSERT_TRUE(env.cluster.wait_for_state(id, "completed", wait_timeout));
+    env.expect_each_done_once(id);
+    EXPECT_EQ(env.cluster.get_scheduler(env.leader).read_log().find("relay_found"), std::string::npos);
 }
 
 TEST(relay_cluster, loses_nothing_when_a_relay_is_killed_while_tasks_run) {
-    relaying_cluster world(milliseconds{1500});
-    world.wait_for_line("event=relay_found", 2);
+    relay_cluster_environment env(milliseconds{1500});
+    env.wait_for_log_text("event=relay_found", 2);
     const std::string id = "0000000000000a03";
-    ASSERT_TRUE(world.cluster.submit(id, task_count, patience));
-    world.wait_until_all_run();
-    world.cluster.get_scheduler(world.get_relay()).kill();
-    world.wait_for_line("event=relay_lost", 1);
-    ASSERT_TRUE(world.cluster.wait_for_state(id, "completed", patience));
-    world.expect_each_done_once(id);
-    EXPECT_EQ(world.cluster.get_scheduler(world.leader).read_log().find("event=lease_lapsed"),
-              std::string::npos);
+    ASSERT_TRUE(env.cluster.submit(id, task_count, wait_timeout));
+    env.wait_until_all_run();
+    env.cluster.get_scheduler(env.get_relay()).kill();
+    env.wait_for_log_text("event=relay_lost", 1);
+    ASSERT_TRUE(env.cluster.wait_for_state(id, "completed", wait_timeout));
+    env.expect_each_done_once(id);
+    EXPECT_EQ(env.cluster.get_scheduler(env.leader).read_log().find("event=lease_lapsed"), std::string::npos);
 }
 
 TEST(relay_cluster, runs_nothing_twice_when_a_relay_stands_still_with_orders_in_its_queue) {
-    relaying_cluster world(milliseconds{500});
-    world.wait_for_line("event=relay_found", 2);
+    relay_cluster_environment env(milliseconds{500});
+    env.wait_for_log_text("event=relay_found", 2);
     const std::string id = "0000000000000a04";
-    world.cluster.get_scheduler(world.get_relay()).send(SIGSTOP);
-    ASSERT_TRUE(world.cluster.submit(id, task_count, patience)); // a part of its starts waits in that queue
-    ASSERT_TRUE(world.cluster.wait_for_state(id, "completed", patience));
+    env.cluster.get_scheduler(env.get_relay()).send(SIGSTOP);
+    ASSERT_TRUE(env.cluster.submit(id, task_count, wait_timeout)); // a part of its starts waits in that queue
+    ASSERT_TRUE(env.cluster.wait_for_state(id, "completed", wait_timeout));
     absl::SleepFor(
         absl::Seconds(2)); // no event tells: longer than the lease of 2 s the starts were sent with
-    world.cluster.get_scheduler(world.get_relay()).send(SIGCONT);
-    world.wait_for_line("event=relay_found", 3); // it has worked through its queue by then
+    env.cluster.get_scheduler(env.get_relay()).send(SIGCONT);
+    env.wait_for_log_text("event=relay_found", 3); // it has worked through its queue by then
     const std::string next = "0000000000000a05";
-    ASSERT_TRUE(world.cluster.submit(next, task_count, patience));
-    ASSERT_TRUE(world.cluster.wait_for_state(next, "completed", patience));
-    world.expect_each_done_once(id);
-    world.expect_each_done_once(next);
+    ASSERT_TRUE(env.cluster.submit(next, task_count, wait_timeout));
+    ASSERT_TRUE(env.cluster.wait_for_state(next, "completed", wait_timeout));
+    env.expect_each_done_once(id);
+    env.expect_each_done_once(next);
 }
 
 TEST(relay_cluster, goes_on_when_the_leader_is_killed_and_a_relay_takes_its_place) {
-    relaying_cluster world(milliseconds{1500});
-    world.wait_for_line("event=relay_found", 2);
+    relay_cluster_environment env(milliseconds{1500});
+    env.wait_for_log_text("event=relay_found", 2);
     const std::string id = "0000000000000a06";
-    ASSERT_TRUE(world.cluster.submit(id, task_count, patience));
-    world.wait_until_all_run();
-    world.cluster.get_scheduler(world.leader).kill();
-    ASSERT_TRUE(world.cluster.wait_for_state(id, "completed", patience));
-    world.expect_each_done_once(id);
+    ASSERT_TRUE(env.cluster.submit(id, task_count, wait_timeout));
+    env.wait_until_all_run();
+    env.cluster.get_scheduler(env.leader).kill();
+    ASSERT_TRUE(env.cluster.wait_for_state(id, "completed", wait_timeout));
+    env.expect_each_done_once(id);
 }
 
 } // namespace
--- a/unit_tests/platform/replaced_cluster_test.cpp
+++ b/unit_tests/platform/replaced_cluster_test.cpp
@@ -24,15 +24,15 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{60}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{60}; // bounds a failure; each wait ends with its event
 constexpr int instance_count = 5;
 constexpr std::size_t wiped_count = 2; // as many as are tolerated
 constexpr int worker_count = 10;
-constexpr int rounds = 2;
-constexpr int lasting_count = 6;
+constexpr int round_count = 2;
+constexpr int long_running_count = 6;
 constexpr int max_attempts = 6;
-constexpr int most_crashes = 2; // of workers: a task under which three crashed may be given up
-const std::string lasting_job = "0000000000001f00";
+constexpr int max_worker_crashes = 2; // of workers: a task under which three crashed may be given up
+const std::string long_running_job = "0000000000001f00";
 const std::vector<std::string> data_centres = {"z0", "z0", "z1", "z1", "z2"};
 
 std::vector<std::uint64_t> get_seeds() {
@@ -42,30 +42,30 @@
 }
 
 /// A short lease lapses while all are down, a long one outlasts that.
-std::string get_lease(std::uint64_t seed) {
+std::string get_lease_setting(std::uint64_t seed) {
     return seed % 4 < 2 ? "lease = 2s\n" : "lease = 5s\n";
 }
 
-worker_habits make_habits(std::uint64_t seed) {
-    worker_habits habits;
-    habits.seed = seed;
-    habits.rebirth = seed % 2 == 0 ? worker_rebirth::same_id : worker_rebirth::new_id;
-    habits.has_random_ids = true;
-    habits.slots = 8;
-    habits.zones = {"z0", "z1", "z2"};
-    habits.shortest_run = milliseconds{600};
-    habits.longest_run = milliseconds{2200};
-    habits.longest_stop = milliseconds{700};
-    habits.slowest_clock = 0.98;
-    habits.idle_timeout = milliseconds{300};
-    habits.failed_runs = 5;
-    habits.late_answers = 4;
-    habits.unanswered_orders = 3;
-    habits.late_orders = 4;
-    habits.cut_orders = 3;
-    habits.late_lists = 20;
-    habits.late_beats = 5;
-    return habits;
+worker_behaviour make_behaviour(std::uint64_t seed) {
+    worker_behaviour behaviour;
+    behaviour.seed = seed;
+    behaviour.restart_mode = seed % 2 == 0 ? worker_restart_mode::same_id : worker_restart_mode::new_id;
+    behaviour.has_random_ids = true;
+    behaviour.slots = 8;
+    behaviour.zones = {"z0", "z1", "z2"};
+    behaviour.min_run_time = milliseconds{600};
+    behaviour.max_run_time = milliseconds{2200};
+    behaviour.max_stop_time = milliseconds{700};
+    behaviour.min_clock_rate = 0.98;
+    behaviour.idle_timeout = milliseconds{300};
+    behaviour.failed_run_percent = 5;
+    behaviour.late_answer_percent = 4;
+    behaviour.unanswered_order_percent = 3;
+    behaviour.late_order_percent = 4;
+    behaviour.disconnect_percent = 3;
+    behaviour.late_list_percent = 20;
+    behaviour.late_heartbeat_percent = 5;
+    return behaviour;
 }
 
 class replaced_cluster : public testing::TestWithParam<std::uint64_t> {
@@ -80,139 +80,139 @@
     }
 
 protected:
-    int pick(int least, int most) {
-        return least + static_cast<int>(m_random() % static_cast<unsigned>(most - least + 1));
+    int pick(int lowest, int highest) {
+        return lowest + static_cast<int>(m_random() % static_cast<unsigned>(highest - lowest + 1));
     }
 
     /// Lets time pass, so that what follows hits another moment.
-    void pass(int least_ms, int most_ms) { absl::SleepFor(absl::Milliseconds(pick(least_ms, most_ms))); }
+    void sleep_random(int min_ms, int max_ms) { absl::SleepFor(absl::Milliseconds(pick(min_ms, max_ms))); }
 
-    void note(const std::string& what) {
+    void add_to_timeline(const std::string& what) {
         absl::StrAppend(&m_timeline, absl::FormatTime("%H:%M:%E3S", absl::Now(), absl::UTCTimeZone()), " ",
                         what, "\n");
     }
 
-    static void wait_until(const std::function<bool()>& is_so) {
-        const auto end = absl::Now() + absl::Nanoseconds(patience.count());
-        while (!is_so() && absl::Now() < end) {
+    static void wait_until(const std::function<bool()>& condition) {
+        const auto end = absl::Now() + absl::Nanoseconds(wait_timeout.count());
+        while (!condition() && absl::Now() < end) {
             absl::SleepFor(absl::Milliseconds(20));
         }
-        EXPECT_TRUE(is_so());
+        EXPECT_TRUE(condition());
     }
 
-    void submit_one() {
+    void submit_job() {
         const auto id = absl::StrFormat("00000000000010%02x", m_jobs.size());
-        ASSERT_TRUE(m_cluster.submit(id, pick(30, 80), patience));
+        ASSERT_TRUE(m_cluster.submit(id, pick(30, 80), wait_timeout));
         m_jobs.push_back(id);
-        note("submitted " + id);
+        add_to_timeline("submitted " + id);
     }
 
-    void begin() {
+    void start_load() {
         m_cluster.put_config(1, max_attempts);
-        ASSERT_TRUE(
-            m_cluster.submit_lasting(lasting_job, lasting_count, patience, stand_in_workers::lasting_spec));
-        submit_one();
-        submit_one();
+        ASSERT_TRUE(m_cluster.submit_long_running(long_running_job, long_running_count, wait_timeout,
+                                                  stand_in_workers::lasting_spec));
+        submit_job();
+        submit_job();
         wait_until([this] { return m_cluster.have_rejoined({}); });
-        wait_until([this] { return m_workers.get_running() > lasting_count; });
+        wait_until([this] { return m_workers.get_running_count() > long_running_count; });
     }
 
-    void upset_worker() {
+    void disturb_worker() {
         const int worker = pick(0, worker_count - 1);
         const int length = pick(200, 4000);
         const int kind = pick(0, 3);
-        if (kind == 0 && m_crashes < most_crashes) {
+        if (kind == 0 && m_crashes < max_worker_crashes) {
             ++m_crashes;
-            note(absl::StrCat("worker ", worker + 1, " crashes, back after ", length, " ms"));
+            add_to_timeline(absl::StrCat("worker ", worker + 1, " crashes, back after ", length, " ms"));
             m_workers.crash({worker}, milliseconds{length});
         } else if (kind == 1) {
-            note(absl::StrCat("worker ", worker + 1, " leaves within ", length, " ms"));
+            add_to_timeline(absl::StrCat("worker ", worker + 1, " leaves within ", length, " ms"));
             m_workers.drain(worker, milliseconds{length}, milliseconds{pick(10, 1000)});
         } else if (kind == 2) {
-            note(absl::StrCat("worker ", worker + 1, " is unhealthy for ", length, " ms"));
-            m_workers.sicken(worker, milliseconds{length});
+            add_to_timeline(absl::StrCat("worker ", worker + 1, " is unhealthy for ", length, " ms"));
+            m_workers.make_unhealthy(worker, milliseconds{length});
         } else {
-            note(absl::StrCat("worker ", worker + 1, " takes no calls for ", length, " ms"));
-            m_workers.deafen(worker, milliseconds{length});
+            add_to_timeline(absl::StrCat("worker ", worker + 1, " takes no calls for ", length, " ms"));
+            m_workers.disconnect(worker, milliseconds{length});
         }
     }
 
-    void restart_one(int number) {
-        note(absl::StrCat("kill scheduler ", number));
+    void restart_scheduler(int number) {
+        add_to_timeline(absl::StrCat("kill scheduler ", number));
         m_cluster.get_scheduler(number).kill();
-        pass(0, 500);
+        sleep_random(0, 500);
         m_cluster.start_scheduler(number);
     }
 
-    void halt_one(int number) {
-        note(absl::StrCat("halt scheduler ", number));
+    void suspend_scheduler(int number) {
+        add_to_timeline(absl::StrCat("halt scheduler ", number));
         m_cluster.get_scheduler(number).send(SIGSTOP);
-        pass(100, 2500);
+        sleep_random(100, 2500);
         m_cluster.get_scheduler(number).send(SIGCONT);
-        note(absl::StrCat("scheduler ", number, " goes on"));
+        add_to_timeline(absl::StrCat("scheduler ", number, " goes on"));
     }
 
-    void disturb() {
+    void inject_fault() {
         const int leader = std::max(m_cluster.find_leader(), 1);
         const int number = pick(0, 2) == 0 ? leader : pick(1, instance_count);
         const int kind = pick(0, 3);
         if (kind == 0) {
-            restart_one(number);
+            restart_scheduler(number);
         } else if (kind == 1) {
-            halt_one(number);
+            suspend_scheduler(number);
         } else {
-            upset_worker();
+            disturb_worker();
         }
-        pass(50, 500);
+        sleep_random(50, 500);
     }
 
     /// All lose their power; where all vote, two lose their disks too. They come back within a second.
-    void lose_power(bool are_disks_lost) {
+    void power_cycle_all(bool wipe_disks) {
         std::vector<int> order = {1, 2, 3, 4, 5};
         std::shuffle(order.begin(), order.end(), m_random);
         m_cluster.crash_all();
-        if (are_disks_lost) {
+        if (wipe_disks) {
             m_wiped.assign(order.begin(), order.begin() + wiped_count);
             std::shuffle(order.begin(), order.end(), m_random);
             for (const auto number : m_wiped) {
-                m_cluster.wipe(number);
-                note(absl::StrCat("scheduler ", number, " loses its disk"));
+                m_cluster.delete_data(number);
+                add_to_timeline(absl::StrCat("scheduler ", number, " loses its disk"));
             }
         }
-        note("all have lost their power");
+        add_to_timeline("all have lost their power");
         if (pick(0, 1) == 0) {
-            upset_worker();
+            disturb_worker();
         }
         for (const auto number : order) {
-            pass(0, 350);
+            sleep_random(0, 350);
             m_cluster.start_scheduler(number);
-            note(absl::StrCat("scheduler ", number, " starts"));
+            add_to_timeline(absl::StrCat("scheduler ", number, " starts"));
         }
         m_cluster.start_gateway();
     }
 
-    void play_round() {
+    void run_round() {
         for (int count = pick(0, 2); count > 0; --count) {
-            disturb();
+            inject_fault();
         }
-        submit_one();
-        pass(0, 700);
-        lose_power(true);
-        submit_one();
+        submit_job();
+        sleep_random(0, 700);
+        power_cycle_all(true);
+        submit_job();
         wait_until([this] { return m_cluster.have_rejoined(m_wiped); });
-        note("the replaced ones vote");
+        add_to_timeline("the replaced ones vote");
         if (pick(0, 2) == 0) {
-            pass(0, 1500);
-            lose_power(false);
-            submit_one();
+            sleep_random(0, 1500);
+            power_cycle_all(false);
+            submit_job();
         }
     }
 
-    void expect_all_well() {
+    void expect_correct_end_state() {
         for (const auto& id : m_jobs) {
-            EXPECT_TRUE(m_cluster.wait_for_state(id, "completed", patience)) << id;
+            EXPECT_TRUE(m_cluster.wait_for_state(id, "completed", wait_timeout)) << id;
         }
-        wait_until([this] { return m_workers.get_running() == lasting_count; });
+        wait_until([this] { return m_workers.get_running_count() == long_running_count; });
         EXPECT_EQ(m_workers.get_overlaps(), 0);
         EXPECT_EQ(m_workers.get_starts_after_done(), 0);
     }
@@ -222,16 +222,16 @@
     std::vector<std::string> m_jobs;
     std::vector<int> m_wiped;
     int m_crashes = 0;
-    scheduler_cluster m_cluster{instance_count, get_lease(GetParam()), data_centres};
-    stand_in_workers m_workers{worker_count, m_cluster.get_controls(), make_habits(GetParam())};
+    scheduler_cluster m_cluster{instance_count, get_lease_setting(GetParam()), data_centres};
+    stand_in_workers m_workers{worker_count, m_cluster.get_controls(), make_behaviour(GetParam())};
 };
 
 TEST_P(replaced_cluster, runs_nothing_twice_when_all_lose_power_and_two_their_disks) {
-    ASSERT_NO_FATAL_FAILURE(begin());
-    for (int round = 0; round < rounds; ++round) {
-        ASSERT_NO_FATAL_FAILURE(play_round());
+    ASSERT_NO_FATAL_FAILURE(start_load());
+    for (int round = 0; round < round_count; ++round) {
+        ASSERT_NO_FATAL_FAILURE(run_round());
     }
-    expect_all_well();
+    expect_correct_end_state();
 }
 
 INSTANTIATE_TEST_SUITE_P(seeds, replaced_cluster, testing::ValuesIn(get_seeds()));
--- a/unit_tests/platform/restart_cluster_test.cpp
+++ b/unit_tests/platform/restart_cluster_test.cpp
@@ -12,69 +12,70 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{60}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{60}; // bounds a failure; each wait ends with its event
 constexpr int worker_count = 6;
 constexpr int job_count = 6;
 constexpr int task_count = 30;
-constexpr int lasting_count = 6;
-const std::string lasting_job = "0000000000000f00";
+constexpr int long_running_count = 6;
+const std::string long_running_job = "0000000000000f00";
 
-std::string get_job(int number) {
+std::string make_job_id(int number) {
     return "0000000000000f1" + std::to_string(number);
 }
 
-void wait_until(const std::function<bool()>& is_so) {
+void wait_until(const std::function<bool()>& condition) {
     const auto end = absl::Now() + absl::Seconds(60);
-    while (!is_so() && absl::Now() < end) {
+    while (!condition() && absl::Now() < end) {
         absl::SleepFor(absl::Milliseconds(10));
     }
-    EXPECT_TRUE(is_so());
+    EXPECT_TRUE(condition());
 }
 
 class restart_cluster : public testing::TestWithParam<int> {
 protected:
     void submit_all() {
         m_cluster.put_config(1);
-        ASSERT_TRUE(m_cluster.submit(lasting_job, lasting_count, patience, stand_in_workers::lasting_spec));
+        ASSERT_TRUE(m_cluster.submit(long_running_job, long_running_count, wait_timeout,
+                                     stand_in_workers::lasting_spec));
         for (int number = 0; number < job_count; ++number) {
-            ASSERT_TRUE(m_cluster.submit(get_job(number), task_count, patience));
+            ASSERT_TRUE(m_cluster.submit(make_job_id(number), task_count, wait_timeout));
         }
     }
-    void expect_all_well() {
+    void expect_correct_end_state() {
         for (int number = 0; number < job_count; ++number) {
-            EXPECT_TRUE(m_cluster.wait_for_state(get_job(number), "completed", patience));
+            EXPECT_TRUE(m_cluster.wait_for_state(make_job_id(number), "completed", wait_timeout));
         }
         EXPECT_EQ(m_workers.get_overlaps(), 0);
         EXPECT_EQ(m_workers.get_starts_after_done(), 0);
-        wait_until([this] { return m_workers.get_running() == lasting_count; });
+        wait_until([this] { return m_workers.get_running_count() == long_running_count; });
     }
 
     scheduler_cluster m_cluster{3};
     stand_in_workers m_workers{worker_count, m_cluster.get_controls(), milliseconds{200},
-                               stand_in_workers::rebirth::same_id};
+                               stand_in_workers::restart_mode::same_id};
 };
 
-TEST_P(restart_cluster, does_each_task_once_and_brings_lasting_ones_back) {
+TEST_P(restart_cluster, completes_each_task_once_and_restarts_long_running_ones) {
     submit_all();
-    const milliseconds down{GetParam()};
-    wait_until([&] { return m_workers.get_running() > lasting_count; });
+    const milliseconds downtime{GetParam()};
+    wait_until([&] { return m_workers.get_running_count() > long_running_count; });
     m_workers.crash({0, 1, 2},
-                    down); // not more often: a task under which three workers crashed may be given up
-    expect_all_well();
-    m_workers.crash({3, 4, 5}, down);
-    expect_all_well();
+                    downtime); // not more often: a task under which three workers crashed may be given up
+    expect_correct_end_state();
+    m_workers.crash({3, 4, 5}, downtime);
+    expect_correct_end_state();
 }
 
-TEST_P(restart_cluster, does_each_task_once_when_the_leader_is_killed_meanwhile) {
+TEST_P(restart_cluster, completes_each_task_once_when_the_leader_is_killed_meanwhile) {
     submit_all();
-    const milliseconds down{GetParam()};
-    wait_until([&] { return m_workers.get_running() > lasting_count; });
-    m_workers.crash({0, 1, 2}, down);
+    const milliseconds downtime{GetParam()};
+    wait_until([&] { return m_workers.get_running_count() > long_running_count; });
+    m_workers.crash({0, 1, 2}, downtime);
     const int leader = m_cluster.find_leader();
     ASSERT_NE(leader, 0);
     m_cluster.get_scheduler(leader).kill();
-    m_workers.crash({3, 4}, down);
-    expect_all_well();
+    m_workers.crash({3, 4}, downtime);
+    expect_correct_end_state();
 }
 
 INSTANTIATE_TEST_SUITE_P(down_ms, restart_cluster, testing::Values(10, 500, 1500));
--- a/unit_tests/platform/run_record.cpp
+++ b/unit_tests/platform/run_record.cpp
@@ -6,77 +6,79 @@
 
 namespace poplarpitch {
 
-void run_record::add_line(task_record& record, const std::string& what) {
+void run_record::add_history_line(task_record& record, const std::string& what) {
     record.history.push_back(
         absl::StrCat(absl::FormatTime("%H:%M:%E3S", absl::Now(), absl::UTCTimeZone()), " ", what));
 }
 
-void run_record::note_start(const std::string& task, std::uint32_t run, const std::string& where) {
+void run_record::add_start(const std::string& task, std::uint32_t run, const std::string& worker) {
     const absl::MutexLock lock(&m_mutex);
     auto& record = m_tasks[task];
     const bool is_overlap = record.running > 0;
     bool is_after_done = false;
     for (auto& [ended, end] : record.done_ends) {
-        is_after_done = is_after_done || end.is_noted;
+        is_after_done = is_after_done || end.is_acknowledged;
         ++end.starts_since;
     }
     m_overlaps += is_overlap ? 1 : 0;
     m_starts_after_done += is_after_done ? 1 : 0;
-    record.is_broken = record.is_broken || is_overlap || is_after_done;
+    record.has_violation = record.has_violation || is_overlap || is_after_done;
     ++record.running;
     ++record.starts;
-    add_line(record, absl::StrCat("run ", run, " starts on ", where, is_overlap ? " BESIDE ANOTHER" : "",
+    add_history_line(record,
+                     absl::StrCat("run ", run, " starts on ", worker, is_overlap ? " BESIDE ANOTHER" : "",
                                   is_after_done ? " AFTER A NOTED END" : ""));
 }
 
-void run_record::note_start_beside(const std::string& task, std::uint32_t run, const std::string& where) {
+void run_record::add_concurrent_start(const std::string& task, std::uint32_t run, const std::string& worker) {
     const absl::MutexLock lock(&m_mutex);
     auto& record = m_tasks[task];
     ++m_overlaps;
-    record.is_broken = true;
-    add_line(record, absl::StrCat("run ", run, " asked for on ", where, " BESIDE ANOTHER THERE"));
+    record.has_violation = true;
+    add_history_line(record, absl::StrCat("run ", run, " asked for on ", worker, " BESIDE ANOTHER THERE"));
 }
 
-void run_record::note_end(const std::string& task, std::uint32_t run, const std::string& where,
-                          const std::string& how) {
+void run_record::add_end(const std::string& task, std::uint32_t run, const std::string& worker,
+                         const std::string& outcome) {
     const absl::MutexLock lock(&m_mutex);
     auto& record = m_tasks[task];
     --record.running;
-    if (how == "done") {
+    if (outcome == "done") {
         ++record.done;
         record.done_ends[run] = {};
     }
-    add_line(record, absl::StrCat("run ", run, " ends on ", where, " as ", how));
+    add_history_line(record, absl::StrCat("run ", run, " ends on ", worker, " as ", outcome));
 }
 
-void run_record::note_forgotten(const std::string& task, std::uint32_t run) {
+void run_record::add_acknowledged_end(const std::string& task, std::uint32_t run) {
     const absl::MutexLock lock(&m_mutex);
     auto& record = m_tasks[task];
     const auto end = record.done_ends.find(run);
-    if (end == record.done_ends.end() || end->second.is_noted) {
+    if (end == record.done_ends.end() || end->second.is_acknowledged) {
         return;
     }
-    end->second.is_noted = true;
+    end->second.is_acknowledged = true;
     const int starts = end->second.starts_since;
     m_starts_after_done += starts;
-    record.is_broken = record.is_broken || starts > 0;
-    add_line(record, absl::StrCat("run ", run, " is noted as done", starts > 0 ? " AFTER A START" : ""));
+    record.has_violation = record.has_violation || starts > 0;
+    add_history_line(record,
+                     absl::StrCat("run ", run, " is noted as done", starts > 0 ? " AFTER A START" : ""));
 }
 
-void run_record::note_lapsed_end(const std::string& task, std::uint32_t run) {
+void run_record::add_lapsed_end(const std::string& task, std::uint32_t run) {
     const absl::MutexLock lock(&m_mutex);
     auto& record = m_tasks[task];
     const auto end = record.done_ends.find(run);
-    if (end != record.done_ends.end() && !end->second.is_noted) {
+    if (end != record.done_ends.end() && !end->second.is_acknowledged) {
         record.done_ends.erase(end);
-        add_line(record,
-                 absl::StrCat("run ", run, " counts for nothing: the lease lapsed before it was noted"));
+        add_history_line(
+            record, absl::StrCat("run ", run, " counts for nothing: the lease lapsed before it was noted"));
     }
 }
 
-void run_record::note(const std::string& task, const std::string& what) {
+void run_record::add_note(const std::string& task, const std::string& what) {
     const absl::MutexLock lock(&m_mutex);
-    add_line(m_tasks[task], what);
+    add_history_line(m_tasks[task], what);
 }
 
 int run_record::get_overlaps() const {
@@ -89,7 +91,7 @@
     return m_starts_after_done;
 }
 
-int run_record::get_running() const {
+int run_record::get_running_count() const {
     const absl::MutexLock lock(&m_mutex);
     int sum = 0;
     for (const auto& [task, record] : m_tasks) {
@@ -124,7 +126,7 @@
     const absl::MutexLock lock(&m_mutex);
     std::string text;
     for (const auto& [task, record] : m_tasks) {
-        if (!record.is_broken && !task.starts_with(prefix)) {
+        if (!record.has_violation && !task.starts_with(prefix)) {
             continue;
         }
         for (const auto& line : record.history) {
--- a/unit_tests/platform/run_record.h
+++ b/unit_tests/platform/run_record.h
@@ -14,22 +14,22 @@
 class run_record {
 public:
     /// A run begins; `where` names its worker.
-    void note_start(const std::string& task, std::uint32_t run, const std::string& where);
+    void add_start(const std::string& task, std::uint32_t run, const std::string& worker);
     /// A start came to a worker at which another run of the task goes on.
-    void note_start_beside(const std::string& task, std::uint32_t run, const std::string& where);
+    void add_concurrent_start(const std::string& task, std::uint32_t run, const std::string& worker);
     /// A run ends as `how`.
-    void note_end(const std::string& task, std::uint32_t run, const std::string& where,
-                  const std::string& how);
+    void add_end(const std::string& task, std::uint32_t run, const std::string& worker,
+                 const std::string& outcome);
     /// A worker was told to forget that a run ended as done: that end is noted.
-    void note_forgotten(const std::string& task, std::uint32_t run);
+    void add_acknowledged_end(const std::string& task, std::uint32_t run);
     /// The lease of the worker where a run ended as done lapsed before that was noted: it may run again.
-    void note_lapsed_end(const std::string& task, std::uint32_t run);
+    void add_lapsed_end(const std::string& task, std::uint32_t run);
     /// Adds what may explain the rest.
-    void note(const std::string& task, const std::string& what);
+    void add_note(const std::string& task, const std::string& what);
 
     [[nodiscard]] int get_overlaps() const;
     [[nodiscard]] int get_starts_after_done() const;
-    [[nodiscard]] int get_running() const;
+    [[nodiscard]] int get_running_count() const;
     [[nodiscard]] std::map<std::string, int> get_done_counts() const;
     [[nodiscard]] std::map<std::string, int> get_start_counts() const;
     /// Returns all that was noted of the tasks that broke a promise, and of those whose name begins so.
@@ -37,7 +37,7 @@
 
 private:
     struct done_end {
-        bool is_noted = false;
+        bool is_acknowledged = false;
         int starts_since = 0;
     };
     struct task_record {
@@ -45,11 +45,12 @@
         int done = 0;
         int starts = 0;
         std::map<std::uint32_t, done_end> done_ends; ///< by run, but those that count for nothing
-        bool is_broken = false;
+        bool has_violation = false;
         std::vector<std::string> history;
     };
 
-    void add_line(task_record& record, const std::string& what) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void add_history_line(task_record& record, const std::string& what)
+        ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     mutable absl::Mutex m_mutex;
     std::map<std::string, task_record> m_tasks ABSL_GUARDED_BY(m_mutex);
--- a/unit_tests/platform/scheduler_cluster.cpp
+++ b/unit_tests/platform/scheduler_cluster.cpp
@@ -21,8 +21,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration call_limit = seconds{2};
-constexpr duration step = milliseconds{20};
+constexpr duration call_timeout = seconds{2};
+constexpr duration poll_interval = milliseconds{20};
 
 std::string make_folder() {
     static std::atomic<int> next{0};
@@ -34,8 +34,8 @@
 
 /// Returns a program's path: that of this build, unless POPLARPITCH_PROGRAMS names another folder.
 std::string get_program(const std::string& name) {
-    const char* other = std::getenv("POPLARPITCH_PROGRAMS");
-    return absl::StrCat(other == nullptr ? POPLARPITCH_BIN : other, "/", name);
+    const char* override_folder = std::getenv("POPLARPITCH_PROGRAMS");
+    return absl::StrCat(override_folder == nullptr ? POPLARPITCH_BIN : override_folder, "/", name);
 }
 
 /// Asks again until `is_done` or the limit; a wait for an event, bounded so that a failure ends.
@@ -47,16 +47,16 @@
         if (is_done()) {
             return true;
         }
-        absl::SleepFor(absl::Nanoseconds(step.count()));
+        absl::SleepFor(absl::Nanoseconds(poll_interval.count()));
     }
     return false;
 }
 
 } // namespace
 
-scheduler_cluster::scheduler_cluster(int schedulers, std::string workers_text,
+scheduler_cluster::scheduler_cluster(int schedulers, std::string workers_settings,
                                      std::vector<std::string> data_centres)
-    : m_folder(make_folder()), m_count(schedulers), m_workers_text(std::move(workers_text)),
+    : m_folder(make_folder()), m_count(schedulers), m_workers_settings(std::move(workers_settings)),
       m_data_centres(std::move(data_centres)), m_pool(http_client_settings{}) {
     for (int number = 1; number <= schedulers; ++number) {
         start_scheduler(number, true);
@@ -84,26 +84,28 @@
 }
 
 std::vector<std::string> scheduler_cluster::get_controls() const {
-    std::vector<std::string> controls;
+    std::vector<std::string> control_addresses;
     for (int number = 1; number <= m_count; ++number) {
-        controls.push_back(absl::StrCat(get_host(number), ":", m_control_port.get_port()));
+        control_addresses.push_back(absl::StrCat(get_host(number), ":", m_control_port.get_port()));
     }
-    return controls;
+    return control_addresses;
 }
 
 void scheduler_cluster::start_scheduler(int number, bool may_found) {
-    const auto controls = get_controls();
-    const auto seeds = std::vector<std::string>(controls.begin(), controls.begin() + std::min(m_count, 3));
+    const auto control_addresses = get_controls();
+    const auto seeds =
+        std::vector<std::string>(control_addresses.begin(), control_addresses.begin() + std::min(m_count, 3));
     const auto name = absl::StrCat("scheduler-", number);
     const auto file = absl::StrCat(m_folder, "/", name, ".ini");
     std::ofstream(file) << "[instance]\nid = " << name << "\ndata_centre = " << get_data_centre(number)
                         << "\nhost = " << get_host(number) << "\nlink_port = " << m_link_port.get_port()
                         << "\nseeds = " << absl::StrJoin(seeds, ",")
-                        << "\n[control]\nlisten = " << controls[static_cast<std::size_t>(number) - 1]
+                        << "\n[control]\nlisten = " << control_addresses[static_cast<std::size_t>(number) - 1]
                         << "\ndata_folder = " << m_folder << "/data-" << number
                         << "\nmay_found = " << (may_found ? "true" : "false")
                         << "\ntolerated_losses = " << (m_count - 1) / 2 << "\n[workers]\n"
-                        << (m_workers_text.starts_with("lease = ") ? "" : "lease = 2s\n") << m_workers_text;
+                        << (m_workers_settings.starts_with("lease = ") ? "" : "lease = 2s\n")
+                        << m_workers_settings;
     m_schedulers[number] = std::make_unique<child_process>(
         std::vector<std::string>{get_program("poplarpitch-scheduler"), "--settings", file},
         absl::StrCat(m_folder, "/", name, ".log"));
@@ -113,8 +115,8 @@
     const auto file = absl::StrCat(m_folder, "/gateway.ini");
     std::ofstream(file) << "[instance]\nid = gateway\nlink_port = " << m_link_port.get_port()
                         << "\nseeds = " << absl::StrJoin(get_controls(), ",")
-                        << "\n[entry]\nlisten = 127.0.0.1:" << m_callers_port.get_port()
-                        << "\nready = 127.0.0.1:" << m_ready_port.get_port() << "\ndrain_wait = 100ms\n";
+                        << "\n[entry]\nlisten = 127.0.0.1:" << m_caller_port.get_port()
+                        << "\nready = 127.0.0.1:" << m_readiness_port.get_port() << "\ndrain_wait = 100ms\n";
     m_gateway = std::make_unique<child_process>(
         std::vector<std::string>{get_program("poplarpitch-gateway"), "--settings", file},
         absl::StrCat(m_folder, "/gateway.log"));
@@ -128,7 +130,7 @@
     m_gateway->kill();
     for (const auto& [number, process] : m_schedulers) {
         process->kill();
-        m_log_marks[number] = process->read_log().size();
+        m_log_sizes_at_crash[number] = process->read_log().size();
     }
 }
 
@@ -140,25 +142,26 @@
                        [&](int number) { return did_all_vote_after("action=promote", get_host(number)); });
 }
 
-bool scheduler_cluster::did_all_vote_after(const std::string& step, const std::string& host) const {
+bool scheduler_cluster::did_all_vote_after(const std::string& log_text, const std::string& host) const {
     const auto address = absl::StrCat("address=", host, " outcome=proposed");
-    const auto whole = absl::StrCat("event=membership_changed voters=", m_count, " learners=0");
+    const auto all_vote_line = absl::StrCat("event=membership_changed voters=", m_count, " learners=0");
     return std::any_of(m_schedulers.begin(), m_schedulers.end(), [&](const auto& item) {
         const auto log = item.second->read_log();
-        const auto mark = m_log_marks.find(item.first);
-        std::istringstream lines(log.substr(mark == m_log_marks.end() ? 0 : mark->second));
+        const auto crash_offset = m_log_sizes_at_crash.find(item.first);
+        std::istringstream lines(
+            log.substr(crash_offset == m_log_sizes_at_crash.end() ? 0 : crash_offset->second));
         bool is_after = false;
-        bool is_whole = false;
+        bool do_all_vote = false;
         for (std::string line; std::getline(lines, line);) {
-            const bool is_step = line.find(step) != std::string::npos;
-            is_after = is_after || (is_step && (host.empty() || line.find(address) != std::string::npos));
-            is_whole = is_whole || (is_after && line.find(whole) != std::string::npos);
+            const bool is_match = line.find(log_text) != std::string::npos;
+            is_after = is_after || (is_match && (host.empty() || line.find(address) != std::string::npos));
+            do_all_vote = do_all_vote || (is_after && line.find(all_vote_line) != std::string::npos);
         }
-        return is_whole;
+        return do_all_vote;
     });
 }
 
-void scheduler_cluster::wipe(int number) const {
+void scheduler_cluster::delete_data(int number) const {
     std::filesystem::remove_all(absl::StrCat(m_folder, "/data-", number));
 }
 
@@ -170,7 +173,7 @@
     request.headers.add("Host", "mill.example");
     request.body = body;
     const auto exchange =
-        m_pool.send(address, request, system_clock().now() + call_limit, connection_choice::fresh);
+        m_pool.send(address, request, system_clock().now() + call_timeout, connection_choice::fresh);
     if (exchange.progress != exchange_progress::answered) {
         return std::nullopt;
     }
@@ -191,7 +194,7 @@
 
 std::optional<http_response> scheduler_cluster::ask(const std::string& method, const std::string& path,
                                                     const std::string& body) {
-    return send(absl::StrCat("127.0.0.1:", m_callers_port.get_port()), method, path, body);
+    return send(absl::StrCat("127.0.0.1:", m_caller_port.get_port()), method, path, body);
 }
 
 void scheduler_cluster::put_config(std::uint64_t version, int max_attempts) {
@@ -206,7 +209,7 @@
                                         {"maxAttempts", max_attempts},
                                         {"stretch", 2.0}}}},
                                      {"services", {{{"name", "mill"}, {"enforcesCapacity", true}}}}};
-    const bool is_put = wait_until(seconds{20}, [&] {
+    const bool is_acknowledged = wait_until(seconds{20}, [&] {
         for (int number = 1; number <= m_count; ++number) {
             const auto response = ask_control(number, "POST", "/v1/Config.Put", document.dump());
             if (response.has_value() && response->status == 200) {
@@ -215,7 +218,7 @@
         }
         return false;
     });
-    EXPECT_TRUE(is_put) << "the configuration was never acknowledged";
+    EXPECT_TRUE(is_acknowledged) << "the configuration was never acknowledged";
 }
 
 bool scheduler_cluster::submit(const std::string& id, int tasks, duration limit, const std::string& spec) {
@@ -223,8 +226,8 @@
                        spec);
 }
 
-bool scheduler_cluster::submit_lasting(const std::string& id, int tasks, duration limit,
-                                       const std::string& spec) {
+bool scheduler_cluster::submit_long_running(const std::string& id, int tasks, duration limit,
+                                            const std::string& spec) {
     return submit_step(id, {{"count", tasks}, {"cpu", 500}, {"memMb", 100}, {"longRunning", true}}, limit,
                        spec);
 }
--- a/unit_tests/platform/scheduler_cluster.h
+++ b/unit_tests/platform/scheduler_cluster.h
@@ -22,7 +22,7 @@
 public:
     /// `workers_text` is added to the section [workers] of the schedulers' settings, whose lease is 2 s
     /// unless it begins with another one. Where `data_centres` are named, there is one for each scheduler.
-    explicit scheduler_cluster(int schedulers, std::string workers_text = {},
+    explicit scheduler_cluster(int schedulers, std::string workers_settings = {},
                                std::vector<std::string> data_centres = {});
     ~scheduler_cluster();
     scheduler_cluster(const scheduler_cluster&) = delete;
@@ -33,7 +33,7 @@
     /// Starts the gateway.
     void start_gateway();
     /// Removes a scheduler's data folder. Precondition: it does not run.
-    void wipe(int number) const;
+    void delete_data(int number) const;
     /// Ends all schedulers and the gateway at one moment. Their data folders stay.
     void crash_all();
     /// Returns true when all vote, and each of these does so again whose folders were wiped while all were
@@ -57,7 +57,7 @@
     /// Submits a job of one step until it is accepted. Returns false when it was not within `limit`.
     bool submit(const std::string& id, int tasks, duration limit, const std::string& spec = "text");
     /// As above, for a job of one step whose tasks last until it is cancelled.
-    bool submit_lasting(const std::string& id, int tasks, duration limit, const std::string& spec);
+    bool submit_long_running(const std::string& id, int tasks, duration limit, const std::string& spec);
     /// Waits until a job's state is `state`.
     bool wait_for_state(const std::string& id, const std::string& state, duration limit);
     /// Returns a job's state, or nothing while no answer tells it.
@@ -70,7 +70,7 @@
     [[nodiscard]] std::string get_data_centre(int number) const;
     /// Returns true when some scheduler told, since all were crashed last, that all vote, after it told
     /// `step` of the scheduler at `host`.
-    [[nodiscard]] bool did_all_vote_after(const std::string& step, const std::string& host = {}) const;
+    [[nodiscard]] bool did_all_vote_after(const std::string& log_text, const std::string& host = {}) const;
     bool submit_step(const std::string& id, const nlohmann::json& step, duration limit,
                      const std::string& spec);
     std::optional<http_response> send(const std::string& address, const std::string& method,
@@ -78,13 +78,13 @@
 
     std::string m_folder;
     int m_count;
-    std::string m_workers_text;
+    std::string m_workers_settings;
     std::vector<std::string> m_data_centres;
-    std::map<int, std::size_t> m_log_marks; ///< how long each log was when all were crashed last
+    std::map<int, std::size_t> m_log_sizes_at_crash; ///< how long each log was when all were crashed last
     port_reservation m_link_port;
     port_reservation m_control_port;
-    port_reservation m_callers_port;
-    port_reservation m_ready_port;
+    port_reservation m_caller_port;
+    port_reservation m_readiness_port;
     std::map<int, std::unique_ptr<child_process>> m_schedulers;
     std::unique_ptr<child_process> m_gateway;
     http_client_pool m_pool;
--- a/unit_tests/platform/scheduler_cluster_test.cpp
+++ b/unit_tests/platform/scheduler_cluster_test.cpp
@@ -11,7 +11,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{20}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{20}; // bounds a failure; each wait ends with its event
 constexpr int task_count = 6;
 
 void expect_config_version_7(scheduler_cluster& cluster) {
@@ -27,48 +27,48 @@
     const stand_in_workers workers(2, cluster.get_controls(), milliseconds{100});
     cluster.put_config(1);
     const std::string id = "00000000000000a1";
-    ASSERT_TRUE(cluster.submit(id, task_count, patience));
-    ASSERT_TRUE(cluster.wait_for_state(id, "completed", patience));
+    ASSERT_TRUE(cluster.submit(id, task_count, wait_timeout));
+    ASSERT_TRUE(cluster.wait_for_state(id, "completed", wait_timeout));
     expect_each_done_once(workers, id, task_count);
     EXPECT_EQ(cluster.ask("GET", "/jobs/00000000000000ff")->status, 410);
     EXPECT_EQ(cluster.ask("GET", "/none/00000000000000a1")->status, 404);
     EXPECT_EQ(cluster.ask("POST", "/jobs/00000000000000a2", "{\"steps\":")->status, 400);
 }
 
-TEST(scheduler_cluster, goes_on_when_the_leader_is_killed_while_a_job_runs) {
+TEST(scheduler_cluster, completes_a_job_when_the_leader_is_killed_while_it_runs) {
     scheduler_cluster cluster(3);
     const stand_in_workers workers(2, cluster.get_controls(), milliseconds{1500});
     cluster.put_config(1);
     const std::string id = "00000000000000b1";
-    ASSERT_TRUE(cluster.submit(id, task_count, patience));
-    while (workers.get_running() < task_count) {
+    ASSERT_TRUE(cluster.submit(id, task_count, wait_timeout));
+    while (workers.get_running_count() < task_count) {
         absl::SleepFor(absl::Milliseconds(10));
     }
     const int leader = cluster.find_leader();
     ASSERT_NE(leader, 0);
     cluster.get_scheduler(leader).kill();
-    ASSERT_TRUE(cluster.wait_for_state(id, "completed", patience));
+    ASSERT_TRUE(cluster.wait_for_state(id, "completed", wait_timeout));
     expect_each_done_once(workers, id, task_count);
 }
 
-TEST(scheduler_cluster, knows_jobs_and_configuration_after_all_instances_were_killed) {
+TEST(scheduler_cluster, recovers_jobs_and_configuration_after_all_instances_were_killed) {
     scheduler_cluster cluster(3);
     const stand_in_workers workers(2, cluster.get_controls(), milliseconds{300});
     cluster.put_config(7);
     const std::string id = "00000000000000c1";
-    ASSERT_TRUE(cluster.submit(id, task_count, patience));
+    ASSERT_TRUE(cluster.submit(id, task_count, wait_timeout));
     for (int number = 1; number <= 3; ++number) {
         cluster.get_scheduler(number).kill();
     }
     for (int number = 1; number <= 3; ++number) {
         cluster.start_scheduler(number);
     }
-    ASSERT_TRUE(cluster.wait_for_state(id, "completed", patience));
+    ASSERT_TRUE(cluster.wait_for_state(id, "completed", wait_timeout));
     expect_each_done_once(workers, id, task_count);
     expect_config_version_7(cluster);
 }
 
-TEST(scheduler_cluster, takes_back_an_instance_that_lost_its_disk) {
+TEST(scheduler_cluster, readmits_an_instance_that_lost_its_disk) {
     scheduler_cluster cluster(3);
     const stand_in_workers workers(2, cluster.get_controls(), milliseconds{100});
     cluster.put_config(1);
@@ -77,7 +77,7 @@
     const int lost = leader == 1 ? 2 : 1;
     const int other = 6 - leader - lost;
     cluster.get_scheduler(lost).kill();
-    cluster.wipe(lost);
+    cluster.delete_data(lost);
     cluster.start_scheduler(lost);
     // It votes again once it is promoted; with the third one gone the two must be enough.
     const auto has_joined = [&] {
@@ -87,11 +87,11 @@
         absl::SleepFor(absl::Milliseconds(20));
     }
     const std::string first = "00000000000000d1";
-    ASSERT_TRUE(cluster.submit(first, task_count, patience)); // committed after the promotion
+    ASSERT_TRUE(cluster.submit(first, task_count, wait_timeout)); // committed after the promotion
     cluster.get_scheduler(other).kill();
     const std::string id = "00000000000000d2";
-    ASSERT_TRUE(cluster.submit(id, task_count, patience));
-    ASSERT_TRUE(cluster.wait_for_state(id, "completed", patience));
+    ASSERT_TRUE(cluster.submit(id, task_count, wait_timeout));
+    ASSERT_TRUE(cluster.wait_for_state(id, "completed", wait_timeout));
     expect_each_done_once(workers, id, task_count);
 }
 
@@ -118,16 +118,16 @@
         absl::SleepFor(absl::Milliseconds(10));
     }
     const std::string id = "00000000000000f1";
-    ASSERT_TRUE(cluster.submit(id, task_count, patience));
+    ASSERT_TRUE(cluster.submit(id, task_count, wait_timeout));
     const std::vector<int> lost = {leader, leader % instances + 1};
     for (const int number : lost) {
         cluster.get_scheduler(number).kill();
-        cluster.wipe(number);
+        cluster.delete_data(number);
     }
     for (const int number : lost) {
         cluster.start_scheduler(number);
     }
-    ASSERT_TRUE(cluster.wait_for_state(id, "completed", patience));
+    ASSERT_TRUE(cluster.wait_for_state(id, "completed", wait_timeout));
     expect_each_done_once(workers, id, task_count);
     expect_config_version_7(cluster);
 }
@@ -144,11 +144,11 @@
     EXPECT_TRUE(response->headers.has("Retry-After"));
 }
 
-TEST(scheduler_cluster, refuses_more_open_jobs_than_it_keeps_and_says_when_to_come_back) {
+TEST(scheduler_cluster, rejects_jobs_above_the_open_job_limit_with_retry_after) {
     scheduler_cluster cluster(1, "max_open_jobs = 2\n");
     cluster.put_config(1);
-    ASSERT_TRUE(cluster.submit("00000000000000f1", 1, patience)); // no worker: they stay open
-    ASSERT_TRUE(cluster.submit("00000000000000f2", 1, patience));
+    ASSERT_TRUE(cluster.submit("00000000000000f1", 1, wait_timeout)); // no worker: they stay open
+    ASSERT_TRUE(cluster.submit("00000000000000f2", 1, wait_timeout));
     const auto third = cluster.ask("POST", "/jobs/00000000000000f3", R"({"steps":[{"count":1}]})");
     ASSERT_TRUE(third.has_value());
     EXPECT_EQ(third->status, 429);
--- a/unit_tests/platform/stand_in_workers.cpp
+++ b/unit_tests/platform/stand_in_workers.cpp
@@ -18,287 +18,296 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration beat_interval = milliseconds{200}; // short, so that tests begin at once
-constexpr duration many_beat_interval =
+constexpr duration heartbeat_interval = milliseconds{200}; // short, so that tests begin at once
+constexpr duration large_cluster_heartbeat_interval =
     milliseconds{1100}; // of so many that they would be a load of their own
-constexpr std::size_t many_workers = 20;
-constexpr duration beat_timeout = milliseconds{500};
-constexpr duration crash_delay = milliseconds{10};    // after the start of a task that crashes its worker
-constexpr duration restart_time = milliseconds{1000}; // longer than an answer takes, so that it is missed
-constexpr duration longest_list_delay = milliseconds{800};
-constexpr duration longest_break = milliseconds{300};
-constexpr duration longest_sickness = milliseconds{800};
-constexpr int short_breaks = 50;               // of 100: the next connection comes up at once
-constexpr int sick_after_break = 50;           // of 100
-constexpr duration unheard_delay = seconds{4}; // of an answer that nobody waits for any more
+constexpr std::size_t large_cluster_size = 20;
+constexpr duration heartbeat_timeout = milliseconds{500};
+constexpr duration crash_delay = milliseconds{10};     // after the start of a task that crashes its worker
+constexpr duration restart_delay = milliseconds{1000}; // longer than an answer takes, so that it is missed
+constexpr duration max_list_delay = milliseconds{800};
+constexpr duration max_disconnect_time = milliseconds{300};
+constexpr duration max_unhealthy_time = milliseconds{800};
+constexpr int short_disconnect_percent = 50;            // of 100: the next connection comes up at once
+constexpr int unhealthy_after_disconnect_percent = 50;  // of 100
+constexpr duration abandoned_answer_delay = seconds{4}; // of an answer that nobody waits for any more
 constexpr std::int64_t first_clock_ms = 1;
 constexpr std::size_t max_ended_rows = 500;
-constexpr int usual_slots = 32;
+constexpr int default_slots = 32;
 constexpr int slot_millicores = 500;
-constexpr int percent = 100;
-constexpr int lasting_tail_ms = 10; // what a task that lasts tells of its own answers
+constexpr int full_percent = 100;
+constexpr int long_running_tail_latency_ms = 10; // what a task that lasts tells of its own answers
 
 using json = nlohmann::json;
 
 struct running_task {
     std::uint32_t run = 0;
     timer_id timer = 0; ///< of its end; 0 for one that lasts until it is stopped
-    bool lasts = false;
+    bool is_long_running = false;
 };
 
 struct ended_task {
     std::uint64_t number = 0;
     std::string task;
     std::uint32_t run = 0;
-    std::string how;
+    std::string outcome;
 };
 
 /// One worker's state; all on the loop's thread.
-struct pretended_worker {
+struct simulated_worker {
     std::string machine; ///< what its lives have in common
     std::string zone;
-    std::int64_t born_ms = 0; ///< 0 where it does not tell
-    time_point clock_start{}; ///< its clock counts from there
+    std::int64_t process_start_ms = 0; ///< 0 where it does not tell
+    time_point clock_start{};          ///< its clock counts from there
     double clock_rate = 1;
-    int life = 1;
+    int incarnation = 1;
     bool is_up = true;
-    bool is_deaf = false; ///< it takes no calls
+    bool is_disconnected = false; ///< it takes no calls
     bool is_draining = false;
     time_point leaves_at{};
-    time_point sick_until{};
+    time_point unhealthy_until{};
     std::string id;
     port_reservation port;
     std::string address;
     std::uint64_t fence = 0;
     std::uint64_t sequence = 0;
     std::uint64_t next_number = 1;
-    std::int64_t until_ms = 0; ///< the lease of all that runs, on its own clock
+    std::int64_t lease_end_ms = 0; ///< the lease of all that runs, on its own clock
     timer_id lease_timer = 0;
     std::map<std::string, running_task> running;
-    std::map<std::string, std::uint32_t> highest_ended; ///< runs up to this are refused
+    std::map<std::string, std::uint32_t> highest_ended_run; ///< runs up to this are refused
     std::vector<ended_task> ended;
     std::vector<std::pair<http_responder, timer_id>> holds; ///< that wait for an end
     std::unique_ptr<http_listener> listener;
-    std::size_t control = 0; ///< which address the next heartbeat goes to
+    std::size_t next_control = 0; ///< which address the next heartbeat goes to
     std::string heartbeat_address;
 };
 
-worker_habits make_habits(duration run_time, worker_rebirth how) {
-    worker_habits habits;
-    habits.rebirth = how;
-    habits.shortest_run = run_time;
-    habits.longest_run = run_time;
-    return habits;
+worker_behaviour make_behaviour(duration run_time, worker_restart_mode mode) {
+    worker_behaviour behaviour;
+    behaviour.restart_mode = mode;
+    behaviour.min_run_time = run_time;
+    behaviour.max_run_time = run_time;
+    return behaviour;
 }
 
 } // namespace
 
-struct stand_in_workers::parts {
-    parts(std::vector<std::string> addresses, const worker_habits& chosen)
-        : controls(std::move(addresses)), habits(chosen), random(chosen.seed),
+struct stand_in_workers::impl {
+    impl(std::vector<std::string> addresses, const worker_behaviour& chosen)
+        : control_addresses(std::move(addresses)), behaviour(chosen), random(chosen.seed),
           caller(loop, http_caller_settings{}) {}
 
     // ---- chance
 
-    bool happens(int chance) {
-        return chance > 0 && static_cast<int>(random() % static_cast<unsigned>(percent)) < chance;
+    bool happens(int chance_percent) {
+        return chance_percent > 0 &&
+               static_cast<int>(random() % static_cast<unsigned>(full_percent)) < chance_percent;
     }
 
-    duration pick(duration least, duration most) {
+    duration pick_duration(duration least, duration most) {
         const auto span = to_milliseconds(most - least);
         return least + milliseconds{span <= 0 ? 0 : static_cast<std::int64_t>(random() >> 1U) % (span + 1)};
     }
 
-    std::string make_id(const pretended_worker& worker) {
-        if (habits.has_random_ids) {
+    std::string make_id(const simulated_worker& worker) {
+        if (behaviour.has_random_ids) {
             return absl::StrFormat("i-%08x", static_cast<std::uint32_t>(random()));
         }
-        return worker.life == 1 ? worker.machine : absl::StrCat(worker.machine, ".", worker.life);
+        return worker.incarnation == 1 ? worker.machine
+                                       : absl::StrCat(worker.machine, ".", worker.incarnation);
     }
 
     // ---- clocks and leases
 
-    static std::int64_t get_clock(const pretended_worker& worker) {
+    static std::int64_t get_clock(const simulated_worker& worker) {
         const auto since = system_clock().now() - worker.clock_start;
-        const auto told = static_cast<double>(to_milliseconds(since)) * worker.clock_rate;
-        return first_clock_ms + static_cast<std::int64_t>(told);
+        const auto elapsed_ms = static_cast<double>(to_milliseconds(since)) * worker.clock_rate;
+        return first_clock_ms + static_cast<std::int64_t>(elapsed_ms);
     }
 
-    void prolong(pretended_worker& worker, const json& body) {
-        const auto wanted = body.value("untilMs", std::int64_t{0});
-        const auto until = std::min(wanted, get_clock(worker) + to_milliseconds(habits.longest_lease));
-        if (until > worker.until_ms) {
-            worker.until_ms = until;
-            watch_lease(worker);
+    void extend_lease(simulated_worker& worker, const json& body) {
+        const auto requested_ms = body.value("untilMs", std::int64_t{0});
+        const auto until = std::min(requested_ms, get_clock(worker) + to_milliseconds(behaviour.max_lease));
+        if (until > worker.lease_end_ms) {
+            worker.lease_end_ms = until;
+            schedule_lease_expiry(worker);
         }
     }
 
-    void watch_lease(pretended_worker& worker) {
+    void schedule_lease_expiry(simulated_worker& worker) {
         loop.cancel(worker.lease_timer);
-        const auto left = static_cast<double>(worker.until_ms - get_clock(worker)) / worker.clock_rate;
-        const milliseconds wait{static_cast<std::int64_t>(std::max(left, 0.0)) + 1};
+        const auto remaining_ms =
+            static_cast<double>(worker.lease_end_ms - get_clock(worker)) / worker.clock_rate;
+        const milliseconds wait{static_cast<std::int64_t>(std::max(remaining_ms, 0.0)) + 1};
         worker.lease_timer =
-            loop.call_at(system_clock().now() + wait, [this, &worker] { end_lapsed(worker); });
+            loop.call_at(system_clock().now() + wait, [this, &worker] { expire_lease(worker); });
     }
 
-    void end_lapsed(pretended_worker& worker) {
-        if (get_clock(worker) < worker.until_ms) {
-            watch_lease(worker);
+    void expire_lease(simulated_worker& worker) {
+        if (get_clock(worker) < worker.lease_end_ms) {
+            schedule_lease_expiry(worker);
             return;
         }
         for (const auto& item : worker.ended) {
-            if (item.how == "done") {
-                record.note_lapsed_end(item.task, item.run);
+            if (item.outcome == "done") {
+                record.add_lapsed_end(item.task, item.run);
             }
         }
         while (!worker.running.empty()) {
-            end(worker, std::string(worker.running.begin()->first), "lapsed");
+            end_run(worker, std::string(worker.running.begin()->first), "lapsed");
         }
     }
 
     /// Ends what has lapsed by now, however late this thread comes to it.
-    void end_lapsed_runs(const std::string& task) {
-        const auto found = hosts.find(task);
-        if (found == hosts.end()) {
+    void expire_leases_of_task(const std::string& task) {
+        const auto found = workers_by_task.find(task);
+        if (found == workers_by_task.end()) {
             return;
         }
         const auto running_there = found->second; // an end changes it
         for (auto* worker : running_there) {
-            if (get_clock(*worker) >= worker->until_ms) {
-                end_lapsed(*worker);
+            if (get_clock(*worker) >= worker->lease_end_ms) {
+                expire_lease(*worker);
             }
         }
     }
 
     // ---- runs
 
-    static std::string get_place(const pretended_worker& worker) {
-        return absl::StrCat(worker.machine, " ", worker.id, " (", worker.zone, ", life ", worker.life, ")");
+    static std::string describe_worker(const simulated_worker& worker) {
+        return absl::StrCat(worker.machine, " ", worker.id, " (", worker.zone, ", life ", worker.incarnation,
+                            ")");
     }
 
-    static http_response make_response(const pretended_worker& worker, int status, json body) {
+    static http_response make_response(const simulated_worker& worker, int status, json body) {
         http_response response;
         response.status = status;
         body["clockMs"] = get_clock(worker);
-        if (worker.born_ms != 0) {
-            body["born"] = worker.born_ms;
+        if (worker.process_start_ms != 0) {
+            body["born"] = worker.process_start_ms;
         }
         response.body = body.dump();
         return response;
     }
 
-    static json list(const pretended_worker& worker) {
+    static json make_lists(const simulated_worker& worker) {
         json body = {{"running", json::array()}, {"ended", json::array()}};
         for (const auto& [task, run] : worker.running) {
-            body["running"].push_back(
-                {task, run.run, "", run.lasts ? 100 : 50, run.lasts ? lasting_tail_ms : 0});
+            body["running"].push_back({task, run.run, "", run.is_long_running ? 100 : 50,
+                                       run.is_long_running ? long_running_tail_latency_ms : 0});
         }
         for (const auto& end : worker.ended) {
             if (body["ended"].size() == max_ended_rows) {
                 break;
             }
-            body["ended"].push_back({end.number, end.task, end.run, end.how, ""});
+            body["ended"].push_back({end.number, end.task, end.run, end.outcome, ""});
         }
         return body;
     }
 
     /// Takes a run out of all that runs. Precondition: it runs there.
-    std::uint32_t take_out(pretended_worker& worker, const std::string& task, const char* how) {
+    std::uint32_t remove_run(simulated_worker& worker, const std::string& task, const char* outcome) {
         const auto found = worker.running.find(task);
         const auto run = found->second.run;
         loop.cancel(found->second.timer);
         worker.running.erase(found);
-        hosts[task].erase(&worker);
-        if (hosts[task].empty()) {
-            hosts.erase(task);
+        workers_by_task[task].erase(&worker);
+        if (workers_by_task[task].empty()) {
+            workers_by_task.erase(task);
         }
-        record.note_end(task, run, get_place(worker), how);
+        record.add_end(task, run, describe_worker(worker), outcome);
         return run;
     }
 
-    void end(pretended_worker& worker, const std::string& task, const char* how) {
+    void end_run(simulated_worker& worker, const std::string& task, const char* outcome) {
         if (!worker.running.contains(task)) {
             return;
         }
-        const auto run = take_out(worker, task, how);
-        auto& highest = worker.highest_ended[task];
+        const auto run = remove_run(worker, task, outcome);
+        auto& highest = worker.highest_ended_run[task];
         highest = std::max(highest, run);
-        worker.ended.push_back({worker.next_number++, task, run, how});
+        worker.ended.push_back({worker.next_number++, task, run, outcome});
         answer_holds(worker);
     }
 
-    void answer_holds(pretended_worker& worker) {
+    void answer_holds(simulated_worker& worker) {
         auto holds = std::move(worker.holds);
         worker.holds.clear();
         for (auto& [respond, timer] : holds) {
             loop.cancel(timer);
-            respond(make_response(worker, 200, list(worker)));
+            respond(make_response(worker, 200, make_lists(worker)));
         }
     }
 
-    http_response start(pretended_worker& worker, const json& body) {
+    http_response start_run(simulated_worker& worker, const json& body) {
         const auto task = body.at("task").get<std::string>();
         const auto run = body.at("run").get<std::uint32_t>();
         if (get_clock(worker) >= body.value("untilMs", std::int64_t{0})) {
             return make_response(worker, 409, {{"reason", "late"}});
         }
-        end_lapsed_runs(task);
-        end_lapsed_at(worker);
-        prolong(worker, body);
+        expire_leases_of_task(task);
+        expire_lease_if_due(worker);
+        extend_lease(worker, body);
         const auto found = worker.running.find(task);
         if (found != worker.running.end() && found->second.run == run) {
             return make_response(worker, 200, {});
         }
-        if (run <= worker.highest_ended[task]) {
+        if (run <= worker.highest_ended_run[task]) {
             return make_response(worker, 409, {{"reason", "old"}});
         }
         if (found != worker.running.end()) {
-            record.note_start_beside(task, run, get_place(worker));
+            record.add_concurrent_start(task, run, describe_worker(worker));
             return make_response(worker, 409, {{"reason", "old"}});
         }
-        if (habits.slots > 0 && worker.running.size() >= static_cast<std::size_t>(habits.slots)) {
+        if (behaviour.slots > 0 && worker.running.size() >= static_cast<std::size_t>(behaviour.slots)) {
             return make_response(worker, 409, {{"reason", "room"}});
         }
-        begin(worker, task, run, body.value("spec", std::string{}));
+        begin_run(worker, task, run, body.value("spec", std::string{}));
         return make_response(worker, 200, {});
     }
 
-    void begin(pretended_worker& worker, const std::string& task, std::uint32_t run,
-               const std::string& spec) {
-        record.note_start(task, run, get_place(worker));
+    void begin_run(simulated_worker& worker, const std::string& task, std::uint32_t run,
+                   const std::string& spec) {
+        record.add_start(task, run, describe_worker(worker));
         if (spec == stand_in_workers::crashing_spec) {
-            loop.call_after(crash_delay, [this, &worker, life = worker.life] { crash(worker, life); });
+            loop.call_after(crash_delay, [this, &worker, incarnation = worker.incarnation] {
+                crash(worker, incarnation);
+            });
         }
-        const bool lasts = spec == stand_in_workers::lasting_spec || spec == stand_in_workers::crashing_spec;
+        const bool is_long_running =
+            spec == stand_in_workers::lasting_spec || spec == stand_in_workers::crashing_spec;
         timer_id timer = 0;
-        if (!lasts) {
-            const char* how = happens(habits.failed_runs) ? "failed" : "done";
-            timer = loop.call_after(pick(habits.shortest_run, habits.longest_run),
-                                    [this, &worker, task, how] { end(worker, task, how); });
+        if (!is_long_running) {
+            const char* outcome = happens(behaviour.failed_run_percent) ? "failed" : "done";
+            timer = loop.call_after(pick_duration(behaviour.min_run_time, behaviour.max_run_time),
+                                    [this, &worker, task, outcome] { end_run(worker, task, outcome); });
         }
-        worker.running[task] = {run, timer, lasts};
-        hosts[task].insert(&worker);
+        worker.running[task] = {run, timer, is_long_running};
+        workers_by_task[task].insert(&worker);
     }
 
-    http_response stop(pretended_worker& worker, const json& body) {
+    http_response stop_run(simulated_worker& worker, const json& body) {
         const auto task = body.at("task").get<std::string>();
         const auto run = body.at("run").get<std::uint32_t>();
-        auto& highest = worker.highest_ended[task];
+        auto& highest = worker.highest_ended_run[task];
         highest = std::max(highest, run);
         const auto found = worker.running.find(task);
         if (found == worker.running.end() || found->second.run > run) {
             return make_response(worker, 200, {});
         }
-        const auto delay = pick(duration{0}, habits.longest_stop);
+        const auto delay = pick_duration(duration{0}, behaviour.max_stop_time);
         if (delay <= duration{0}) {
-            end(worker, task, "stopped");
+            end_run(worker, task, "stopped");
         } else {
-            loop.call_after(delay, [this, &worker, task, stopped = found->second.run, life = worker.life] {
-                const auto still = worker.running.find(task);
-                if (worker.life == life && still != worker.running.end() && still->second.run == stopped) {
-                    end(worker, task, "stopped");
-                }
-            });
+            loop.call_after(
+                delay, [this, &worker, task, stopped = found->second.run, incarnation = worker.incarnation] {
+                    const auto current = worker.running.find(task);
+                    if (worker.incarnation == incarnation && current != worker.running.end() &&
+                        current->second.run == stopped) {
+                        end_run(worker, task, "stopped");
+                    }
+                });
         }
         return make_response(worker, 200, {});
     }
@@ -306,14 +315,14 @@
     // ---- lives
 
     /// Ends a life of a worker, if it has not ended yet, with all that runs there.
-    void crash(pretended_worker& worker, int life, duration down = restart_time) {
-        if (!worker.is_up || worker.life != life) {
+    void crash(simulated_worker& worker, int incarnation, duration downtime = restart_delay) {
+        if (!worker.is_up || worker.incarnation != incarnation) {
             return;
         }
         worker.is_up = false;
-        end_lapsed_at(worker);
+        expire_lease_if_due(worker);
         while (!worker.running.empty()) {
-            take_out(worker, std::string(worker.running.begin()->first), "crashed");
+            remove_run(worker, std::string(worker.running.begin()->first), "crashed");
         }
         for (const auto& [respond, timer] : worker.holds) {
             loop.cancel(timer);
@@ -322,99 +331,101 @@
         worker.ended.clear();
         worker.listener.reset();
         loop.cancel(worker.lease_timer);
-        loop.call_after(down, [this, &worker] { come_back(worker); });
+        loop.call_after(downtime, [this, &worker] { restart(worker); });
     }
 
-    void end_lapsed_at(pretended_worker& worker) {
-        if (get_clock(worker) >= worker.until_ms) {
-            end_lapsed(worker);
+    void expire_lease_if_due(simulated_worker& worker) {
+        if (get_clock(worker) >= worker.lease_end_ms) {
+            expire_lease(worker);
         }
     }
 
-    void come_back(pretended_worker& worker) {
-        ++worker.life;
+    void restart(simulated_worker& worker) {
+        ++worker.incarnation;
         worker.is_up = true;
-        if (habits.rebirth == worker_rebirth::new_id || worker.is_draining) {
+        if (behaviour.restart_mode == worker_restart_mode::new_id || worker.is_draining) {
             worker.id = make_id(worker);
         }
-        begin_life(worker);
-        worker.is_deaf = false;
+        begin_incarnation(worker);
+        worker.is_disconnected = false;
         worker.is_draining = false;
-        worker.sick_until = {};
+        worker.unhealthy_until = {};
         worker.fence = 0;
         worker.sequence = 0;
         worker.next_number = 1;
-        worker.until_ms = 0;
-        worker.highest_ended.clear();
+        worker.lease_end_ms = 0;
+        worker.highest_ended_run.clear();
         worker.heartbeat_address.clear();
         listen(worker);
     }
 
-    void begin_life(pretended_worker& worker) {
-        const bool tells = habits.rebirth == worker_rebirth::same_id;
-        worker.born_ms = tells ? get_wall_ms() : 0;
-        worker.clock_start = tells ? system_clock().now() : time_point{};
-        const auto share = static_cast<double>(random() % 1000) / 1000;
-        worker.clock_rate = 1 - (1 - habits.slowest_clock) * share;
+    void begin_incarnation(simulated_worker& worker) {
+        const bool reports_start_time = behaviour.restart_mode == worker_restart_mode::same_id;
+        worker.process_start_ms = reports_start_time ? get_wall_ms() : 0;
+        worker.clock_start = reports_start_time ? system_clock().now() : time_point{};
+        const auto fraction = static_cast<double>(random() % 1000) / 1000;
+        worker.clock_rate = 1 - (1 - behaviour.min_clock_rate) * fraction;
     }
 
-    void leave(pretended_worker& worker, int life, duration down) {
-        if (!worker.is_up || worker.life != life) {
+    void deregister(simulated_worker& worker, int incarnation, duration downtime) {
+        if (!worker.is_up || worker.incarnation != incarnation) {
             return;
         }
         json body = json::object();
-        if (worker.born_ms != 0) {
-            body["born"] = worker.born_ms;
+        if (worker.process_start_ms != 0) {
+            body["born"] = worker.process_start_ms;
         }
-        send(controls[worker.control++ % controls.size()],
+        send(control_addresses[worker.next_control++ % control_addresses.size()],
              absl::StrCat("/v1/Instances.Deregister/", worker.id), body, [](const auto&) {});
-        crash(worker, life, down);
+        crash(worker, incarnation, downtime);
     }
 
     // ---- calls that come
 
-    void listen(pretended_worker& worker) {
+    void listen(simulated_worker& worker) {
         http_listener_settings settings;
         settings.host = "127.0.0.1";
         settings.port = worker.port.get_port();
-        settings.idle_timeout = habits.idle_timeout;
-        settings.sweep_interval = std::min<duration>(settings.sweep_interval, habits.idle_timeout);
+        settings.idle_timeout = behaviour.idle_timeout;
+        settings.sweep_interval = std::min<duration>(settings.sweep_interval, behaviour.idle_timeout);
         worker.listener = std::make_unique<http_listener>(
             loop, settings, [this, &worker](const http_request& request, const http_responder& respond) {
-                handle(worker, request, respond);
+                handle_request(worker, request, respond);
             });
         worker.address = absl::StrCat("127.0.0.1:", worker.listener->start().value());
     }
 
     /// Closes all connections, and opens none for this long.
-    void close_for(pretended_worker& worker, duration length) {
-        if (!worker.is_up || worker.is_deaf) {
+    void disconnect_for(simulated_worker& worker, duration length) {
+        if (!worker.is_up || worker.is_disconnected) {
             return;
         }
-        worker.is_deaf = true;
+        worker.is_disconnected = true;
         worker.listener.reset();
-        loop.call_after(length, [this, &worker, life = worker.life] {
-            if (worker.is_up && worker.life == life && !worker.is_draining) {
-                worker.is_deaf = false;
+        loop.call_after(length, [this, &worker, incarnation = worker.incarnation] {
+            if (worker.is_up && worker.incarnation == incarnation && !worker.is_draining) {
+                worker.is_disconnected = false;
                 listen(worker);
             }
         });
     }
 
     /// Ends all connections, and is not well for a while after that, at times.
-    void break_connections(pretended_worker& worker) {
-        const auto length = happens(short_breaks) ? duration{0} : pick(duration{0}, longest_break);
-        close_for(worker, length);
-        if (happens(sick_after_break)) {
-            worker.sick_until = loop.now() + length + pick(duration{0}, longest_sickness);
+    void drop_connections(simulated_worker& worker) {
+        const auto length =
+            happens(short_disconnect_percent) ? duration{0} : pick_duration(duration{0}, max_disconnect_time);
+        disconnect_for(worker, length);
+        if (happens(unhealthy_after_disconnect_percent)) {
+            worker.unhealthy_until = loop.now() + length + pick_duration(duration{0}, max_unhealthy_time);
         }
     }
 
-    void handle(pretended_worker& worker, const http_request& request, const http_responder& respond) {
+    void handle_request(simulated_worker& worker, const http_request& request,
+                        const http_responder& respond) {
         if (!worker.is_up) {
             return; // it came over a connection that the crash has yet to end
         }
-        if (loop.now() < worker.sick_until) {
+        if (loop.now() < worker.unhealthy_until) {
             respond(make_response(worker, 503, {}));
             return;
         }
@@ -428,12 +439,12 @@
             return;
         }
         if (request.get_path() == "/v1/hold") {
-            const bool is_late = happens(habits.late_lists);
-            const auto delay = pick(duration{0}, longest_list_delay);
-            carry_out(worker, request.get_path(), body, is_late ? delay_answer(respond, delay) : respond);
+            const bool is_late = happens(behaviour.late_list_percent);
+            const auto delay = pick_duration(duration{0}, max_list_delay);
+            execute_order(worker, request.get_path(), body, is_late ? delay_answer(respond, delay) : respond);
             return;
         }
-        take_order(worker, request.get_path(), body, respond);
+        handle_order(worker, request.get_path(), body, respond);
     }
 
     http_responder delay_answer(const http_responder& respond, duration delay) {
@@ -443,36 +454,38 @@
     }
 
     /// Carries an order out, now or later, and answers it, now, later or when nobody waits any more.
-    void take_order(pretended_worker& worker, const std::string& path, const json& body,
-                    const http_responder& respond) {
+    void handle_order(simulated_worker& worker, const std::string& path, const json& body,
+                      const http_responder& respond) {
         const auto task = body.value("task", std::string{});
-        const auto name = absl::StrCat(path, " of run ", body.value("run", 0), " at ", get_place(worker));
-        const auto unheard = delay_answer(respond, unheard_delay);
-        if (happens(habits.late_orders)) {
-            const auto delay = pick(duration{0}, habits.longest_delay);
-            record.note(task, absl::StrCat(name, " waits ", to_milliseconds(delay), " ms"));
-            loop.call_after(delay, [this, &worker, life = worker.life, path, body, unheard] {
-                if (worker.is_up && worker.life == life) {
-                    carry_out(worker, path, body, unheard);
+        const auto name =
+            absl::StrCat(path, " of run ", body.value("run", 0), " at ", describe_worker(worker));
+        const auto abandoned = delay_answer(respond, abandoned_answer_delay);
+        if (happens(behaviour.late_order_percent)) {
+            const auto delay = pick_duration(duration{0}, behaviour.max_delay);
+            record.add_note(task, absl::StrCat(name, " waits ", to_milliseconds(delay), " ms"));
+            loop.call_after(delay, [this, &worker, incarnation = worker.incarnation, path, body, abandoned] {
+                if (worker.is_up && worker.incarnation == incarnation) {
+                    execute_order(worker, path, body, abandoned);
                 }
             });
-        } else if (happens(habits.unanswered_orders)) {
-            record.note(task, absl::StrCat(name, " gets no answer"));
-            carry_out(worker, path, body, unheard);
-        } else if (happens(habits.late_answers)) {
-            record.note(task, absl::StrCat(name, " is answered late"));
-            carry_out(worker, path, body, delay_answer(respond, pick(duration{0}, habits.longest_delay)));
-        } else if (happens(habits.cut_orders)) {
-            record.note(task, absl::StrCat(name, " is followed by a cut"));
-            carry_out(worker, path, body, unheard);
-            loop.post([this, &worker] { break_connections(worker); });
+        } else if (happens(behaviour.unanswered_order_percent)) {
+            record.add_note(task, absl::StrCat(name, " gets no answer"));
+            execute_order(worker, path, body, abandoned);
+        } else if (happens(behaviour.late_answer_percent)) {
+            record.add_note(task, absl::StrCat(name, " is answered late"));
+            execute_order(worker, path, body,
+                          delay_answer(respond, pick_duration(duration{0}, behaviour.max_delay)));
+        } else if (happens(behaviour.disconnect_percent)) {
+            record.add_note(task, absl::StrCat(name, " is followed by a cut"));
+            execute_order(worker, path, body, abandoned);
+            loop.post([this, &worker] { drop_connections(worker); });
         } else {
-            carry_out(worker, path, body, respond);
+            execute_order(worker, path, body, respond);
         }
     }
 
-    void carry_out(pretended_worker& worker, const std::string& path, const json& body,
-                   const http_responder& respond) {
+    void execute_order(simulated_worker& worker, const std::string& path, const json& body,
+                       const http_responder& respond) {
         const auto fence = body.value("fence", std::uint64_t{0});
         if (fence < worker.fence) {
             respond(make_response(worker, 409, {{"reason", "fence"}}));
@@ -480,29 +493,29 @@
         }
         worker.fence = fence;
         if (path == "/v1/run-start") {
-            respond(start(worker, body));
+            respond(start_run(worker, body));
         } else if (path == "/v1/run-stop") {
-            respond(stop(worker, body));
+            respond(stop_run(worker, body));
         } else if (path == "/v1/hold") {
-            hold(worker, body, respond);
+            handle_hold(worker, body, respond);
         } else {
             respond(make_response(worker, 200, {}));
         }
     }
 
-    void hold(pretended_worker& worker, const json& body, const http_responder& respond) {
-        end_lapsed_at(worker);
-        prolong(worker, body);
+    void handle_hold(simulated_worker& worker, const json& body, const http_responder& respond) {
+        expire_lease_if_due(worker);
+        extend_lease(worker, body);
         const auto acknowledged = body.value("ackedUpto", std::uint64_t{0});
         for (const auto& item : worker.ended) {
-            if (item.number <= acknowledged && item.how == "done") {
-                record.note_forgotten(item.task, item.run);
+            if (item.number <= acknowledged && item.outcome == "done") {
+                record.add_acknowledged_end(item.task, item.run);
             }
         }
         std::erase_if(worker.ended, [&](const ended_task& item) { return item.number <= acknowledged; });
         const auto wait = body.value("waitMs", 0);
         if (!worker.ended.empty() || wait == 0) {
-            respond(make_response(worker, 200, list(worker)));
+            respond(make_response(worker, 200, make_lists(worker)));
             return;
         }
         const auto timer = loop.call_after(milliseconds{wait}, [this, &worker] { answer_holds(worker); });
@@ -515,20 +528,21 @@
               std::function<void(const result<http_response>&)> on_answer) {
         http_call call;
         call.address = address;
-        call.timeout = beat_timeout;
+        call.timeout = heartbeat_timeout;
         call.request.method = "POST";
         call.request.target = path;
         call.request.body = body.dump();
         caller.send(std::move(call), std::move(on_answer));
     }
 
-    void beat_later(pretended_worker& worker) {
-        loop.call_after(workers.size() > many_workers ? many_beat_interval : beat_interval,
-                        [this, &worker] { beat(worker); });
+    void schedule_heartbeat(simulated_worker& worker) {
+        loop.call_after(workers.size() > large_cluster_size ? large_cluster_heartbeat_interval
+                                                            : heartbeat_interval,
+                        [this, &worker] { send_heartbeat(worker); });
     }
 
-    json describe(pretended_worker& worker) const {
-        const int slots = habits.slots > 0 ? habits.slots : usual_slots;
+    json make_heartbeat(simulated_worker& worker) const {
+        const int slots = behaviour.slots > 0 ? behaviour.slots : default_slots;
         json body{{"service", "mill"},
                   {"addr", worker.address},
                   {"zone", worker.zone},
@@ -540,53 +554,54 @@
         if (worker.is_draining) {
             body["remainingMs"] = std::max<std::int64_t>(to_milliseconds(worker.leaves_at - loop.now()), 0);
         }
-        if (worker.born_ms != 0) {
-            body["born"] = worker.born_ms;
+        if (worker.process_start_ms != 0) {
+            body["born"] = worker.process_start_ms;
         }
         return body;
     }
 
-    void beat(pretended_worker& worker) {
+    void send_heartbeat(simulated_worker& worker) {
         if (!worker.is_up) {
-            beat_later(worker);
+            schedule_heartbeat(worker);
             return;
         }
-        const bool is_told = !worker.heartbeat_address.empty();
-        const auto address =
-            is_told ? worker.heartbeat_address : controls[worker.control++ % controls.size()];
+        const bool has_heartbeat_address = !worker.heartbeat_address.empty();
+        const auto address = has_heartbeat_address
+                                 ? worker.heartbeat_address
+                                 : control_addresses[worker.next_control++ % control_addresses.size()];
         const auto path = absl::StrCat("/v1/Instances.Heartbeat/", worker.id);
-        const auto body = describe(worker);
-        if (happens(habits.late_beats)) {
-            const auto other = controls[random() % controls.size()];
-            loop.call_after(pick(duration{0}, habits.longest_delay), [this, &worker, other, path, body] {
-                send(other, path, body, [](const auto&) {});
-            });
+        const auto body = make_heartbeat(worker);
+        if (happens(behaviour.late_heartbeat_percent)) {
+            const auto other = control_addresses[random() % control_addresses.size()];
+            loop.call_after(
+                pick_duration(duration{0}, behaviour.max_delay),
+                [this, &worker, other, path, body] { send(other, path, body, [](const auto&) {}); });
         }
         send(address, path, body, [this, &worker](const result<http_response>& response) {
             worker.heartbeat_address.clear();
             if (response && response.value().status == 200) {
-                const auto told = json::parse(response.value().body, nullptr, false);
-                worker.heartbeat_address = told.is_object() ? told.value("heartbeatAddr", "") : "";
+                const auto reply = json::parse(response.value().body, nullptr, false);
+                worker.heartbeat_address = reply.is_object() ? reply.value("heartbeatAddr", "") : "";
             }
-            beat_later(worker);
+            schedule_heartbeat(worker);
         });
     }
 
     void add_worker(int number) {
-        auto worker = std::make_unique<pretended_worker>();
+        auto worker = std::make_unique<simulated_worker>();
         worker->machine = absl::StrCat("w", number);
-        worker->zone = habits.zones[static_cast<std::size_t>(number - 1) % habits.zones.size()];
+        worker->zone = behaviour.zones[static_cast<std::size_t>(number - 1) % behaviour.zones.size()];
         worker->id = make_id(*worker);
-        worker->control = static_cast<std::size_t>(number);
-        begin_life(*worker);
+        worker->next_control = static_cast<std::size_t>(number);
+        begin_incarnation(*worker);
         auto& state = *worker;
         listen(state);
         workers.push_back(std::move(worker));
-        beat(state);
+        send_heartbeat(state);
     }
 
     /// Does something with the life of a worker that is there now.
-    void do_with(int number, std::function<void(pretended_worker&)> work) {
+    void post_to_worker(int number, std::function<void(simulated_worker&)> work) {
         loop.post([this, number, work = std::move(work)] {
             auto& worker = *workers.at(static_cast<std::size_t>(number));
             if (worker.is_up) {
@@ -595,87 +610,90 @@
         });
     }
 
-    std::vector<std::string> controls;
-    worker_habits habits;
+    std::vector<std::string> control_addresses;
+    worker_behaviour behaviour;
     std::mt19937_64 random; ///< on the loop's thread once that runs
     event_loop loop;
     http_caller caller;
-    std::vector<std::unique_ptr<pretended_worker>> workers;
-    std::map<std::string, std::set<pretended_worker*>> hosts; ///< where each task runs
+    std::vector<std::unique_ptr<simulated_worker>> workers;
+    std::map<std::string, std::set<simulated_worker*>> workers_by_task; ///< where each task runs
     run_record record;
 };
 
 stand_in_workers::stand_in_workers(int count, std::vector<std::string> control_addresses, duration run_time,
-                                   rebirth how)
-    : stand_in_workers(count, std::move(control_addresses), make_habits(run_time, how)) {}
+                                   restart_mode mode)
+    : stand_in_workers(count, std::move(control_addresses), make_behaviour(run_time, mode)) {}
 
 stand_in_workers::stand_in_workers(int count, std::vector<std::string> control_addresses,
-                                   const worker_habits& habits)
-    : m_parts(std::make_unique<parts>(std::move(control_addresses), habits)) {
+                                   const worker_behaviour& behaviour)
+    : m_impl(std::make_unique<impl>(std::move(control_addresses), behaviour)) {
     for (int number = 1; number <= count; ++number) {
-        m_parts->add_worker(number);
+        m_impl->add_worker(number);
     }
-    m_thread = std::thread([this] { m_parts->loop.run(); });
+    m_thread = std::thread([this] { m_impl->loop.run(); });
 }
 
 stand_in_workers::~stand_in_workers() {
-    m_parts->loop.stop();
+    m_impl->loop.stop();
     m_thread.join();
 }
 
-void stand_in_workers::crash(const std::vector<int>& numbers, duration down) {
+void stand_in_workers::crash(const std::vector<int>& numbers, duration downtime) {
     for (const auto number : numbers) {
-        m_parts->do_with(number, [this, down](auto& worker) { m_parts->crash(worker, worker.life, down); });
+        m_impl->post_to_worker(
+            number, [this, downtime](auto& worker) { m_impl->crash(worker, worker.incarnation, downtime); });
     }
 }
 
-void stand_in_workers::drain(int number, duration stay, duration down) {
-    m_parts->do_with(number, [this, stay, down](auto& worker) {
-        auto& all = *m_parts;
+void stand_in_workers::drain(int number, duration notice, duration downtime) {
+    m_impl->post_to_worker(number, [this, notice, downtime](auto& worker) {
+        auto& self = *m_impl;
         worker.is_draining = true;
-        worker.leaves_at = all.loop.now() + stay;
-        all.loop.call_after(all.pick(duration{0}, stay), [&all, &worker, life = worker.life] {
-            if (worker.is_up && worker.life == life) {
-                worker.is_deaf = true;
-                worker.listener.reset();
-            }
+        worker.leaves_at = self.loop.now() + notice;
+        self.loop.call_after(self.pick_duration(duration{0}, notice),
+                             [&self, &worker, incarnation = worker.incarnation] {
+                                 if (worker.is_up && worker.incarnation == incarnation) {
+                                     worker.is_disconnected = true;
+                                     worker.listener.reset();
+                                 }
+                             });
+        self.loop.call_after(notice, [&self, &worker, incarnation = worker.incarnation, downtime] {
+            self.deregister(worker, incarnation, downtime);
         });
-        all.loop.call_after(stay,
-                            [&all, &worker, life = worker.life, down] { all.leave(worker, life, down); });
     });
 }
 
-void stand_in_workers::sicken(int number, duration length) {
-    m_parts->do_with(number,
-                     [this, length](auto& worker) { worker.sick_until = m_parts->loop.now() + length; });
+void stand_in_workers::make_unhealthy(int number, duration length) {
+    m_impl->post_to_worker(
+        number, [this, length](auto& worker) { worker.unhealthy_until = m_impl->loop.now() + length; });
 }
 
-void stand_in_workers::deafen(int number, duration length) {
-    m_parts->do_with(number, [this, length](auto& worker) { m_parts->close_for(worker, length); });
+void stand_in_workers::disconnect(int number, duration length) {
+    m_impl->post_to_worker(number, [this, length](auto& worker) { m_impl->disconnect_for(worker, length); });
 }
 
 int stand_in_workers::get_starts_after_done() const {
-    return m_parts->record.get_starts_after_done();
+    return m_impl->record.get_starts_after_done();
 }
 
 std::map<std::string, int> stand_in_workers::get_done_counts() const {
-    return m_parts->record.get_done_counts();
+    return m_impl->record.get_done_counts();
 }
 
 std::map<std::string, int> stand_in_workers::get_start_counts() const {
-    return m_parts->record.get_start_counts();
+    return m_impl->record.get_start_counts();
 }
 
 int stand_in_workers::get_overlaps() const {
-    return m_parts->record.get_overlaps();
+    return m_impl->record.get_overlaps();
 }
 
-int stand_in_workers::get_running() const {
-    return m_parts->record.get_running();
+int stand_in_workers::get_running_count() const {
+    return m_impl->record.get_running_count();
 }
 
 const run_record& stand_in_workers::get_record() const {
-    return m_parts->record;
+    return m_impl->record;
 }
 
 } // namespace poplarpitch
--- a/unit_tests/platform/start_link_test.cpp
+++ b/unit_tests/platform/start_link_test.cpp
@@ -17,22 +17,23 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{60}; // bounds a failure; no test reaches it when it passes
+constexpr duration wait_timeout = seconds{60}; // bounds a failure; no test reaches it when it passes
 
 /// A worker that answers one call, takes the next one without an answer while all its connections end, and
 /// answers from then on as it is told.
-class breaking_worker {
+class disconnecting_worker {
 public:
-    breaking_worker(event_loop& loop, http_response later) : m_loop(loop), m_later(std::move(later)) {
+    disconnecting_worker(event_loop& loop, http_response later_response)
+        : m_loop(loop), m_later_response(std::move(later_response)) {
         listen();
     }
 
     [[nodiscard]] std::string get_address() const { return "127.0.0.1:" + std::to_string(m_port); }
 
-    int taken = 0;
+    int received_calls = 0;
 
 private:
-    static constexpr int broken_call = 2;
+    static constexpr int unanswered_call = 2;
 
     void listen() {
         http_listener_settings settings;
@@ -40,11 +41,11 @@
         settings.port = m_port;
         m_listener = std::make_unique<http_listener>(
             m_loop, settings, [this](const http_request& /*request*/, const http_responder& respond) {
-                ++taken;
-                if (taken < broken_call) {
+                ++received_calls;
+                if (received_calls < unanswered_call) {
                     respond(make_success());
-                } else if (taken > broken_call) {
-                    respond(m_later);
+                } else if (received_calls > unanswered_call) {
+                    respond(m_later_response);
                 } else {
                     m_loop.post([this] {
                         m_listener.reset();
@@ -62,27 +63,27 @@
     }
 
     event_loop& m_loop;
-    http_response m_later;
+    http_response m_later_response;
     int m_port = 0;
     std::unique_ptr<http_listener> m_listener;
 };
 
 /// Sends two starts one after the other, the second one over the connection of the first. Returns what became
 /// of the second.
-std::optional<order_failure> start_over_a_breaking_connection(int later_status,
-                                                              const std::string& later_body) {
+std::optional<order_failure> start_over_a_dropped_connection(int later_status,
+                                                             const std::string& later_body) {
     event_loop loop;
     http_caller caller{loop, http_caller_settings{}};
     worker_link<platform::dialect> link{loop, caller};
-    http_response later;
-    later.status = later_status;
-    later.body = later_body;
-    breaking_worker worker{loop, later};
+    http_response later_response;
+    later_response.status = later_status;
+    later_response.body = later_body;
+    disconnecting_worker worker{loop, later_response};
     start_order order;
     order.target = {{"w1", 0}, worker.get_address(), 1, false, seconds{5}};
     order.run = {{{1, 0, 0}, 0}, 1};
     order.job = std::make_shared<step_job>();
-    loop.call_after(patience, [&] { loop.stop(); });
+    loop.call_after(wait_timeout, [&] { loop.stop(); });
     std::optional<order_failure> failure;
     link.send(order, [&](const hold_outcome& first) {
         EXPECT_FALSE(first.failure.has_value());
@@ -92,28 +93,28 @@
         });
     });
     loop.run();
-    EXPECT_EQ(worker.taken, 3) << "the second start arrived twice";
+    EXPECT_EQ(worker.received_calls, 3) << "the second start arrived twice";
     return failure;
 }
 
 TEST(start_link, takes_no_refusal_of_a_second_attempt_for_what_became_of_the_first) {
-    EXPECT_EQ(start_over_a_breaking_connection(503, ""), order_failure::unanswered);
-    EXPECT_EQ(start_over_a_breaking_connection(429, ""), order_failure::unanswered);
-    EXPECT_EQ(start_over_a_breaking_connection(400, ""), order_failure::unanswered);
+    EXPECT_EQ(start_over_a_dropped_connection(503, ""), order_failure::unanswered);
+    EXPECT_EQ(start_over_a_dropped_connection(429, ""), order_failure::unanswered);
+    EXPECT_EQ(start_over_a_dropped_connection(400, ""), order_failure::unanswered);
     for (const std::string reason : {"room", "ticket", "fence", "late"}) {
         const auto body = R"({"clockMs":1,"reason":")" + reason + R"("})";
-        EXPECT_EQ(start_over_a_breaking_connection(409, body), order_failure::unanswered) << reason;
+        EXPECT_EQ(start_over_a_dropped_connection(409, body), order_failure::unanswered) << reason;
     }
 }
 
-TEST(start_link, takes_the_word_on_the_run_itself_or_on_its_worker_from_a_second_attempt) {
-    EXPECT_EQ(start_over_a_breaking_connection(409, R"({"clockMs":1,"reason":"old"})"),
+TEST(start_link, accepts_a_refusal_of_the_second_attempt_that_concerns_the_run_or_its_worker) {
+    EXPECT_EQ(start_over_a_dropped_connection(409, R"({"clockMs":1,"reason":"old"})"),
               order_failure::old_run);
-    EXPECT_EQ(start_over_a_breaking_connection(421, ""), order_failure::other_life);
+    EXPECT_EQ(start_over_a_dropped_connection(421, ""), order_failure::other_life);
 }
 
 TEST(start_link, takes_the_success_of_a_second_attempt_for_both) {
-    EXPECT_FALSE(start_over_a_breaking_connection(200, R"({"clockMs":1})").has_value());
+    EXPECT_FALSE(start_over_a_dropped_connection(200, R"({"clockMs":1})").has_value());
 }
 
 } // namespace
--- a/unit_tests/platform/worker_link_test.cpp
+++ b/unit_tests/platform/worker_link_test.cpp
@@ -21,28 +21,29 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{60}; // bounds a failure; no test reaches it when it passes
-constexpr std::int64_t first_life = 1'700'000'000'000;
-constexpr std::int64_t second_life = 1'700'000'005'000;
+constexpr duration wait_timeout = seconds{60}; // bounds a failure; no test reaches it when it passes
+constexpr std::int64_t first_process_start_ms = 1'700'000'000'000;
+constexpr std::int64_t second_process_start_ms = 1'700'000'005'000;
 
 /// A worker that lists nothing and writes down what it was told to forget.
-class listing_worker {
+class acknowledgement_recorder {
 public:
-    explicit listing_worker(event_loop& loop) : m_loop(loop) { start(first_life); }
+    explicit acknowledgement_recorder(event_loop& loop) : m_loop(loop) { start(first_process_start_ms); }
 
     /// Ends the process that listens and starts the next one at the same address.
-    void start(std::int64_t born_ms) {
+    void start(std::int64_t process_start_ms) {
         m_listener.reset();
         http_listener_settings settings;
         settings.host = "127.0.0.1";
         settings.port = m_port;
         m_listener = std::make_unique<http_listener>(
-            m_loop, settings, [this, born_ms](const http_request& request, const http_responder& respond) {
+            m_loop, settings,
+            [this, process_start_ms](const http_request& request, const http_responder& respond) {
                 acknowledged.push_back(nlohmann::json::parse(request.body).at("ackedUpto"));
                 http_response response;
                 response.status = 200;
-                response.body =
-                    R"({"clockMs":1,"running":[],"ended":[],"born":)" + std::to_string(born_ms) + "}";
+                response.body = R"({"clockMs":1,"running":[],"ended":[],"born":)" +
+                                std::to_string(process_start_ms) + "}";
                 respond(response);
             });
         m_port = m_listener->start().value();
@@ -61,77 +62,77 @@
 class worker_link_test : public testing::Test {
 protected:
     /// Sends a hold that is meant for a life, and waits for its outcome.
-    hold_outcome hold(std::int64_t born_ms, std::uint64_t acknowledged) {
+    hold_outcome hold(std::int64_t process_start_ms, std::uint64_t acknowledged) {
         hold_order order;
-        order.target = {{"w1", born_ms}, m_worker.get_address(), 1, false, seconds{5}};
+        order.target = {{"w1", process_start_ms}, m_worker.get_address(), 1, false, seconds{5}};
         order.acknowledged = acknowledged;
         hold_outcome outcome;
-        const auto guard = m_loop.call_after(patience, [this] { m_loop.stop(); });
-        m_link.send(order, [&](hold_outcome told) {
-            outcome = std::move(told);
+        const auto timeout_timer = m_loop.call_after(wait_timeout, [this] { m_loop.stop(); });
+        m_link.send(order, [&](hold_outcome result) {
+            outcome = std::move(result);
             m_loop.stop();
         });
         m_loop.get_context().restart(); // after the stop that ended the call before
         m_loop.run();
-        m_loop.cancel(guard);
+        m_loop.cancel(timeout_timer);
         return outcome;
     }
 
     event_loop m_loop;
     http_caller m_caller{m_loop, http_caller_settings{}};
     worker_link<platform::dialect> m_link{m_loop, m_caller};
-    listing_worker m_worker{m_loop};
+    acknowledgement_recorder m_worker{m_loop};
 };
 
-TEST_F(worker_link_test, acknowledges_to_the_life_that_listed) {
-    hold(first_life, 0);
-    hold(first_life, 0);
-    EXPECT_FALSE(hold(first_life, 5).failure.has_value());
+TEST_F(worker_link_test, acknowledges_to_the_incarnation_that_listed) {
+    hold(first_process_start_ms, 0);
+    hold(first_process_start_ms, 0);
+    EXPECT_FALSE(hold(first_process_start_ms, 5).failure.has_value());
     EXPECT_EQ(m_worker.acknowledged, (std::vector<std::uint64_t>{0, 0, 5}));
 }
 
-TEST_F(worker_link_test, acknowledges_nothing_to_the_life_after_the_one_that_listed) {
-    hold(first_life, 0);
-    hold(first_life, 0);
-    m_worker.start(second_life);
-    for (int asked = 0; asked < 3; ++asked) {
-        hold(first_life, 5);
+TEST_F(worker_link_test, acknowledges_nothing_to_the_incarnation_after_the_one_that_listed) {
+    hold(first_process_start_ms, 0);
+    hold(first_process_start_ms, 0);
+    m_worker.start(second_process_start_ms);
+    for (int attempt = 0; attempt < 3; ++attempt) {
+        hold(first_process_start_ms, 5);
     }
-    const auto outcome = hold(first_life, 5);
-    EXPECT_EQ(outcome.answer.born_ms, second_life);
+    const auto outcome = hold(first_process_start_ms, 5);
+    EXPECT_EQ(outcome.answer.born_ms, second_process_start_ms);
     EXPECT_EQ(*std::max_element(m_worker.acknowledged.begin(), m_worker.acknowledged.end()), 0U);
 }
 
-TEST_F(worker_link_test, acknowledges_nothing_before_the_life_that_is_meant_has_listed_here) {
-    EXPECT_FALSE(hold(first_life, 5).failure.has_value());
+TEST_F(worker_link_test, acknowledges_nothing_before_the_expected_incarnation_has_listed) {
+    EXPECT_FALSE(hold(first_process_start_ms, 5).failure.has_value());
     EXPECT_EQ(m_worker.acknowledged, (std::vector<std::uint64_t>{0}));
 }
 
-TEST_F(worker_link_test, acknowledges_to_the_next_life_what_that_one_listed) {
-    hold(first_life, 0);
-    m_worker.start(second_life);
-    hold(second_life, 0);
-    hold(second_life, 0);
-    hold(second_life, 0);
+TEST_F(worker_link_test, acknowledges_to_the_next_incarnation_what_it_listed) {
+    hold(first_process_start_ms, 0);
+    m_worker.start(second_process_start_ms);
+    hold(second_process_start_ms, 0);
+    hold(second_process_start_ms, 0);
+    hold(second_process_start_ms, 0);
     m_worker.acknowledged.clear();
-    hold(second_life, 2);
+    hold(second_process_start_ms, 2);
     EXPECT_EQ(m_worker.acknowledged, (std::vector<std::uint64_t>{2}));
 }
 
-TEST_F(worker_link_test, acknowledges_by_the_id_alone_where_workers_tell_no_start_time) {
+TEST_F(worker_link_test, acknowledges_by_id_when_workers_report_no_start_time) {
     EXPECT_FALSE(hold(0, 5).failure.has_value());
     EXPECT_EQ(m_worker.acknowledged, (std::vector<std::uint64_t>{5}));
 }
 
 /// A worker that carries out every start and ends the connection of the second one before it is answered; to
 /// calls after that it is unhealthy.
-class breaking_worker {
+class disconnecting_worker {
 public:
-    explicit breaking_worker(event_loop& loop) : m_loop(loop) { listen(); }
+    explicit disconnecting_worker(event_loop& loop) : m_loop(loop) { listen(); }
 
     [[nodiscard]] std::string get_address() const { return "127.0.0.1:" + std::to_string(m_port); }
 
-    int calls = 0;
+    int call_count = 0;
 
 private:
     void listen() {
@@ -145,13 +146,13 @@
     }
 
     void take_call(const http_responder& respond) {
-        ++calls;
-        if (calls == 2) {
+        ++call_count;
+        if (call_count == 2) {
             m_loop.post([this] { listen(); });
             return;
         }
         http_response response;
-        response.status = calls == 1 ? 200 : 503;
+        response.status = call_count == 1 ? 200 : 503;
         response.body = R"({"clockMs":1})";
         respond(response);
     }
@@ -161,11 +162,11 @@
     std::unique_ptr<http_listener> m_listener;
 };
 
-TEST(worker_link, takes_no_refusal_of_a_repeated_call_for_one_of_a_start_that_was_carried_out) {
+TEST(worker_link, reports_a_start_as_unanswered_when_only_its_repetition_is_refused) {
     event_loop loop;
     http_caller caller{loop, http_caller_settings{}};
     worker_link<platform::dialect> link{loop, caller};
-    breaking_worker worker(loop);
+    disconnecting_worker worker(loop);
     std::vector<std::optional<order_failure>> outcomes;
     const auto job = std::make_shared<step_job>();
     const auto send_start = [&](const worker_link<platform::dialect>::outcome_handler& on_outcome) {
@@ -174,7 +175,7 @@
         order.job = job;
         link.send(order, on_outcome);
     };
-    loop.call_after(patience, [&] { loop.stop(); });
+    loop.call_after(wait_timeout, [&] { loop.stop(); });
     send_start([&](const hold_outcome& first) {
         outcomes.push_back(first.failure);
         send_start([&](const hold_outcome& second) {
@@ -183,7 +184,7 @@
         });
     });
     loop.run();
-    EXPECT_EQ(worker.calls, 3);
+    EXPECT_EQ(worker.call_count, 3);
     const std::vector<std::optional<order_failure>> expected = {std::nullopt, order_failure::unanswered};
     EXPECT_EQ(outcomes, expected);
 }
