--- a/unit_tests/platform/crash_cluster_test.cpp
+++ b/unit_tests/platform/crash_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Tasks that crash their workers, with real processes: such a job is told as failed, and those beside it end
-// well, also when the leader that saw the first crashes is killed.
+// Tasks that crash their workers, with real processes. Such a job must fail and the other jobs must complete,
+// also when the leader that saw the first crashes is killed.
 #include "unit_tests/platform/expect_done.h"
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
@@ -10,10 +10,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration wait_timeout = seconds{60}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{60}; // only a failing test waits this long
 constexpr int worker_count = 6;
 constexpr int task_count = 24;
-constexpr int max_starts = 5; // of a task: three crashes, and two starts more that are allowed after them
+constexpr int max_starts = 5; // of a task: three crashes and two further starts that are allowed after them
 const std::string crashing_job = "0000000000000e01";
 const std::string healthy_job = "0000000000000e02";
 
--- a/unit_tests/platform/expect_done.h
+++ b/unit_tests/platform/expect_done.h
@@ -8,8 +8,8 @@
 
 namespace poplarpitch {
 
-/// Fails the test unless each of the `task_count` tasks of a job was done once and nothing ran twice at the
-/// same time.
+/// Fails the test unless each of the `task_count` tasks of a job was done exactly once and no task of any job
+/// ran twice at the same time.
 inline void expect_each_done_once(const stand_in_workers& workers, const std::string& id, int task_count) {
     int done = 0;
     for (const auto& [task, count] : workers.get_done_counts()) {
--- a/unit_tests/platform/malformed_call_test.cpp
+++ b/unit_tests/platform/malformed_call_test.cpp
@@ -1,5 +1,5 @@
-// Calls that another writer made, or that were damaged on the way: they are refused, never taken for
-// something else.
+// Calls of other implementations and calls that were corrupted in transit. They must be rejected and never be
+// mistaken for other calls.
 #include "platform/config_dialect.h"
 #include "platform/control_dialect.h"
 #include "platform/job_dialect.h"
@@ -46,7 +46,7 @@
     }
 }
 
-/// A value of a type that a field does not expect, or of a range that it does not.
+/// Returns a value whose type or range a field does not expect.
 nlohmann::json generate_unexpected_value() {
     switch (*rc::gen::inRange(0, 8)) {
     case 0:
@@ -68,7 +68,7 @@
     }
 }
 
-/// Takes out a field or gives it another value.
+/// Removes a random field or replaces its value.
 nlohmann::json modify_random_field(nlohmann::json source) {
     auto field = source.begin();
     std::advance(field, *rc::gen::inRange<int>(0, static_cast<int>(source.size())));
@@ -80,7 +80,7 @@
     return source;
 }
 
-/// Changes one byte or cuts the text short.
+/// Changes one byte or truncates the text.
 std::string corrupt(std::string text) {
     const auto position = *rc::gen::inRange<std::size_t>(0, text.size());
     if (*rc::gen::arbitrary<bool>()) {
@@ -90,7 +90,7 @@
     return text;
 }
 
-/// It was refused, or what was read names a worker that may be used.
+/// Returns true when the call was rejected or names a usable worker.
 bool is_rejected_or_valid(const control_call& call) {
     if (std::holds_alternative<malformed_call>(call)) {
         return true;
--- a/unit_tests/platform/relay_cluster_test.cpp
+++ b/unit_tests/platform/relay_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Orders and heartbeats through the other control instances, as real processes: no task runs twice and none
-// is lost when a relay is killed, stands still or is the next leader.
+// Orders and heartbeats that are relayed by the other control instances, with real processes. No task may run
+// twice or be lost when a relay is killed, is suspended or becomes the leader.
 #include "unit_tests/platform/expect_done.h"
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
@@ -12,11 +12,11 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration wait_timeout = seconds{20}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{20}; // only a failing test waits this long
 constexpr int task_count = 24;
 constexpr int worker_count = 6;
 
-/// A cluster of which all instances but the leader relay, with jobs that run.
+/// A cluster in which all instances but the leader are relays, and its workers.
 class relay_cluster_environment {
 public:
     explicit relay_cluster_environment(duration run_time, const std::string& settings = {})
@@ -25,7 +25,7 @@
         leader = cluster.find_leader();
     }
 
-    /// Waits until the leader has said `text` this often.
+    /// Waits until the leader's log has `text` at least `min_count` times.
     void wait_for_log_text(const std::string& text, int min_count) {
         const auto count = [&] {
             const auto log = cluster.get_scheduler(leader).read_log();
@@ -90,12 +90,14 @@
     env.wait_for_log_text("event=relay_found", 2);
     const std::string id = "0000000000000a04";
     env.cluster.get_scheduler(env.get_relay()).send(SIGSTOP);
-    ASSERT_TRUE(env.cluster.submit(id, task_count, wait_timeout)); // a part of its starts waits in that queue
+    // Some of its starts wait in the suspended relay's queue.
+    ASSERT_TRUE(env.cluster.submit(id, task_count, wait_timeout));
     ASSERT_TRUE(env.cluster.wait_for_state(id, "completed", wait_timeout));
-    absl::SleepFor(
-        absl::Seconds(2)); // no event tells: longer than the lease of 2 s the starts were sent with
+    // There is no event to wait for. The queued starts were sent with a lease of 2 s, which must have run
+    // out.
+    absl::SleepFor(absl::Seconds(2));
     env.cluster.get_scheduler(env.get_relay()).send(SIGCONT);
-    env.wait_for_log_text("event=relay_found", 3); // it has worked through its queue by then
+    env.wait_for_log_text("event=relay_found", 3); // by then the relay has processed its queue
     const std::string next = "0000000000000a05";
     ASSERT_TRUE(env.cluster.submit(next, task_count, wait_timeout));
     ASSERT_TRUE(env.cluster.wait_for_state(next, "completed", wait_timeout));
--- a/unit_tests/platform/replaced_cluster_test.cpp
+++ b/unit_tests/platform/replaced_cluster_test.cpp
@@ -1,7 +1,7 @@
-// All control instances lose their power at one moment and two of them their disks, again and again, while
-// workers go on and misbehave in every way that the platform allows, with real processes: nothing runs twice
-// at once or after its noted end, and everything ends.
-// POPLARPITCH_SEED tries one other seed.
+// All control instances lose power at the same moment and two of them also lose their disks, repeatedly,
+// while the workers continue and misbehave in every way that the platform allows. With real processes. No
+// task may run twice at once or after its acknowledged end, and every job must end. POPLARPITCH_SEED selects
+// a single other seed.
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
 
@@ -24,14 +24,14 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration wait_timeout = seconds{60}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{60}; // only a failing test waits this long
 constexpr int instance_count = 5;
-constexpr std::size_t wiped_count = 2; // as many as are tolerated
+constexpr std::size_t wiped_count = 2; // the number of lost disks that is tolerated
 constexpr int worker_count = 10;
 constexpr int round_count = 2;
 constexpr int long_running_count = 6;
 constexpr int max_attempts = 6;
-constexpr int max_worker_crashes = 2; // of workers: a task under which three crashed may be given up
+constexpr int max_worker_crashes = 2; // a task under which three workers crashed may fail
 const std::string long_running_job = "0000000000001f00";
 const std::vector<std::string> data_centres = {"z0", "z0", "z1", "z1", "z2"};
 
@@ -41,7 +41,7 @@
                            : std::vector<std::uint64_t>{std::strtoull(text, nullptr, 10)};
 }
 
-/// A short lease lapses while all are down, a long one outlasts that.
+/// A short lease lapses while all schedulers are down, a long one does not.
 std::string get_lease_setting(std::uint64_t seed) {
     return seed % 4 < 2 ? "lease = 2s\n" : "lease = 5s\n";
 }
@@ -84,7 +84,7 @@
         return lowest + static_cast<int>(m_random() % static_cast<unsigned>(highest - lowest + 1));
     }
 
-    /// Lets time pass, so that what follows hits another moment.
+    /// Sleeps for a random time, so that the next event occurs at a random moment.
     void sleep_random(int min_ms, int max_ms) { absl::SleepFor(absl::Milliseconds(pick(min_ms, max_ms))); }
 
     void add_to_timeline(const std::string& what) {
@@ -123,16 +123,17 @@
         const int kind = pick(0, 3);
         if (kind == 0 && m_crashes < max_worker_crashes) {
             ++m_crashes;
-            add_to_timeline(absl::StrCat("worker ", worker + 1, " crashes, back after ", length, " ms"));
+            add_to_timeline(
+                absl::StrCat("worker ", worker + 1, " crashes and restarts after ", length, " ms"));
             m_workers.crash({worker}, milliseconds{length});
         } else if (kind == 1) {
-            add_to_timeline(absl::StrCat("worker ", worker + 1, " leaves within ", length, " ms"));
+            add_to_timeline(absl::StrCat("worker ", worker + 1, " drains and leaves after ", length, " ms"));
             m_workers.drain(worker, milliseconds{length}, milliseconds{pick(10, 1000)});
         } else if (kind == 2) {
             add_to_timeline(absl::StrCat("worker ", worker + 1, " is unhealthy for ", length, " ms"));
             m_workers.make_unhealthy(worker, milliseconds{length});
         } else {
-            add_to_timeline(absl::StrCat("worker ", worker + 1, " takes no calls for ", length, " ms"));
+            add_to_timeline(absl::StrCat("worker ", worker + 1, " accepts no calls for ", length, " ms"));
             m_workers.disconnect(worker, milliseconds{length});
         }
     }
@@ -145,11 +146,11 @@
     }
 
     void suspend_scheduler(int number) {
-        add_to_timeline(absl::StrCat("halt scheduler ", number));
+        add_to_timeline(absl::StrCat("suspend scheduler ", number));
         m_cluster.get_scheduler(number).send(SIGSTOP);
         sleep_random(100, 2500);
         m_cluster.get_scheduler(number).send(SIGCONT);
-        add_to_timeline(absl::StrCat("scheduler ", number, " goes on"));
+        add_to_timeline(absl::StrCat("scheduler ", number, " is resumed"));
     }
 
     void inject_fault() {
@@ -166,7 +167,8 @@
         sleep_random(50, 500);
     }
 
-    /// All lose their power; where all vote, two lose their disks too. They come back within a second.
+    /// Kills all schedulers, deletes the data of two of them if `wipe_disks`, and restarts all in random
+    /// order within about a second. Precondition for `wipe_disks`: all schedulers vote.
     void power_cycle_all(bool wipe_disks) {
         std::vector<int> order = {1, 2, 3, 4, 5};
         std::shuffle(order.begin(), order.end(), m_random);
@@ -179,7 +181,7 @@
                 add_to_timeline(absl::StrCat("scheduler ", number, " loses its disk"));
             }
         }
-        add_to_timeline("all have lost their power");
+        add_to_timeline("all schedulers have lost power");
         if (pick(0, 1) == 0) {
             disturb_worker();
         }
@@ -200,7 +202,7 @@
         power_cycle_all(true);
         submit_job();
         wait_until([this] { return m_cluster.have_rejoined(m_wiped); });
-        add_to_timeline("the replaced ones vote");
+        add_to_timeline("the schedulers that lost their disks vote again");
         if (pick(0, 2) == 0) {
             sleep_random(0, 1500);
             power_cycle_all(false);
--- a/unit_tests/platform/restart_cluster_test.cpp
+++ b/unit_tests/platform/restart_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Workers that start again under the ids that they had, with real processes: each task of a job is done once,
-// tasks that last come back to work, also when the leader is killed meanwhile.
+// Workers that restart under the same ids, with real processes. Each task of a job must be done once, and
+// long-running tasks must be restarted, also when the leader is killed meanwhile.
 #include "unit_tests/platform/expect_done.h"
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
@@ -12,7 +12,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration wait_timeout = seconds{60}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{60}; // only a failing test waits this long
 constexpr int worker_count = 6;
 constexpr int job_count = 6;
 constexpr int task_count = 30;
@@ -59,8 +59,8 @@
     submit_all();
     const milliseconds downtime{GetParam()};
     wait_until([&] { return m_workers.get_running_count() > long_running_count; });
-    m_workers.crash({0, 1, 2},
-                    downtime); // not more often: a task under which three workers crashed may be given up
+    // No more crashes than these: a task under which three workers crashed may fail.
+    m_workers.crash({0, 1, 2}, downtime);
     expect_correct_end_state();
     m_workers.crash({3, 4, 5}, downtime);
     expect_correct_end_state();
--- a/unit_tests/platform/run_record.cpp
+++ b/unit_tests/platform/run_record.cpp
@@ -25,9 +25,9 @@
     record.has_violation = record.has_violation || is_overlap || is_after_done;
     ++record.running;
     ++record.starts;
-    add_history_line(record,
-                     absl::StrCat("run ", run, " starts on ", worker, is_overlap ? " BESIDE ANOTHER" : "",
-                                  is_after_done ? " AFTER A NOTED END" : ""));
+    add_history_line(record, absl::StrCat("run ", run, " starts on ", worker,
+                                          is_overlap ? " CONCURRENTLY WITH ANOTHER RUN" : "",
+                                          is_after_done ? " AFTER AN ACKNOWLEDGED END" : ""));
 }
 
 void run_record::add_concurrent_start(const std::string& task, std::uint32_t run, const std::string& worker) {
@@ -35,7 +35,8 @@
     auto& record = m_tasks[task];
     ++m_overlaps;
     record.has_violation = true;
-    add_history_line(record, absl::StrCat("run ", run, " asked for on ", worker, " BESIDE ANOTHER THERE"));
+    add_history_line(record,
+                     absl::StrCat("run ", run, " requested on ", worker, " WHERE ANOTHER RUN IS ACTIVE"));
 }
 
 void run_record::add_end(const std::string& task, std::uint32_t run, const std::string& worker,
@@ -61,8 +62,8 @@
     const int starts = end->second.starts_since;
     m_starts_after_done += starts;
     record.has_violation = record.has_violation || starts > 0;
-    add_history_line(record,
-                     absl::StrCat("run ", run, " is noted as done", starts > 0 ? " AFTER A START" : ""));
+    add_history_line(record, absl::StrCat("run ", run, " is acknowledged as done",
+                                          starts > 0 ? " AFTER ANOTHER START" : ""));
 }
 
 void run_record::add_lapsed_end(const std::string& task, std::uint32_t run) {
@@ -72,7 +73,8 @@
     if (end != record.done_ends.end() && !end->second.is_acknowledged) {
         record.done_ends.erase(end);
         add_history_line(
-            record, absl::StrCat("run ", run, " counts for nothing: the lease lapsed before it was noted"));
+            record,
+            absl::StrCat("run ", run, " is disregarded: the lease lapsed before its end was acknowledged"));
     }
 }
 
--- a/unit_tests/platform/run_record.h
+++ b/unit_tests/platform/run_record.h
@@ -9,30 +9,37 @@
 
 namespace poplarpitch {
 
-/// What stand-in workers did with each task, in order: the check of what must run once stands here, at the
-/// workers' side. Thread safety: any thread, for all methods.
+/// History of what the simulated workers did with each task. It checks at the workers' side that no task runs
+/// twice at once or again after its acknowledged end. Thread safety: any thread, for all methods.
 class run_record {
 public:
-    /// A run begins; `where` names its worker.
+    /// Records that a run starts on `worker`.
     void add_start(const std::string& task, std::uint32_t run, const std::string& worker);
-    /// A start came to a worker at which another run of the task goes on.
+    /// Records that a start was sent to a worker on which another run of the task is active.
     void add_concurrent_start(const std::string& task, std::uint32_t run, const std::string& worker);
-    /// A run ends as `how`.
+    /// Records that a run ends with `outcome`.
     void add_end(const std::string& task, std::uint32_t run, const std::string& worker,
                  const std::string& outcome);
-    /// A worker was told to forget that a run ended as done: that end is noted.
+    /// Records that the scheduler acknowledged to the worker that a run ended as done.
     void add_acknowledged_end(const std::string& task, std::uint32_t run);
-    /// The lease of the worker where a run ended as done lapsed before that was noted: it may run again.
+    /// Records that the worker's lease expired before the end of a run that ended as done was acknowledged.
+    /// The task may run again.
     void add_lapsed_end(const std::string& task, std::uint32_t run);
-    /// Adds what may explain the rest.
+    /// Adds a line to the task's history that may explain other entries.
     void add_note(const std::string& task, const std::string& what);
 
+    /// Returns how often a task was started while another run of it was active.
     [[nodiscard]] int get_overlaps() const;
+    /// Returns how often a task was started although an end of it as done had been acknowledged.
     [[nodiscard]] int get_starts_after_done() const;
+    /// Returns the number of active runs.
     [[nodiscard]] int get_running_count() const;
+    /// Returns the number of runs that ended as done, by task.
     [[nodiscard]] std::map<std::string, int> get_done_counts() const;
+    /// Returns the number of starts, by task.
     [[nodiscard]] std::map<std::string, int> get_start_counts() const;
-    /// Returns all that was noted of the tasks that broke a promise, and of those whose name begins so.
+    /// Returns the history of all tasks that violated a guarantee, and of those whose name starts with
+    /// `prefix`.
     [[nodiscard]] std::string describe(const std::string& prefix = "none") const;
 
 private:
@@ -44,7 +51,7 @@
         int running = 0;
         int done = 0;
         int starts = 0;
-        std::map<std::uint32_t, done_end> done_ends; ///< by run, but those that count for nothing
+        std::map<std::uint32_t, done_end> done_ends; ///< by run, without lapsed unacknowledged ends
         bool has_violation = false;
         std::vector<std::string> history;
     };
--- a/unit_tests/platform/scheduler_cluster.cpp
+++ b/unit_tests/platform/scheduler_cluster.cpp
@@ -32,13 +32,14 @@
     return folder.string();
 }
 
-/// Returns a program's path: that of this build, unless POPLARPITCH_PROGRAMS names another folder.
+/// Returns the path of a program of this build, or in the folder that POPLARPITCH_PROGRAMS names.
 std::string get_program(const std::string& name) {
     const char* override_folder = std::getenv("POPLARPITCH_PROGRAMS");
     return absl::StrCat(override_folder == nullptr ? POPLARPITCH_BIN : override_folder, "/", name);
 }
 
-/// Asks again until `is_done` or the limit; a wait for an event, bounded so that a failure ends.
+/// Polls `is_done` until it returns true or `limit` has passed. Returns false at the limit, so that a failing
+/// test ends.
 template <class Condition>
 bool wait_until(duration limit, Condition is_done) {
     const system_clock clock;
@@ -71,7 +72,7 @@
         std::cerr << "logs are kept in " << m_folder << "\n";
         return;
     }
-    std::error_code ignored; // a folder that stays does no harm
+    std::error_code ignored; // a folder that could not be removed does no harm
     std::filesystem::remove_all(m_folder, ignored);
 }
 
--- a/unit_tests/platform/scheduler_cluster.h
+++ b/unit_tests/platform/scheduler_cluster.h
@@ -16,60 +16,66 @@
 
 namespace poplarpitch {
 
-/// Real schedulers and a gateway as processes on loopback, each scheduler on an address of its own
-/// (127.0.0.11 and on), since control instances find each other by address and share their ports' numbers.
+/// Schedulers and a gateway as real processes on loopback. Each scheduler has its own address, from
+/// 127.0.0.11 on, since control instances find each other by address and use the same port numbers.
 class scheduler_cluster {
 public:
-    /// `workers_text` is added to the section [workers] of the schedulers' settings, whose lease is 2 s
-    /// unless it begins with another one. Where `data_centres` are named, there is one for each scheduler.
+    /// Starts all processes. `workers_settings` is appended to the section [workers] of the schedulers'
+    /// settings. The lease is 2 s unless `workers_settings` starts with another one. Precondition:
+    /// `data_centres` is empty or has one entry for each scheduler.
     explicit scheduler_cluster(int schedulers, std::string workers_settings = {},
                                std::vector<std::string> data_centres = {});
     ~scheduler_cluster();
     scheduler_cluster(const scheduler_cluster&) = delete;
     scheduler_cluster& operator=(const scheduler_cluster&) = delete;
 
-    /// Starts a scheduler that does not run. `may_found` is true at the first start only.
+    /// Starts a scheduler that does not run. `may_found` allows it to found a new cluster and is true at the
+    /// first start only.
     void start_scheduler(int number, bool may_found = false);
     /// Starts the gateway.
     void start_gateway();
-    /// Removes a scheduler's data folder. Precondition: it does not run.
+    /// Deletes a scheduler's data folder. Precondition: the scheduler does not run.
     void delete_data(int number) const;
-    /// Ends all schedulers and the gateway at one moment. Their data folders stay.
+    /// Kills all schedulers and the gateway at the same moment. Their data folders stay.
     void crash_all();
-    /// Returns true when all vote, and each of these does so again whose folders were wiped while all were
-    /// down.
+    /// Returns true when all schedulers vote again after the last crash of all, and those in `wiped`, whose
+    /// data was deleted meanwhile, have been promoted to voters.
     [[nodiscard]] bool have_rejoined(const std::vector<int>& wiped) const;
     [[nodiscard]] child_process& get_scheduler(int number) { return *m_schedulers.at(number); }
     [[nodiscard]] child_process& get_gateway() { return *m_gateway; }
-    /// Returns where settings, logs and data are, until the cluster ends.
+    /// Returns the folder of the settings, logs and data. The destructor removes it unless a test failed or
+    /// POPLARPITCH_KEEP_LOGS is set.
     [[nodiscard]] const std::string& get_folder() const { return m_folder; }
     /// Returns the control addresses of all schedulers.
     [[nodiscard]] std::vector<std::string> get_controls() const;
 
-    /// Sends a request to a scheduler's control address and follows redirects; nothing when no answer comes.
+    /// Sends a request to a scheduler's control address and follows one redirect. Returns nothing when no
+    /// answer arrives.
     std::optional<http_response> ask_control(int number, const std::string& method, const std::string& path,
                                              const std::string& body = {});
-    /// Sends a caller's request through the gateway; nothing when no answer comes.
+    /// Sends a caller's request through the gateway. Returns nothing when no answer arrives.
     std::optional<http_response> ask(const std::string& method, const std::string& path,
                                      const std::string& body = {});
-    /// Puts a configuration with one queue at `/jobs/` until it is acknowledged.
+    /// Sends a configuration with one queue at `/jobs/` until it is acknowledged, and fails the test when it
+    /// is not.
     void put_config(std::uint64_t version, int max_attempts = 3);
-    /// Submits a job of one step until it is accepted. Returns false when it was not within `limit`.
+    /// Submits a job of one step, repeatedly until it is accepted. Returns false when it is not accepted
+    /// within `limit`.
     bool submit(const std::string& id, int tasks, duration limit, const std::string& spec = "text");
-    /// As above, for a job of one step whose tasks last until it is cancelled.
+    /// As above, for a job of one step whose tasks run until it is cancelled.
     bool submit_long_running(const std::string& id, int tasks, duration limit, const std::string& spec);
-    /// Waits until a job's state is `state`.
+    /// Waits until a job's state is `state`. Returns false when it is not within `limit`.
     bool wait_for_state(const std::string& id, const std::string& state, duration limit);
-    /// Returns a job's state, or nothing while no answer tells it.
+    /// Returns a job's state, or nothing when no answer reports it.
     std::optional<std::string> get_state(const std::string& id);
-    /// Returns the number of the scheduler that leads, or 0.
+    /// Returns the number of the scheduler that leads, or 0 when none does.
     int find_leader();
 
 private:
     [[nodiscard]] static std::string get_host(int number);
     [[nodiscard]] std::string get_data_centre(int number) const;
-    /// Returns true when some scheduler told, since all were crashed last, that all vote, after it told
-    /// `step` of the scheduler at `host`.
+    /// Returns true when the log of a scheduler, since the last crash of all, has `log_text` for the
+    /// scheduler at `host` (for any when empty) and, on that line or later, that all schedulers vote.
     [[nodiscard]] bool did_all_vote_after(const std::string& log_text, const std::string& host = {}) const;
     bool submit_step(const std::string& id, const nlohmann::json& step, duration limit,
                      const std::string& spec);
@@ -80,7 +86,7 @@
     int m_count;
     std::string m_workers_settings;
     std::vector<std::string> m_data_centres;
-    std::map<int, std::size_t> m_log_sizes_at_crash; ///< how long each log was when all were crashed last
+    std::map<int, std::size_t> m_log_sizes_at_crash; ///< size of each log at the last crash of all
     port_reservation m_link_port;
     port_reservation m_control_port;
     port_reservation m_caller_port;
--- a/unit_tests/platform/scheduler_cluster_test.cpp
+++ b/unit_tests/platform/scheduler_cluster_test.cpp
@@ -1,4 +1,5 @@
-// The whole path with real processes and pretended workers: jobs end once, whatever happens to the instances.
+// The whole system with real processes and simulated workers: jobs end exactly once, whatever happens to the
+// instances.
 #include "unit_tests/platform/expect_done.h"
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
@@ -11,7 +12,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration wait_timeout = seconds{20}; // bounds a failure; each wait ends with its event
+constexpr duration wait_timeout = seconds{20}; // only a failing test waits this long
 constexpr int task_count = 6;
 
 void expect_config_version_7(scheduler_cluster& cluster) {
@@ -79,7 +80,7 @@
     cluster.get_scheduler(lost).kill();
     cluster.delete_data(lost);
     cluster.start_scheduler(lost);
-    // It votes again once it is promoted; with the third one gone the two must be enough.
+    // The instance votes again once it is promoted. Then the two must suffice without the third.
     const auto has_joined = [&] {
         return cluster.get_scheduler(leader).read_log().find("action=promote") != std::string::npos;
     };
@@ -147,7 +148,8 @@
 TEST(scheduler_cluster, rejects_jobs_above_the_open_job_limit_with_retry_after) {
     scheduler_cluster cluster(1, "max_open_jobs = 2\n");
     cluster.put_config(1);
-    ASSERT_TRUE(cluster.submit("00000000000000f1", 1, wait_timeout)); // no worker: they stay open
+    // There are no workers, so the jobs stay open.
+    ASSERT_TRUE(cluster.submit("00000000000000f1", 1, wait_timeout));
     ASSERT_TRUE(cluster.submit("00000000000000f2", 1, wait_timeout));
     const auto third = cluster.ask("POST", "/jobs/00000000000000f3", R"({"steps":[{"count":1}]})");
     ASSERT_TRUE(third.has_value());
@@ -155,7 +157,7 @@
     EXPECT_TRUE(third->headers.has("Retry-After"));
     const auto again = cluster.ask("POST", "/jobs/00000000000000f2", R"({"steps":[{"count":1}]})");
     ASSERT_TRUE(again.has_value());
-    EXPECT_EQ(again->status, 200); // the same job sent again
+    EXPECT_EQ(again->status, 200); // the same job submitted again
 }
 
 } // namespace
--- a/unit_tests/platform/stand_in_workers.cpp
+++ b/unit_tests/platform/stand_in_workers.cpp
@@ -18,31 +18,31 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration heartbeat_interval = milliseconds{200}; // short, so that tests begin at once
-constexpr duration large_cluster_heartbeat_interval =
-    milliseconds{1100}; // of so many that they would be a load of their own
+constexpr duration heartbeat_interval = milliseconds{200}; // short, so that tests start quickly
+// Heartbeats of many workers at the short interval would be a load of their own.
+constexpr duration large_cluster_heartbeat_interval = milliseconds{1100};
 constexpr std::size_t large_cluster_size = 20;
 constexpr duration heartbeat_timeout = milliseconds{500};
-constexpr duration crash_delay = milliseconds{10};     // after the start of a task that crashes its worker
-constexpr duration restart_delay = milliseconds{1000}; // longer than an answer takes, so that it is missed
+constexpr duration crash_delay = milliseconds{10};     // from the start of a crashing task to the crash
+constexpr duration restart_delay = milliseconds{1000}; // longer than an answer takes, so that it is lost
 constexpr duration max_list_delay = milliseconds{800};
 constexpr duration max_disconnect_time = milliseconds{300};
 constexpr duration max_unhealthy_time = milliseconds{800};
-constexpr int short_disconnect_percent = 50;            // of 100: the next connection comes up at once
-constexpr int unhealthy_after_disconnect_percent = 50;  // of 100
-constexpr duration abandoned_answer_delay = seconds{4}; // of an answer that nobody waits for any more
+constexpr int short_disconnect_percent = 50; // the worker accepts new connections at once
+constexpr int unhealthy_after_disconnect_percent = 50;
+constexpr duration abandoned_answer_delay = seconds{4}; // longer than the scheduler waits for an answer
 constexpr std::int64_t first_clock_ms = 1;
 constexpr std::size_t max_ended_rows = 500;
 constexpr int default_slots = 32;
 constexpr int slot_millicores = 500;
 constexpr int full_percent = 100;
-constexpr int long_running_tail_latency_ms = 10; // what a task that lasts tells of its own answers
+constexpr int long_running_tail_latency_ms = 10; // reported by long-running tasks
 
 using json = nlohmann::json;
 
 struct running_task {
     std::uint32_t run = 0;
-    timer_id timer = 0; ///< of its end; 0 for one that lasts until it is stopped
+    timer_id timer = 0; ///< ends the run; 0 for a run that lasts until it is stopped
     bool is_long_running = false;
 };
 
@@ -53,16 +53,16 @@
     std::string outcome;
 };
 
-/// One worker's state; all on the loop's thread.
+/// State of one worker. Used on the loop's thread only.
 struct simulated_worker {
-    std::string machine; ///< what its lives have in common
+    std::string machine; ///< the same for all incarnations
     std::string zone;
-    std::int64_t process_start_ms = 0; ///< 0 where it does not tell
-    time_point clock_start{};          ///< its clock counts from there
+    std::int64_t process_start_ms = 0; ///< Unix time; 0 when the worker does not report it
+    time_point clock_start{};          ///< origin of the worker's clock
     double clock_rate = 1;
     int incarnation = 1;
     bool is_up = true;
-    bool is_disconnected = false; ///< it takes no calls
+    bool is_disconnected = false; ///< the worker accepts no connections
     bool is_draining = false;
     time_point leaves_at{};
     time_point unhealthy_until{};
@@ -72,14 +72,14 @@
     std::uint64_t fence = 0;
     std::uint64_t sequence = 0;
     std::uint64_t next_number = 1;
-    std::int64_t lease_end_ms = 0; ///< the lease of all that runs, on its own clock
+    std::int64_t lease_end_ms = 0; ///< end of the lease of all its runs, on the worker's clock
     timer_id lease_timer = 0;
     std::map<std::string, running_task> running;
-    std::map<std::string, std::uint32_t> highest_ended_run; ///< runs up to this are refused
+    std::map<std::string, std::uint32_t> highest_ended_run; ///< by task; starts up to this are refused
     std::vector<ended_task> ended;
-    std::vector<std::pair<http_responder, timer_id>> holds; ///< that wait for an end
+    std::vector<std::pair<http_responder, timer_id>> holds; ///< hold requests that wait for a run to end
     std::unique_ptr<http_listener> listener;
-    std::size_t next_control = 0; ///< which address the next heartbeat goes to
+    std::size_t next_control = 0; ///< index of the control address for the next heartbeat
     std::string heartbeat_address;
 };
 
@@ -98,7 +98,7 @@
         : control_addresses(std::move(addresses)), behaviour(chosen), random(chosen.seed),
           caller(loop, http_caller_settings{}) {}
 
-    // ---- chance
+    // ---- random choices
 
     bool happens(int chance_percent) {
         return chance_percent > 0 &&
@@ -159,13 +159,13 @@
         }
     }
 
-    /// Ends what has lapsed by now, however late this thread comes to it.
+    /// Expires the leases that are due on all workers that run `task`, in case their timers are late.
     void expire_leases_of_task(const std::string& task) {
         const auto found = workers_by_task.find(task);
         if (found == workers_by_task.end()) {
             return;
         }
-        const auto running_there = found->second; // an end changes it
+        const auto running_there = found->second; // copied, since the end of a run changes the map
         for (auto* worker : running_there) {
             if (get_clock(*worker) >= worker->lease_end_ms) {
                 expire_lease(*worker);
@@ -176,8 +176,8 @@
     // ---- runs
 
     static std::string describe_worker(const simulated_worker& worker) {
-        return absl::StrCat(worker.machine, " ", worker.id, " (", worker.zone, ", life ", worker.incarnation,
-                            ")");
+        return absl::StrCat(worker.machine, " ", worker.id, " (", worker.zone, ", incarnation ",
+                            worker.incarnation, ")");
     }
 
     static http_response make_response(const simulated_worker& worker, int status, json body) {
@@ -206,7 +206,7 @@
         return body;
     }
 
-    /// Takes a run out of all that runs. Precondition: it runs there.
+    /// Removes a run and returns its number. Precondition: `worker` runs the task.
     std::uint32_t remove_run(simulated_worker& worker, const std::string& task, const char* outcome) {
         const auto found = worker.running.find(task);
         const auto run = found->second.run;
@@ -312,9 +312,9 @@
         return make_response(worker, 200, {});
     }
 
-    // ---- lives
+    // ---- incarnations
 
-    /// Ends a life of a worker, if it has not ended yet, with all that runs there.
+    /// Ends an incarnation of a worker with all its runs, unless it has already ended.
     void crash(simulated_worker& worker, int incarnation, duration downtime = restart_delay) {
         if (!worker.is_up || worker.incarnation != incarnation) {
             return;
@@ -380,7 +380,7 @@
         crash(worker, incarnation, downtime);
     }
 
-    // ---- calls that come
+    // ---- incoming calls
 
     void listen(simulated_worker& worker) {
         http_listener_settings settings;
@@ -395,7 +395,7 @@
         worker.address = absl::StrCat("127.0.0.1:", worker.listener->start().value());
     }
 
-    /// Closes all connections, and opens none for this long.
+    /// Closes all connections and accepts none for this long.
     void disconnect_for(simulated_worker& worker, duration length) {
         if (!worker.is_up || worker.is_disconnected) {
             return;
@@ -410,7 +410,7 @@
         });
     }
 
-    /// Ends all connections, and is not well for a while after that, at times.
+    /// Closes all connections. In a share of cases the worker is unhealthy for a while after that.
     void drop_connections(simulated_worker& worker) {
         const auto length =
             happens(short_disconnect_percent) ? duration{0} : pick_duration(duration{0}, max_disconnect_time);
@@ -423,7 +423,7 @@
     void handle_request(simulated_worker& worker, const http_request& request,
                         const http_responder& respond) {
         if (!worker.is_up) {
-            return; // it came over a connection that the crash has yet to end
+            return; // arrived over a connection that the crash has not closed yet
         }
         if (loop.now() < worker.unhealthy_until) {
             respond(make_response(worker, 503, {}));
@@ -453,7 +453,7 @@
         };
     }
 
-    /// Carries an order out, now or later, and answers it, now, later or when nobody waits any more.
+    /// Executes an order now or later. Answers it now, later, or after the scheduler has stopped waiting.
     void handle_order(simulated_worker& worker, const std::string& path, const json& body,
                       const http_responder& respond) {
         const auto task = body.value("task", std::string{});
@@ -476,7 +476,7 @@
             execute_order(worker, path, body,
                           delay_answer(respond, pick_duration(duration{0}, behaviour.max_delay)));
         } else if (happens(behaviour.disconnect_percent)) {
-            record.add_note(task, absl::StrCat(name, " is followed by a cut"));
+            record.add_note(task, absl::StrCat(name, " is followed by a disconnect"));
             execute_order(worker, path, body, abandoned);
             loop.post([this, &worker] { drop_connections(worker); });
         } else {
@@ -522,7 +522,7 @@
         worker.holds.emplace_back(respond, timer);
     }
 
-    // ---- calls that go
+    // ---- outgoing calls
 
     void send(const std::string& address, const std::string& path, const json& body,
               std::function<void(const result<http_response>&)> on_answer) {
@@ -600,7 +600,7 @@
         send_heartbeat(state);
     }
 
-    /// Does something with the life of a worker that is there now.
+    /// Runs `work` on the loop's thread with a worker, if the worker is up.
     void post_to_worker(int number, std::function<void(simulated_worker&)> work) {
         loop.post([this, number, work = std::move(work)] {
             auto& worker = *workers.at(static_cast<std::size_t>(number));
@@ -612,11 +612,11 @@
 
     std::vector<std::string> control_addresses;
     worker_behaviour behaviour;
-    std::mt19937_64 random; ///< on the loop's thread once that runs
+    std::mt19937_64 random; ///< used on the loop's thread only once the loop runs
     event_loop loop;
     http_caller caller;
     std::vector<std::unique_ptr<simulated_worker>> workers;
-    std::map<std::string, std::set<simulated_worker*>> workers_by_task; ///< where each task runs
+    std::map<std::string, std::set<simulated_worker*>> workers_by_task; ///< the workers that run each task
     run_record record;
 };
 
--- a/unit_tests/platform/stand_in_workers.h
+++ b/unit_tests/platform/stand_in_workers.h
@@ -12,53 +12,55 @@
 
 namespace poplarpitch {
 
-/// Pretended workers that speak the platform's calls: they announce themselves, start, hold and stop runs,
-/// keep fences, leases and ends as the platform's page says, and write down every start, so that a test can
-/// check the promises.
+/// Simulated workers that implement the outer platform's calls. They send heartbeats, start and stop runs,
+/// answer holds, and observe fences, leases and ends as the platform's page specifies. They record every
+/// start, so that a test can check the scheduler's guarantees.
 ///
-/// Each run takes its time, or lasts until it is stopped, or crashes its worker, where its job's payload
-/// says so. A worker that crashed comes back at its address as another life, under another id or under the
-/// same one. Thread safety: any thread, for all methods.
+/// A run takes a random time within the configured range. If its job's payload says so, it lasts until it is
+/// stopped, or crashes its worker. A worker that crashed restarts at its address as another incarnation,
+/// under a new id or under the same one. Thread safety: any thread, for all methods.
 class stand_in_workers {
 public:
-    /// Payload of jobs whose tasks last until they are stopped.
+    /// Payload of jobs whose tasks run until they are stopped.
     static constexpr const char* lasting_spec = "lasts";
     /// Payload of jobs whose tasks crash the workers that start them.
     static constexpr const char* crashing_spec = "crashes";
 
     using restart_mode = worker_restart_mode;
 
-    /// Starts `count` workers on loopback, which send heartbeats to these control addresses.
+    /// Starts `count` workers on loopback, which send heartbeats to these control addresses. Each run takes
+    /// `run_time`.
     stand_in_workers(int count, std::vector<std::string> control_addresses, duration run_time,
                      restart_mode mode = restart_mode::new_id);
-    /// As above, for workers with these habits.
+    /// As above, for workers with this behaviour.
     stand_in_workers(int count, std::vector<std::string> control_addresses,
                      const worker_behaviour& behaviour);
     ~stand_in_workers();
     stand_in_workers(const stand_in_workers&) = delete;
     stand_in_workers& operator=(const stand_in_workers&) = delete;
 
-    /// Lets these workers crash at one moment, and come back after `down`. Numbers count from 0.
+    /// Crashes these workers at the same moment and restarts them after `downtime`. Numbers count from 0.
     void crash(const std::vector<int>& numbers, duration downtime);
-    /// Lets a worker announce that it leaves. It takes no more calls from some moment on, while its runs go
-    /// on; after `stay` it leaves with all that runs, and another life comes after `down`.
+    /// Makes a worker report that it is draining. At a random moment within `notice` it stops accepting
+    /// calls, while its runs continue. After `notice` it deregisters and ends with all its runs. Its next
+    /// incarnation starts after `downtime`.
     void drain(int number, duration notice, duration downtime);
-    /// Lets a worker refuse all calls with 503 for this long.
+    /// Makes a worker refuse all calls with 503 for this long.
     void make_unhealthy(int number, duration length);
-    /// Lets a worker close its listener and all connections for this long, while its runs go on.
+    /// Closes a worker's listener and all its connections for this long, while its runs continue.
     void disconnect(int number, duration length);
-    /// Returns how often a task was started after a run of it had ended as done and the worker had been told
-    /// to forget that.
+    /// Returns how often a task was started although a run of it had ended as done and the scheduler had
+    /// acknowledged that end to the worker.
     [[nodiscard]] int get_starts_after_done() const;
-    /// Returns how many runs of each task ended as done.
+    /// Returns the number of runs of each task that ended as done.
     [[nodiscard]] std::map<std::string, int> get_done_counts() const;
-    /// Returns how often a task was started while another run of it was going on.
+    /// Returns how often a task was started while another run of it was active.
     [[nodiscard]] int get_overlaps() const;
     /// Returns how often each task was started.
     [[nodiscard]] std::map<std::string, int> get_start_counts() const;
-    /// Returns how many tasks run now.
+    /// Returns the number of active runs.
     [[nodiscard]] int get_running_count() const;
-    /// Returns what was done with each task.
+    /// Returns the history of all tasks.
     [[nodiscard]] const run_record& get_record() const;
 
 private:
--- a/unit_tests/platform/start_link_test.cpp
+++ b/unit_tests/platform/start_link_test.cpp
@@ -1,4 +1,4 @@
-// Starts over real connections to a worker whose connections end before it has answered.
+// Start orders over real connections to a worker that closes them before it has answered.
 #include "platform/dialect.h"
 
 #include "poplarpitch/net/event_loop.h"
@@ -17,10 +17,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration wait_timeout = seconds{60}; // bounds a failure; no test reaches it when it passes
+constexpr duration wait_timeout = seconds{60}; // only a failing test waits this long
 
-/// A worker that answers one call, takes the next one without an answer while all its connections end, and
-/// answers from then on as it is told.
+/// A worker that answers the first call, closes all connections at the second one without an answer, and
+/// answers all later calls with a given response.
 class disconnecting_worker {
 public:
     disconnecting_worker(event_loop& loop, http_response later_response)
@@ -68,8 +68,8 @@
     std::unique_ptr<http_listener> m_listener;
 };
 
-/// Sends two starts one after the other, the second one over the connection of the first. Returns what became
-/// of the second.
+/// Sends two starts one after the other, the second one over the connection of the first. Returns the failure
+/// of the second, or nothing when it succeeded.
 std::optional<order_failure> start_over_a_dropped_connection(int later_status,
                                                              const std::string& later_body) {
     event_loop loop;
--- a/unit_tests/platform/worker_link_test.cpp
+++ b/unit_tests/platform/worker_link_test.cpp
@@ -1,5 +1,4 @@
-// Acknowledgements over real connections to a worker that starts again at its address under the id that it
-// had.
+// Acknowledgements over real connections to a worker that restarts at the same address under the same id.
 #include "platform/dialect.h"
 
 #include "poplarpitch/net/event_loop.h"
@@ -21,16 +20,16 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration wait_timeout = seconds{60}; // bounds a failure; no test reaches it when it passes
+constexpr duration wait_timeout = seconds{60}; // only a failing test waits this long
 constexpr std::int64_t first_process_start_ms = 1'700'000'000'000;
 constexpr std::int64_t second_process_start_ms = 1'700'000'005'000;
 
-/// A worker that lists nothing and writes down what it was told to forget.
+/// A worker that lists no runs and records the acknowledgements that it receives.
 class acknowledgement_recorder {
 public:
     explicit acknowledgement_recorder(event_loop& loop) : m_loop(loop) { start(first_process_start_ms); }
 
-    /// Ends the process that listens and starts the next one at the same address.
+    /// Ends the current worker process and starts the next one at the same address.
     void start(std::int64_t process_start_ms) {
         m_listener.reset();
         http_listener_settings settings;
@@ -61,7 +60,7 @@
 
 class worker_link_test : public testing::Test {
 protected:
-    /// Sends a hold that is meant for a life, and waits for its outcome.
+    /// Sends a hold to the worker process that started at `process_start_ms`, and waits for its outcome.
     hold_outcome hold(std::int64_t process_start_ms, std::uint64_t acknowledged) {
         hold_order order;
         order.target = {{"w1", process_start_ms}, m_worker.get_address(), 1, false, seconds{5}};
@@ -72,7 +71,7 @@
             outcome = std::move(result);
             m_loop.stop();
         });
-        m_loop.get_context().restart(); // after the stop that ended the call before
+        m_loop.get_context().restart(); // clears the stop that ended the previous call
         m_loop.run();
         m_loop.cancel(timeout_timer);
         return outcome;
@@ -124,8 +123,8 @@
     EXPECT_EQ(m_worker.acknowledged, (std::vector<std::uint64_t>{5}));
 }
 
-/// A worker that carries out every start and ends the connection of the second one before it is answered; to
-/// calls after that it is unhealthy.
+/// A worker that carries out every start, but closes the connection of the second call before it is answered
+/// and answers all later calls with 503.
 class disconnecting_worker {
 public:
     explicit disconnecting_worker(event_loop& loop) : m_loop(loop) { listen(); }
