--- a/unit_tests/platform/replaced_cluster_test.cpp
+++ b/unit_tests/platform/replaced_cluster_test.cpp
@@ -53,10 +53,10 @@
     behaviour.has_random_ids = true;
     behaviour.slots = 8;
     behaviour.zones = {"z0", "z1", "z2"};
-    behaviour.min_run_time = milliseconds{600};
-    behaviour.max_run_time = milliseconds{2200};
-    behaviour.max_stop_time = milliseconds{700};
-    behaviour.min_clock_rate = 0.98;
+    behaviour.shortest_run = milliseconds{600};
+    behaviour.longest_run = milliseconds{2200};
+    behaviour.longest_stop = milliseconds{700};
+    behaviour.slowest_clock = 0.98;
     behaviour.idle_timeout = milliseconds{300};
     behaviour.failed_run_percent = 5;
     behaviour.late_answer_percent = 4;
@@ -150,7 +150,7 @@
         m_cluster.get_scheduler(number).send(SIGSTOP);
         sleep_random(100, 2500);
         m_cluster.get_scheduler(number).send(SIGCONT);
-        add_to_timeline(absl::StrCat("scheduler ", number, " is resumed"));
+        add_to_timeline(absl::StrCat("scheduler ", number, " goes on"));
     }
 
     void inject_fault() {
--- a/unit_tests/platform/run_record.cpp
+++ b/unit_tests/platform/run_record.cpp
@@ -36,7 +36,7 @@
     ++m_overlaps;
     record.has_violation = true;
     add_history_line(record,
-                     absl::StrCat("run ", run, " requested on ", worker, " WHERE ANOTHER RUN IS ACTIVE"));
+                     absl::StrCat("run ", run, " was asked for on ", worker, " WHERE ANOTHER IS ACTIVE"));
 }
 
 void run_record::add_end(const std::string& task, std::uint32_t run, const std::string& worker,
--- a/unit_tests/platform/stand_in_workers.cpp
+++ b/unit_tests/platform/stand_in_workers.cpp
@@ -86,8 +86,8 @@
 worker_behaviour make_behaviour(duration run_time, worker_restart_mode mode) {
     worker_behaviour behaviour;
     behaviour.restart_mode = mode;
-    behaviour.min_run_time = run_time;
-    behaviour.max_run_time = run_time;
+    behaviour.shortest_run = run_time;
+    behaviour.longest_run = run_time;
     return behaviour;
 }
 
@@ -128,7 +128,8 @@
 
     void extend_lease(simulated_worker& worker, const json& body) {
         const auto requested_ms = body.value("untilMs", std::int64_t{0});
-        const auto until = std::min(requested_ms, get_clock(worker) + to_milliseconds(behaviour.max_lease));
+        const auto until =
+            std::min(requested_ms, get_clock(worker) + to_milliseconds(behaviour.longest_lease));
         if (until > worker.lease_end_ms) {
             worker.lease_end_ms = until;
             schedule_lease_expiry(worker);
@@ -280,7 +281,7 @@
         timer_id timer = 0;
         if (!is_long_running) {
             const char* outcome = happens(behaviour.failed_run_percent) ? "failed" : "done";
-            timer = loop.call_after(pick_duration(behaviour.min_run_time, behaviour.max_run_time),
+            timer = loop.call_after(pick_duration(behaviour.shortest_run, behaviour.longest_run),
                                     [this, &worker, task, outcome] { end_run(worker, task, outcome); });
         }
         worker.running[task] = {run, timer, is_long_running};
@@ -296,7 +297,7 @@
         if (found == worker.running.end() || found->second.run > run) {
             return make_response(worker, 200, {});
         }
-        const auto delay = pick_duration(duration{0}, behaviour.max_stop_time);
+        const auto delay = pick_duration(duration{0}, behaviour.longest_stop);
         if (delay <= duration{0}) {
             end_run(worker, task, "stopped");
         } else {
@@ -364,7 +365,7 @@
         worker.process_start_ms = reports_start_time ? get_wall_ms() : 0;
         worker.clock_start = reports_start_time ? system_clock().now() : time_point{};
         const auto fraction = static_cast<double>(random() % 1000) / 1000;
-        worker.clock_rate = 1 - (1 - behaviour.min_clock_rate) * fraction;
+        worker.clock_rate = 1 - (1 - behaviour.slowest_clock) * fraction;
     }
 
     void deregister(simulated_worker& worker, int incarnation, duration downtime) {
@@ -461,7 +462,7 @@
             absl::StrCat(path, " of run ", body.value("run", 0), " at ", describe_worker(worker));
         const auto abandoned = delay_answer(respond, abandoned_answer_delay);
         if (happens(behaviour.late_order_percent)) {
-            const auto delay = pick_duration(duration{0}, behaviour.max_delay);
+            const auto delay = pick_duration(duration{0}, behaviour.longest_delay);
             record.add_note(task, absl::StrCat(name, " waits ", to_milliseconds(delay), " ms"));
             loop.call_after(delay, [this, &worker, incarnation = worker.incarnation, path, body, abandoned] {
                 if (worker.is_up && worker.incarnation == incarnation) {
@@ -474,7 +475,7 @@
         } else if (happens(behaviour.late_answer_percent)) {
             record.add_note(task, absl::StrCat(name, " is answered late"));
             execute_order(worker, path, body,
-                          delay_answer(respond, pick_duration(duration{0}, behaviour.max_delay)));
+                          delay_answer(respond, pick_duration(duration{0}, behaviour.longest_delay)));
         } else if (happens(behaviour.disconnect_percent)) {
             record.add_note(task, absl::StrCat(name, " is followed by a disconnect"));
             execute_order(worker, path, body, abandoned);
@@ -574,7 +575,7 @@
         if (happens(behaviour.late_heartbeat_percent)) {
             const auto other = control_addresses[random() % control_addresses.size()];
             loop.call_after(
-                pick_duration(duration{0}, behaviour.max_delay),
+                pick_duration(duration{0}, behaviour.longest_delay),
                 [this, &worker, other, path, body] { send(other, path, body, [](const auto&) {}); });
         }
         send(address, path, body, [this, &worker](const result<http_response>& response) {
