--- a/poplarpitch/gateway/gateway_daemon.cpp
+++ b/poplarpitch/gateway/gateway_daemon.cpp
@@ -87,12 +87,12 @@
     }
 
     [[nodiscard]] duration read_request_timeout(const http_request& request) const {
-        std::int64_t timeout = 0;
+        std::int64_t timeout_ms = 0;
         const auto text = request.headers.get(m_settings.deadline_header);
-        if (!absl::SimpleAtoi(text, &timeout) || timeout <= 0) {
+        if (!absl::SimpleAtoi(text, &timeout_ms) || timeout_ms <= 0) {
             return m_settings.default_deadline;
         }
-        return milliseconds{timeout};
+        return milliseconds{timeout_ms};
     }
 
     void relay(const http_request& request, const http_responder& respond) {
--- a/unit_tests/platform/scheduler_cluster.h
+++ b/unit_tests/platform/scheduler_cluster.h
@@ -41,7 +41,9 @@
     /// Returns true when all schedulers vote again after the last crash of all, and those in `wiped`, whose
     /// data was deleted meanwhile, have been promoted to voters.
     [[nodiscard]] bool have_rejoined(const std::vector<int>& wiped) const;
+    /// Returns the process of a scheduler, which may have ended. Precondition: it was started once.
     [[nodiscard]] child_process& get_scheduler(int number) { return *m_schedulers.at(number); }
+    /// Returns the gateway's process, which may have ended.
     [[nodiscard]] child_process& get_gateway() { return *m_gateway; }
     /// Returns the folder of the settings, logs and data. The destructor removes it unless a test failed or
     /// POPLARPITCH_KEEP_LOGS is set.
--- a/unit_tests/platform/worker_link_test.cpp
+++ b/unit_tests/platform/worker_link_test.cpp
@@ -140,11 +140,11 @@
         settings.port = m_port;
         m_listener = std::make_unique<http_listener>(
             m_loop, settings,
-            [this](const http_request&, const http_responder& respond) { take_call(respond); });
+            [this](const http_request&, const http_responder& respond) { handle_call(respond); });
         m_port = m_listener->start().value();
     }
 
-    void take_call(const http_responder& respond) {
+    void handle_call(const http_responder& respond) {
         ++call_count;
         if (call_count == 2) {
             m_loop.post([this] { listen(); });
