--- a/poplarpitch/entry/announce_handler.cpp
+++ b/poplarpitch/entry/announce_handler.cpp
@@ -14,7 +14,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration control_wait = seconds{2};
+constexpr duration control_timeout = seconds{2};
 
 http_response make_answer(const announce_answer& answer) {
     http_response response;
@@ -23,7 +23,7 @@
 }
 
 /// Errors after which the report is of no use any more: the job has moved on without it.
-bool is_settled(std::uint32_t code) {
+bool is_final(std::uint32_t code) {
     return code == 0 || code == static_cast<std::uint32_t>(state_errc::stale_attempt) ||
            code == static_cast<std::uint32_t>(state_errc::unknown_job);
 }
@@ -42,46 +42,46 @@
         log_event(log_level::warn, "bad_announcement").add("reason", error->message);
         return make_error_response(400, "bad_announcement", error->message);
     }
-    const auto& told = std::get<announcement>(decoded);
+    const auto& message = std::get<announcement>(decoded);
     if (!m_lease.is_valid(m_clock.now())) {
         // Without a session nothing is owned here for sure; the worker goes to another entry.
         return make_error_response(503, "no_control", "this entry has no contact with control");
     }
     std::string refusal;
-    switch (m_state.get_standing(told)) {
-    case entry_state::worker_standing::changed_address:
+    switch (m_state.get_worker_status(message)) {
+    case entry_state::worker_status::changed_address:
         return make_error_response(409, "address_taken", "another target uses this id at another address");
-    case entry_state::worker_standing::owned_silent:
-        if (!register_worker(told, refusal)) {
+    case entry_state::worker_status::owned_silent:
+        if (!register_worker(message, refusal)) {
             return make_error_response(409, "refused", refusal);
         }
-        revive(told);
+        end_silence(message);
         break;
-    case entry_state::worker_standing::new_process:
-        if (!register_worker(told, refusal)) {
+    case entry_state::worker_status::record_outdated:
+        if (!register_worker(message, refusal)) {
             return make_error_response(409, "refused", refusal);
         }
         break;
-    case entry_state::worker_standing::owned:
+    case entry_state::worker_status::owned:
         break;
-    case entry_state::worker_standing::not_owned:
-        return answer_foreign(told);
+    case entry_state::worker_status::not_owned:
+        return answer_not_owned(message);
     }
-    return answer_owned(told);
+    return answer_owned(message);
 }
 
-http_response announce_handler::answer_owned(const announcement& told) {
+http_response announce_handler::answer_owned(const announcement& message) {
     announce_answer answer;
     answer.owner = m_entry_id;
     answer.owner_address = m_own_address;
-    commit_events(told, answer);
+    commit_events(message, answer);
     // After the events: a task that was just taken over may be renewed with this very answer.
-    m_state.fill_answer(told, m_lease.is_valid(m_clock.now()), answer);
+    m_state.fill_answer(message, m_lease.is_valid(m_clock.now()), answer);
     return make_answer(answer);
 }
 
-void announce_handler::commit_events(const announcement& told, announce_answer& answer) {
-    const auto events = m_state.take_announcement(told, get_wall_ms());
+void announce_handler::commit_events(const announcement& message, announce_answer& answer) {
+    const auto events = m_state.take_announcement(message, get_wall_ms());
     if (events.empty()) {
         return;
     }
@@ -94,21 +94,22 @@
     if (!outcomes) {
         return; // none is acknowledged: the worker sends them again
     }
-    for (std::size_t place = 0; place < events.size(); ++place) {
-        take_outcome(told, events[place], outcomes.value()[place], answer);
+    for (std::size_t index = 0; index < events.size(); ++index) {
+        handle_event_outcome(message, events[index], outcomes.value()[index], answer);
     }
 }
 
-void announce_handler::take_outcome(const announcement& told, const task_agent::reported_event& event,
-                                    const wire::command_result& outcome, announce_answer& answer) {
-    if (!is_settled(outcome.code())) {
+void announce_handler::handle_event_outcome(const announcement& message,
+                                            const task_agent::reported_event& event,
+                                            const wire::command_result& outcome, announce_answer& answer) {
+    if (!is_final(outcome.code())) {
         log_event(log_level::warn, "report_refused")
-            .add("worker", told.id)
+            .add("worker", message.id)
             .add("job", event.command.event().job())
             .add("reason", outcome.message());
         return;
     }
-    m_state.on_event_committed(told.id, event.command.event());
+    m_state.on_event_committed(message.id, event.command.event());
     if (event.report != 0) {
         answer.acknowledged.push_back(event.report);
     }
@@ -121,18 +122,18 @@
     }
 }
 
-bool announce_handler::register_worker(const announcement& told, std::string& refusal) {
+bool announce_handler::register_worker(const announcement& message, std::string& refusal) {
     wire::command command;
     auto& worker = *command.mutable_register_target()->mutable_registered();
-    worker.set_id(told.id);
-    worker.set_address(told.address);
-    worker.set_data_centre(told.data_centre);
-    worker.set_rack(told.rack);
-    worker.set_speed_class(told.speed_class);
-    worker.mutable_services()->Assign(told.services.begin(), told.services.end());
-    encode(told.capacity, *worker.mutable_capacity());
-    worker.set_incarnation(told.incarnation);
-    const auto outcome = m_control.propose(command, m_clock.now() + control_wait);
+    worker.set_id(message.id);
+    worker.set_address(message.address);
+    worker.set_data_centre(message.data_centre);
+    worker.set_rack(message.rack);
+    worker.set_speed_class(message.speed_class);
+    worker.mutable_services()->Assign(message.services.begin(), message.services.end());
+    encode(message.capacity, *worker.mutable_capacity());
+    worker.set_incarnation(message.incarnation);
+    const auto outcome = m_control.propose(command, m_clock.now() + control_timeout);
     if (!outcome) {
         refusal = outcome.error().message();
         return false;
@@ -141,36 +142,36 @@
         refusal = outcome.value().message();
         return false;
     }
-    log_event(log_level::info, "worker_registered").add("worker", told.id).add("address", told.address);
+    log_event(log_level::info, "worker_registered").add("worker", message.id).add("address", message.address);
     return true;
 }
 
-void announce_handler::revive(const announcement& told) {
-    m_state.revive(told.id);
-    log_event(log_level::info, "worker_heard_again").add("worker", told.id);
+void announce_handler::end_silence(const announcement& message) {
+    m_state.end_silence(message.id);
+    log_event(log_level::info, "worker_heard_again").add("worker", message.id);
 }
 
-http_response announce_handler::answer_foreign(const announcement& told) {
+http_response announce_handler::answer_not_owned(const announcement& message) {
     announce_answer answer;
-    find_owner(told, answer);
+    find_owner(message, answer);
     const auto settings = m_state.get_configuration();
     answer.interval = settings->system.announce_interval;
     answer.task_lease = settings->system.task_lease;
     return make_answer(answer);
 }
 
-void announce_handler::find_owner(const announcement& told, announce_answer& answer) {
+void announce_handler::find_owner(const announcement& message, announce_answer& answer) {
     wire::query_request request;
     request.set_kind(wire::query_worker);
-    request.set_name(told.id);
-    const auto found = m_control.query(request, m_clock.now() + control_wait);
+    request.set_name(message.id);
+    const auto found = m_control.query(request, m_clock.now() + control_timeout);
     if (!found) {
         return;
     }
     std::string refusal;
     if (!found.value().found()) {
-        if (!register_worker(told, refusal)) {
-            log_event(log_level::warn, "register_refused").add("worker", told.id).add("reason", refusal);
+        if (!register_worker(message, refusal)) {
+            log_event(log_level::warn, "register_refused").add("worker", message.id).add("reason", refusal);
         }
         return; // the leader gives it an owner within a moment
     }
@@ -181,7 +182,7 @@
     }
     wire::query_request members;
     members.set_kind(wire::query_members);
-    const auto sessions = m_control.query(members, m_clock.now() + control_wait);
+    const auto sessions = m_control.query(members, m_clock.now() + control_timeout);
     if (!sessions) {
         return;
     }
--- a/poplarpitch/entry/announce_handler.h
+++ b/poplarpitch/entry/announce_handler.h
@@ -30,15 +30,15 @@
     http_response handle(const http_request& request);
 
 private:
-    http_response answer_owned(const announcement& told);
-    http_response answer_foreign(const announcement& told);
+    http_response answer_owned(const announcement& message);
+    http_response answer_not_owned(const announcement& message);
     /// Brings control's record of the worker up to date; returns an error answer when that is refused.
-    bool register_worker(const announcement& told, std::string& refusal);
-    void commit_events(const announcement& told, announce_answer& answer);
-    void take_outcome(const announcement& told, const task_agent::reported_event& event,
-                      const wire::command_result& outcome, announce_answer& answer);
-    void revive(const announcement& told);
-    void find_owner(const announcement& told, announce_answer& answer);
+    bool register_worker(const announcement& message, std::string& refusal);
+    void commit_events(const announcement& message, announce_answer& answer);
+    void handle_event_outcome(const announcement& message, const task_agent::reported_event& event,
+                              const wire::command_result& outcome, announce_answer& answer);
+    void end_silence(const announcement& message);
+    void find_owner(const announcement& message, announce_answer& answer);
 
     entry_state& m_state;
     control_client& m_control;
--- a/poplarpitch/entry/announcement_codec.cpp
+++ b/poplarpitch/entry/announcement_codec.cpp
@@ -10,35 +10,35 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t max_name = 128;
-constexpr std::size_t max_list = 100'000;
-constexpr std::size_t max_detail = 4096;         // bytes; it stays in the job's record
-constexpr std::size_t max_checkpoint = 64 << 10; // bytes, as for payloads
+constexpr std::size_t max_name_bytes = 128;
+constexpr std::size_t max_list_items = 100'000;
+constexpr std::size_t max_detail_bytes = 4096;         // bytes; it stays in the job's record
+constexpr std::size_t max_checkpoint_bytes = 64 << 10; // bytes, as for payloads
 constexpr std::int64_t max_amount = 1LL << 50;
 constexpr std::int64_t max_number = 1LL << 62;
 
 /// Thrown inside this file only, and turned into a codec_error at its border.
-class bad_field : public std::runtime_error {
+class field_error : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-std::string read_name(const json& object, const char* key, bool is_needed) {
+std::string read_name(const json& object, const char* key, bool is_required) {
     const auto found = object.find(key);
     if (found == object.end()) {
-        if (is_needed) {
-            throw bad_field(std::string("'") + key + "' is missing");
+        if (is_required) {
+            throw field_error(std::string("'") + key + "' is missing");
         }
         return {};
     }
     if (!found->is_string()) {
-        throw bad_field(std::string("'") + key + "' must be a text");
+        throw field_error(std::string("'") + key + "' must be a text");
     }
     auto text = found->get<std::string>();
-    const bool is_bad = text.size() > max_name || text.find_first_of(" \t\r\n\"/") != std::string::npos;
-    if (is_bad || (is_needed && text.empty())) {
-        throw bad_field(std::string("'") + key +
-                        "' must have 1 to 128 characters without blanks, quotes or slashes");
+    const bool is_bad = text.size() > max_name_bytes || text.find_first_of(" \t\r\n\"/") != std::string::npos;
+    if (is_bad || (is_required && text.empty())) {
+        throw field_error(std::string("'") + key +
+                          "' must have 1 to 128 characters without blanks, quotes or slashes");
     }
     return text;
 }
@@ -49,11 +49,11 @@
         return 0;
     }
     if (!found->is_number_integer()) {
-        throw bad_field(std::string("'") + key + "' must be a whole number");
+        throw field_error(std::string("'") + key + "' must be a whole number");
     }
     const auto value = found->get<std::int64_t>();
     if (value < 0 || value > limit) {
-        throw bad_field(std::string("'") + key + "' is negative or too large");
+        throw field_error(std::string("'") + key + "' is negative or too large");
     }
     return value;
 }
@@ -68,7 +68,7 @@
         return 1;
     }
     if (!found->is_number() || found->get<double>() < 0) {
-        throw bad_field(std::string("'") + key + "' must be a number that is not negative");
+        throw field_error(std::string("'") + key + "' must be a number that is not negative");
     }
     return found->get<double>();
 }
@@ -79,7 +79,7 @@
         return false;
     }
     if (!found->is_boolean()) {
-        throw bad_field(std::string("'") + key + "' must be true or false");
+        throw field_error(std::string("'") + key + "' must be true or false");
     }
     return found->get<bool>();
 }
@@ -90,23 +90,23 @@
     if (found == object.end()) {
         return none;
     }
-    if (!found->is_array() || found->size() > max_list) {
-        throw bad_field(std::string("'") + key + "' must be a list");
+    if (!found->is_array() || found->size() > max_list_items) {
+        throw field_error(std::string("'") + key + "' must be a list");
     }
     return *found;
 }
 
-std::string read_text(const json& object, const char* key, std::size_t limit = max_name) {
+std::string read_text(const json& object, const char* key, std::size_t limit = max_name_bytes) {
     const auto found = object.find(key);
     if (found == object.end()) {
         return {};
     }
     if (!found->is_string()) {
-        throw bad_field(std::string("'") + key + "' must be a text");
+        throw field_error(std::string("'") + key + "' must be a text");
     }
     auto text = found->get<std::string>();
     if (text.size() > limit) {
-        throw bad_field(std::string("'") + key + "' has more than " + std::to_string(limit) + " bytes");
+        throw field_error(std::string("'") + key + "' has more than " + std::to_string(limit) + " bytes");
     }
     return text;
 }
@@ -117,7 +117,7 @@
         return {};
     }
     if (!found->is_object()) {
-        throw bad_field(std::string("'") + key + "' must be an object");
+        throw field_error(std::string("'") + key + "' must be an object");
     }
     return {read_amount(*found, "slots"), read_amount(*found, "millicores"), read_amount(*found, "memory"),
             read_amount(*found, "accelerators")};
@@ -138,10 +138,10 @@
     report.kind = read_name(item, "kind", true);
     static const std::set<std::string> kinds = {"finished", "failed", "checkpointed", "evicted", "stopped"};
     if (!kinds.contains(report.kind)) {
-        throw bad_field("unknown kind of report '" + report.kind + "'");
+        throw field_error("unknown kind of report '" + report.kind + "'");
     }
-    report.detail = read_text(item, "detail", max_detail);
-    report.checkpoint = read_text(item, "checkpoint", max_checkpoint);
+    report.detail = read_text(item, "detail", max_detail_bytes);
+    report.checkpoint = read_text(item, "checkpoint", max_checkpoint_bytes);
     report.cores_ratio = read_ratio(item, "cores_ratio");
     report.memory_ratio = read_ratio(item, "memory_ratio");
     report.time_ratio = read_ratio(item, "time_ratio");
@@ -154,7 +154,7 @@
         running_task task{read_name(item, "job", true), read_number(item, "attempt"),
                           milliseconds{read_amount(item, "unsaved_ms")}};
         if (!jobs.insert(task.job).second) {
-            throw bad_field("task '" + task.job + "' stands twice");
+            throw field_error("task '" + task.job + "' stands twice");
         }
         value.tasks.push_back(std::move(task));
     }
@@ -162,14 +162,14 @@
 
 announcement read_announcement(const json& object) {
     if (!object.is_object()) {
-        throw bad_field("the body must be an object");
+        throw field_error("the body must be an object");
     }
     announcement value;
     value.id = read_name(object, "id", true);
     value.address = read_text(object, "address");
     const auto colon = value.address.find(':');
-    if (colon == std::string::npos || colon == 0 || value.address.size() > max_name) {
-        throw bad_field("'address' must be host:port");
+    if (colon == std::string::npos || colon == 0 || value.address.size() > max_name_bytes) {
+        throw field_error("'address' must be host:port");
     }
     value.data_centre = read_name(object, "data_centre", false);
     value.rack = read_name(object, "rack", false);
@@ -177,7 +177,7 @@
     std::set<std::string> names;
     for (const auto& item : read_list(object, "services")) {
         if (!item.is_string() || !names.insert(item.get<std::string>()).second) {
-            throw bad_field("'services' must be a list of different names");
+            throw field_error("'services' must be a list of different names");
         }
         value.services.push_back(item.get<std::string>());
     }
@@ -189,7 +189,7 @@
     value.is_complete = read_flag(object, "complete");
     for (const auto& item : read_list(object, "requests")) {
         if (!item.is_string()) {
-            throw bad_field("'requests' must be a list of request ids");
+            throw field_error("'requests' must be a list of request ids");
         }
         value.requests.push_back(item.get<std::string>());
     }
@@ -206,7 +206,7 @@
 std::variant<announcement, codec_error> decode_announcement(const std::string& text) {
     try {
         return read_announcement(json::parse(text));
-    } catch (const bad_field& error) {
+    } catch (const field_error& error) {
         return codec_error{error.what()};
     } catch (const json::exception& error) {
         return codec_error{std::string("the body is no valid JSON: ") + error.what()};
@@ -275,7 +275,7 @@
         answer.interval = milliseconds{read_amount(object, "interval_ms")};
         answer.task_lease = milliseconds{read_amount(object, "task_lease_ms")};
         return answer;
-    } catch (const bad_field& error) {
+    } catch (const field_error& error) {
         return codec_error{error.what()};
     } catch (const json::exception& error) {
         return codec_error{error.what()};
--- a/poplarpitch/entry/call_handler.cpp
+++ b/poplarpitch/entry/call_handler.cpp
@@ -28,8 +28,8 @@
 // A request that ends its target's process would end the next one too, with all that runs there.
 constexpr int max_lost_attempts = 2;
 constexpr int hedge_threads = 64;
-constexpr duration retry_after_default = seconds{1};
-constexpr duration intent_commit_wait = seconds{2};
+constexpr duration default_retry_after = seconds{1};
+constexpr duration intent_commit_timeout = seconds{2};
 
 const char* get_outcome_name(call_outcome outcome) {
     switch (outcome) {
@@ -45,14 +45,14 @@
 
 /// Headers other than those that the entry itself sets. What speaks of one connection only is left out where
 /// connections are: see `is_connection_header`.
-bool is_passed_on(const std::string& name) {
+bool is_application_header(const std::string& name) {
     return !absl::StartsWithIgnoreCase(name, "poplarpitch-") && !absl::EqualsIgnoreCase(name, "host");
 }
 
 /// Copies the headers that callers and targets say to each other.
-void pass_on(const header_list& from, header_list& to) {
+void copy_application_headers(const header_list& from, header_list& to) {
     for (const auto& header : from.get_all()) {
-        if (is_passed_on(header.name)) {
+        if (is_application_header(header.name)) {
             to.add(header.name, header.value);
         }
     }
@@ -76,7 +76,7 @@
     if (call.request_id.empty()) {
         call.request_id = make_id();
     }
-    call.is_known_to_control = m_lease.is_valid(started);
+    call.has_valid_session = m_lease.is_valid(started);
     call_record record;
     auto result = run(call, request, record);
     result.response.headers.add(header_outcome, get_outcome_name(result.outcome));
@@ -86,13 +86,13 @@
 }
 
 call_result call_handler::run(const call_info& call, const http_request& request, call_record& record) {
-    if (!call.is_known_to_control) {
+    if (!call.has_valid_session) {
         // Without control this entry may be on the far side of a partition, with an old configuration.
         const auto settings = m_state.get_configuration();
         const auto* service = settings->find_service(call.service);
         if (service == nullptr || !service->serve_when_cut_off || !call.is_idempotent) {
             return make_refused(503, "no_control", "this entry has no contact with control",
-                                retry_after_default);
+                                default_retry_after);
         }
     }
     const bool is_keyed = !call.key.empty() && !call.is_idempotent && !call.is_forwarded;
@@ -112,17 +112,17 @@
     auto& begun = *command.mutable_begin()->mutable_begun();
     begun.set_key(key);
     begun.set_request_hash(
-        absl::StrCat(absl::Hex(hash_bytes(request.method + "\n" + call.rest + "\n" + request.body))));
+        absl::StrCat(absl::Hex(hash_bytes(request.method + "\n" + call.path_suffix + "\n" + request.body))));
     begun.set_entry(m_entry_id);
     // Never the caller's: two calls may come under the same one, and only one of them has begun the key.
     const auto own_id = make_id();
     begun.set_request_id(own_id);
     begun.set_begun_ms(get_wall_ms());
-    const auto limit = std::min<time_point>(call.deadline, m_clock.now() + intent_commit_wait);
+    const auto limit = std::min<time_point>(call.deadline, m_clock.now() + intent_commit_timeout);
     const auto answer = m_control.propose(command, limit);
     if (!answer) {
         // The key may be recorded, but nothing was sent to a target, and nothing will be.
-        return make_refused(503, "no_control", "the key could not be recorded", retry_after_default);
+        return make_refused(503, "no_control", "the key could not be recorded", default_retry_after);
     }
     const auto& outcome = answer.value();
     const auto& known = outcome.intent_record();
@@ -133,7 +133,7 @@
         return make_refused(422, "key_conflict", "the key was used with another request", {});
     }
     if (code == state_errc::intents_full) {
-        return make_refused(503, "keys_full", "too many keys are remembered at present", retry_after_default);
+        return make_refused(503, "keys_full", "too many keys are remembered at present", default_retry_after);
     }
     if (outcome.code() != 0 && !is_own) {
         if (known.phase() == static_cast<std::uint32_t>(intent_phase::answered)) {
@@ -168,7 +168,7 @@
     }
     ended.set_phase(static_cast<std::uint32_t>(phase));
     // When this is lost the record stays begun, and a resend is told "unknown": never a second run.
-    static_cast<void>(m_control.propose(command, m_clock.now() + intent_commit_wait));
+    static_cast<void>(m_control.propose(command, m_clock.now() + intent_commit_timeout));
 }
 
 // ---- attempts
@@ -178,9 +178,9 @@
     call_result last;
     record.lost_attempts = call.lost_attempts;
     while (true) {
-        const auto asked = m_clock.now();
+        const auto admission_start = m_clock.now();
         auto decision = m_state.admit(call);
-        record.queue_wait += m_clock.now() - asked;
+        record.queue_wait += m_clock.now() - admission_start;
         if (auto* refused = std::get_if<refusal>(&decision)) {
             // A retry that finds no room leaves the first attempt's outcome as it is.
             if (record.attempts > 0) {
@@ -201,8 +201,9 @@
                                  : send_attempt(call, request, grant, is_retry, nullptr);
         last = combine_attempts(std::move(last), std::move(attempt.result));
         record.lost_attempts += attempt.lost;
-        const bool is_spent = record.attempts >= max_attempts || record.lost_attempts >= max_lost_attempts;
-        const bool is_over = !attempt.may_retry || is_spent || m_clock.now() >= call.deadline;
+        const bool is_exhausted =
+            record.attempts >= max_attempts || record.lost_attempts >= max_lost_attempts;
+        const bool is_over = !attempt.may_retry || is_exhausted || m_clock.now() >= call.deadline;
         if (is_over || !m_state.try_retry(call.service)) {
             return last;
         }
@@ -213,9 +214,9 @@
                                                const request_grant& grant) const {
     http_request outgoing;
     outgoing.method = request.method;
-    outgoing.target = absl::StrCat("/v1/requests/", call.service, call.rest);
+    outgoing.target = absl::StrCat("/v1/requests/", call.service, call.path_suffix);
     outgoing.body = request.body;
-    pass_on(request.headers, outgoing.headers);
+    copy_application_headers(request.headers, outgoing.headers);
     const auto left = to_milliseconds(call.deadline - m_clock.now());
     outgoing.headers.add(header_request_id, call.request_id);
     outgoing.headers.add(header_tenant, call.tenant);
@@ -237,11 +238,11 @@
     }
     const auto sent = m_clock.now();
     // The last look at the lease before bytes go out; the epoch covers what is left of the gap.
-    const bool may_send = m_lease.is_valid(sent) || !call.is_known_to_control;
+    const bool may_send = m_lease.is_valid(sent) || !call.has_valid_session;
     if (!may_send) {
         m_state.finish(grant, attempt_result::refused, {});
         return {
-            make_refused(503, "no_control", "this entry has lost contact with control", retry_after_default),
+            make_refused(503, "no_control", "this entry has lost contact with control", default_retry_after),
             false};
     }
     auto exchange = m_targets.send(grant.address, outgoing, call.deadline, choice, cancel);
@@ -276,7 +277,7 @@
     if (is_good(own)) {
         race->finish(own, true, false, race->second);
     }
-    auto answer = race->take_answer();
+    auto answer = race->wait_for_answer();
     own.lost += *second_lost;
     return answer.has_value() ? std::move(*answer) : std::move(own);
 }
@@ -292,7 +293,7 @@
     if (exchange.progress == exchange_progress::not_sent) {
         m_state.finish(grant, attempt_result::not_sent, latency);
         return {
-            make_refused(503, "target_unreachable", "the target could not be reached", retry_after_default),
+            make_refused(503, "target_unreachable", "the target could not be reached", default_retry_after),
             true};
     }
     const bool is_own_answer = exchange.progress == exchange_progress::answered &&
@@ -311,7 +312,7 @@
     if (!refused.empty()) {
         m_state.finish(grant, attempt_result::refused, latency);
         return {make_refused(503, "target_refused", absl::StrCat("the target refused: ", refused),
-                             retry_after_default),
+                             default_retry_after),
                 true};
     }
     const bool is_fault = exchange.response.status >= 500;
@@ -321,7 +322,7 @@
     result.response.status = exchange.response.status;
     result.response.content_type = exchange.response.content_type;
     result.response.body = std::move(exchange.response.body);
-    pass_on(exchange.response.headers, result.response.headers);
+    copy_application_headers(exchange.response.headers, result.response.headers);
     return {std::move(result), is_fault && call.is_idempotent};
 }
 
@@ -331,7 +332,7 @@
     outgoing.method = request.method;
     outgoing.target = request.target;
     outgoing.body = request.body;
-    pass_on(request.headers, outgoing.headers);
+    copy_application_headers(request.headers, outgoing.headers);
     const auto now = m_clock.now();
     const auto left = std::max<std::int64_t>(to_milliseconds(call.deadline - now), 1);
     outgoing.headers.add(header_request_id, call.request_id);
@@ -345,7 +346,7 @@
     auto exchange = m_targets.send(decision.address, outgoing, call.deadline + milliseconds{50}, choice);
     if (exchange.progress == exchange_progress::not_sent) {
         return make_refused(503, "entry_unreachable", "the owning entry could not be reached",
-                            retry_after_default);
+                            default_retry_after);
     }
     const bool is_own_answer = exchange.progress == exchange_progress::answered &&
                                exchange.response.headers.get(header_request_id) == call.request_id;
@@ -361,7 +362,7 @@
     result.response.status = exchange.response.status;
     result.response.content_type = exchange.response.content_type;
     result.response.body = std::move(exchange.response.body);
-    pass_on(exchange.response.headers, result.response.headers);
+    copy_application_headers(exchange.response.headers, result.response.headers);
     return result;
 }
 
--- a/poplarpitch/entry/call_reader.cpp
+++ b/poplarpitch/entry/call_reader.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr const char* call_prefix = "/v1/call/";
-constexpr std::int64_t longest_deadline_ms = 3'600'000;
-constexpr std::size_t max_key = 200;
+constexpr std::int64_t max_deadline_ms = 3'600'000;
+constexpr std::size_t max_key_length = 200;
 constexpr const char* default_tenant = "default";
 
 http_response refuse(const std::string& code, const std::string& message, int status = 400) {
@@ -23,9 +23,9 @@
 }
 
 bool is_name(const std::string& text) {
-    return !text.empty() && text.size() <= max_key && std::all_of(text.begin(), text.end(), [](char letter) {
-        return letter > ' ' && letter < '\x7f' && letter != '"';
-    });
+    return !text.empty() && text.size() <= max_key_length &&
+           std::all_of(text.begin(), text.end(),
+                       [](char letter) { return letter > ' ' && letter < '\x7f' && letter != '"'; });
 }
 
 } // namespace
@@ -36,7 +36,7 @@
     const auto rest = request.target.substr(std::string_view(call_prefix).size());
     const auto end = rest.find_first_of("/?");
     call.service = rest.substr(0, end);
-    call.rest = end == std::string::npos ? "" : rest.substr(end);
+    call.path_suffix = end == std::string::npos ? "" : rest.substr(end);
     const auto* service = settings.find_service(call.service);
     if (service == nullptr) {
         return refuse("unknown_service", absl::StrCat("no service is called '", call.service, "'"), 404);
@@ -46,16 +46,16 @@
         call.tenant = default_tenant;
     } else if (settings.find_tenant(call.tenant) == nullptr) {
         return refuse("unknown_tenant",
-                      absl::StrCat("no tenant is called '", call.tenant.substr(0, max_key), "'"));
+                      absl::StrCat("no tenant is called '", call.tenant.substr(0, max_key_length), "'"));
     }
     call.deadline = now + service->deadline;
     if (request.headers.has(header_deadline)) {
         std::int64_t milliseconds_left = 0;
         const auto text = request.headers.get(header_deadline);
         if (!absl::SimpleAtoi(text, &milliseconds_left) || milliseconds_left <= 0 ||
-            milliseconds_left > longest_deadline_ms) {
+            milliseconds_left > max_deadline_ms) {
             return refuse("bad_deadline",
-                          absl::StrCat(header_deadline, " must be from 1 to ", longest_deadline_ms));
+                          absl::StrCat(header_deadline, " must be from 1 to ", max_deadline_ms));
         }
         call.deadline = now + milliseconds{milliseconds_left};
     }
@@ -70,8 +70,8 @@
     if (request.headers.has(header_key)) {
         call.key = request.headers.get(header_key);
         if (!is_name(call.key)) {
-            return refuse("bad_key",
-                          absl::StrCat(header_key, " must have 1 to ", max_key, " visible characters"));
+            return refuse("bad_key", absl::StrCat(header_key, " must have 1 to ", max_key_length,
+                                                  " visible characters"));
         }
     }
     call.is_forwarded = request.headers.has(header_forwarded);
--- a/poplarpitch/entry/call_result.h
+++ b/poplarpitch/entry/call_result.h
@@ -16,8 +16,8 @@
 /// Returns how a request stands when `next` follows `last`. That an attempt ran nowhere says nothing of the
 /// one before it: what may have run, or was answered, stays so. Thread safety: any thread.
 [[nodiscard]] inline call_result combine_attempts(call_result&& last, call_result&& next) {
-    const bool is_news = next.outcome != call_outcome::not_run || last.outcome == call_outcome::not_run;
-    return is_news ? std::move(next) : std::move(last);
+    const bool replaces_last = next.outcome != call_outcome::not_run || last.outcome == call_outcome::not_run;
+    return replaces_last ? std::move(next) : std::move(last);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/entry_daemon.cpp
+++ b/poplarpitch/entry/entry_daemon.cpp
@@ -32,7 +32,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int cannot_start_code = 1;
+constexpr int start_failure_exit_code = 1;
 
 /// The parts of one entry and their threads: the control thread renews and keeps up, the traffic threads
 /// serve.
@@ -54,7 +54,7 @@
             log_event(log_level::error, "listen_failed")
                 .add("host", m_settings.host)
                 .add("port", m_settings.http_port);
-            return cannot_start_code;
+            return start_failure_exit_code;
         }
         const auto address = absl::StrCat(m_settings.host, ":", port.value());
         m_announcements = std::make_unique<announce_handler>(m_state, m_control, m_events, m_lease, m_metrics,
@@ -63,7 +63,7 @@
         log_event(log_level::info, "listening").add("entry", m_settings.id).add("http_port", port.value());
         m_keeper = std::make_unique<session_keeper>(m_state, m_control, m_lease, m_settings.id, address,
                                                     m_settings.data_centre);
-        m_control_thread = std::thread([this] { keep_up(); });
+        m_control_thread = std::thread([this] { run_control_thread(); });
         m_signal.wait();
         stop();
         return 0;
@@ -140,7 +140,7 @@
     http_response make_metrics() {
         const auto counts = m_state.get_counts();
         m_metrics.set("poplarpitch_owned_workers", {}, static_cast<double>(counts.workers));
-        m_metrics.set("poplarpitch_ready_workers", {}, static_cast<double>(counts.open_workers));
+        m_metrics.set("poplarpitch_ready_workers", {}, static_cast<double>(counts.ready_workers));
         m_metrics.set("poplarpitch_waiting_requests", {}, static_cast<double>(counts.waiting));
         m_metrics.set("poplarpitch_tasks", {}, static_cast<double>(counts.tasks));
         m_metrics.set("poplarpitch_config_version", {}, static_cast<double>(m_state.get_config_version()));
@@ -150,20 +150,21 @@
 
     // ---- control thread
 
-    void keep_up() {
+    void run_control_thread() {
         auto next_renewal = m_clock.now();
         while (!m_is_control_stopped) {
             const auto now = m_clock.now();
             if (now >= next_renewal) {
                 const bool is_granted = m_keeper->renew();
-                next_renewal = now + (is_granted ? m_entry.renew_interval : m_entry.tick_interval / 2);
+                next_renewal =
+                    now + (is_granted ? m_entry_settings.renew_interval : m_entry_settings.tick_interval / 2);
             }
-            work_off(m_state.tick(get_wall_ms()));
-            absl::SleepFor(absl::Nanoseconds(m_entry.tick_interval.count()));
+            run_due_work(m_state.tick(get_wall_ms()));
+            absl::SleepFor(absl::Nanoseconds(m_entry_settings.tick_interval.count()));
         }
     }
 
-    void work_off(entry_state::upkeep due) {
+    void run_due_work(entry_state::due_work due) {
         for (auto& action : due.actions) {
             m_task_threads.run([this, action = std::move(action)] { m_tasks.call(action); });
         }
@@ -183,11 +184,12 @@
         m_is_stopping = true;
         m_signal.reset();
         m_keeper->drain();
-        wait_until([this] { return m_state.get_counts().workers == 0; }, m_entry.drain_grace * 4);
-        absl::SleepFor(absl::Nanoseconds(m_entry.drain_grace.count()));
-        const bool is_clear = wait_until([this] { return m_calls_in_flight == 0; }, m_entry.drain_wait);
-        if (!is_clear) {
-            log_event(log_level::warn, "stop_cut_off").add("in_flight", m_calls_in_flight.load());
+        wait_until([this] { return m_state.get_counts().workers == 0; }, m_entry_settings.drain_grace * 4);
+        absl::SleepFor(absl::Nanoseconds(m_entry_settings.drain_grace.count()));
+        const bool is_drained =
+            wait_until([this] { return m_calls_in_flight == 0; }, m_entry_settings.drain_wait);
+        if (!is_drained) {
+            log_event(log_level::warn, "drain_timed_out").add("in_flight", m_calls_in_flight.load());
         }
         m_server.stop();
         m_is_control_stopped = true;
@@ -207,7 +209,7 @@
             }
             if (m_signal.wait_for(milliseconds{20})) {
                 // A second signal tells what would be cut off; a third is the operator's kill.
-                log_event(log_level::warn, "stop_waits_for").add("in_flight", m_calls_in_flight.load());
+                log_event(log_level::warn, "drain_waiting").add("in_flight", m_calls_in_flight.load());
                 m_signal.reset();
             }
         }
@@ -216,7 +218,7 @@
 
     stop_signal m_signal; // first: blocks the signals for all threads
     const daemon_settings m_settings;
-    const entry_settings m_entry{};
+    const entry_settings m_entry_settings{};
     const system_clock m_clock{};
     control_client m_control;
     http_client_pool m_targets;
@@ -227,7 +229,7 @@
     event_batcher<control_client> m_events;
     operator_handler m_operators;
     task_caller m_tasks;
-    growing_task_queue m_task_threads{m_entry.task_threads};
+    growing_task_queue m_task_threads{m_entry_settings.task_threads};
     std::unique_ptr<announce_handler> m_announcements;
     std::unique_ptr<session_keeper> m_keeper;
     std::thread m_control_thread;
--- a/poplarpitch/entry/entry_state.cpp
+++ b/poplarpitch/entry/entry_state.cpp
@@ -50,7 +50,7 @@
 
 // ---- control
 
-void entry_state::take_renewal(const wire::renew_answer& answer, time_point now) {
+void entry_state::apply_renewal(const wire::renew_answer& answer, time_point now) {
     m_is_draining = answer.draining();
     const absl::MutexLock lock(&m_mutex);
     // A version never goes down here, whatever an old answer says.
@@ -66,7 +66,7 @@
         m_fleet.set_owned({answer.owned().begin(), answer.owned().end()}, now);
     }
     m_loads.set_term(answer.term());
-    m_tasks.take_jobs(answer, now);
+    m_tasks.apply_jobs(answer, now);
     m_dispatcher.set_entries(read_entries(answer, m_data_centre));
     m_revision = answer.revision();
     serve_waiting(now);
@@ -106,7 +106,7 @@
             (*load.mutable_rates())[service] = static_cast<double>(count) / elapsed;
             count = 0;
         }
-        if (m_loads.take(load, now)) {
+        if (m_loads.mark_sent_if_due(load, now)) {
             *request.add_loads() = std::move(load);
         }
     }
@@ -205,64 +205,66 @@
 
 // ---- announcements
 
-entry_state::worker_standing entry_state::get_standing(const announcement& told) const {
+entry_state::worker_status entry_state::get_worker_status(const announcement& message) const {
     const absl::MutexLock lock(&m_mutex);
-    const auto found = m_fleet.get_workers().find(told.id);
+    const auto found = m_fleet.get_workers().find(message.id);
     if (found == m_fleet.get_workers().end()) {
-        return worker_standing::not_owned;
+        return worker_status::not_owned;
     }
     const auto& worker = found->second;
-    if (worker.address != told.address) {
-        return worker.is_silent ? worker_standing::owned_silent : worker_standing::changed_address;
+    if (worker.address != message.address) {
+        return worker.is_silent ? worker_status::owned_silent : worker_status::changed_address;
     }
     if (worker.is_silent) {
-        return worker_standing::owned_silent;
+        return worker_status::owned_silent;
     }
-    const bool is_changed = worker.logged_incarnation != told.incarnation ||
-                            worker.services != told.services || worker.ledger.get_capacity() != told.capacity;
-    return is_changed ? worker_standing::new_process : worker_standing::owned;
+    const bool is_changed = worker.logged_incarnation != message.incarnation ||
+                            worker.services != message.services ||
+                            worker.ledger.get_capacity() != message.capacity;
+    return is_changed ? worker_status::record_outdated : worker_status::owned;
 }
 
-std::vector<task_agent::reported_event> entry_state::take_announcement(const announcement& told,
+std::vector<task_agent::reported_event> entry_state::take_announcement(const announcement& message,
                                                                        std::int64_t wall_ms) {
     const absl::MutexLock lock(&m_mutex);
     const auto now = m_clock.now();
-    m_fleet.take_announcement(told, now);
-    auto events = m_tasks.on_announced(told, now, wall_ms);
+    m_fleet.take_announcement(message, now);
+    auto events = m_tasks.on_announced(message, now, wall_ms);
     serve_waiting(now);
     return events;
 }
 
-void entry_state::revive(const std::string& worker) {
+void entry_state::end_silence(const std::string& worker) {
     const absl::MutexLock lock(&m_mutex);
     if (auto* found = m_fleet.find(worker)) {
-        m_tasks.revive(*found, m_clock.now());
+        m_tasks.end_silence(*found, m_clock.now());
     }
 }
 
-void entry_state::fill_answer(const announcement& told, bool is_session_valid,
+void entry_state::fill_answer(const announcement& message, bool is_session_valid,
                               announce_answer& answer) const {
     const absl::MutexLock lock(&m_mutex);
     answer.interval = m_settings->system.announce_interval;
     answer.task_lease = m_settings->system.task_lease;
-    const auto found = m_fleet.get_workers().find(told.id);
+    const auto found = m_fleet.get_workers().find(message.id);
     if (found == m_fleet.get_workers().end()) {
         return;
     }
     const auto& worker = found->second;
     answer.epoch = worker.epoch;
-    answer.is_renewed = is_session_valid && told.epoch == worker.epoch && m_tasks.may_renew(worker);
-    const bool is_unsure = !m_tasks.may_renew(worker) || !worker.ledger.is_open();
-    answer.wants_complete = told.epoch < worker.epoch || is_unsure || task_agent::wants_list(worker);
+    answer.is_renewed = is_session_valid && message.epoch == worker.epoch && m_tasks.may_renew_leases(worker);
+    const bool is_unsure = !m_tasks.may_renew_leases(worker) || !worker.ledger.is_open();
+    answer.wants_complete =
+        message.epoch < worker.epoch || is_unsure || task_agent::needs_complete_list(worker);
 }
 
 // ---- upkeep
 
-entry_state::upkeep entry_state::tick(std::int64_t wall_ms) {
+entry_state::due_work entry_state::tick(std::int64_t wall_ms) {
     const absl::MutexLock lock(&m_mutex);
     const auto now = m_clock.now();
     m_fleet.tick(now);
-    upkeep due;
+    due_work due;
     due.events = m_tasks.get_events(now, m_settings->system.target_silence, wall_ms);
     due.actions = m_tasks.get_actions(now);
     serve_waiting(now);
@@ -295,7 +297,7 @@
     sum.waiting = m_dispatcher.get_waiting_count();
     sum.evictions = m_tasks.get_eviction_count();
     for (const auto& [id, worker] : m_fleet.get_workers()) {
-        sum.open_workers += worker.is_usable() ? 1 : 0;
+        sum.ready_workers += worker.is_usable() ? 1 : 0;
         sum.tasks += worker.tasks.size();
     }
     return sum;
--- a/poplarpitch/entry/entry_state.h
+++ b/poplarpitch/entry/entry_state.h
@@ -27,7 +27,7 @@
     entry_state(const std::string& id, std::string data_centre);
 
     /// Takes a renewal's answer: configuration, workers, jobs, other entries.
-    void take_renewal(const wire::renew_answer& answer, time_point now);
+    void apply_renewal(const wire::renew_answer& answer, time_point now);
     /// Returns the configuration in force here and its version.
     [[nodiscard]] std::shared_ptr<const configuration> get_configuration() const;
     [[nodiscard]] std::uint64_t get_config_version() const;
@@ -48,28 +48,29 @@
     std::optional<request_grant> try_hedge(const call_info& call, const std::string& first_worker);
 
     /// What an entry knows of a worker that announces itself.
-    enum class worker_standing : std::uint8_t {
+    enum class worker_status : std::uint8_t {
         not_owned,
         owned,
         owned_silent,
         changed_address,
-        new_process
+        record_outdated
     };
-    worker_standing get_standing(const announcement& told) const;
+    worker_status get_worker_status(const announcement& message) const;
     /// Takes an announcement of an owned worker; returns events for the log with the numbers of their
     /// reports.
-    std::vector<task_agent::reported_event> take_announcement(const announcement& told, std::int64_t wall_ms);
+    std::vector<task_agent::reported_event> take_announcement(const announcement& message,
+                                                              std::int64_t wall_ms);
     /// Takes a silent worker as heard again, after control has.
-    void revive(const std::string& worker);
+    void end_silence(const std::string& worker);
     /// Fills in the answer to an owned worker.
-    void fill_answer(const announcement& told, bool is_session_valid, announce_answer& answer) const;
+    void fill_answer(const announcement& message, bool is_session_valid, announce_answer& answer) const;
 
     /// Lets time pass; returns calls to workers and events for the log.
-    struct upkeep {
+    struct due_work {
         std::vector<task_action> actions;
         std::vector<wire::command> events;
     };
-    upkeep tick(std::int64_t wall_ms);
+    due_work tick(std::int64_t wall_ms);
     std::vector<wire::command> on_start_answered(const task_action& action, start_result answer,
                                                  std::int64_t wall_ms);
     void on_stop_answered(const task_action& action);
@@ -78,7 +79,7 @@
     /// Numbers for /metrics and /v1/status.
     struct counts {
         std::size_t workers = 0;
-        std::size_t open_workers = 0;
+        std::size_t ready_workers = 0;
         std::size_t waiting = 0;
         std::size_t tasks = 0;
         std::uint64_t evictions = 0;
--- a/poplarpitch/entry/event_batcher.h
+++ b/poplarpitch/entry/event_batcher.h
@@ -30,9 +30,9 @@
 };
 
 /// How long what is posted may wait for others.
-enum class batch_pace : std::uint8_t {
-    gather, ///< until the interval is over
-    now,    ///< not at all: a user waits; what was gathered goes along
+enum class flush_mode : std::uint8_t {
+    batched,   ///< until the interval is over
+    immediate, ///< not at all: a user waits; what was gathered goes along
 };
 
 /// Gathers what happens to tasks and brings it into the log with few calls, on one thread of its own. A call
@@ -54,12 +54,12 @@
 
     /// Queues events that belong together; `done` is called once, on the batcher's thread, or on this one
     /// when they are refused. Precondition: `events` is not empty.
-    void post(std::vector<wire::command>&& events, callback done, batch_pace pace = batch_pace::gather) {
+    void post(std::vector<wire::command>&& events, callback done, flush_mode mode = flush_mode::batched) {
         {
             const absl::MutexLock lock(&m_mutex);
-            if (!m_is_finished && m_count + events.size() <= m_settings.max_waiting) {
+            if (!m_is_finished && m_count + events.size() <= m_settings.max_queued) {
                 m_count += events.size();
-                m_is_pressed = m_is_pressed || pace == batch_pace::now;
+                m_is_flush_due = m_is_flush_due || mode == flush_mode::immediate;
                 m_groups.push_back({std::move(events), std::move(done)});
                 return;
             }
@@ -69,12 +69,12 @@
 
     /// Queues events and waits for what became of them, at most for the settings' `commit_wait`: then they
     /// may yet be committed.
-    outcome commit(std::vector<wire::command>&& events, batch_pace pace = batch_pace::gather) {
+    outcome commit(std::vector<wire::command>&& events, flush_mode mode = flush_mode::batched) {
         const auto slot = std::make_shared<answer_slot<outcome>>();
-        const auto take = [slot](const outcome& answer) {
+        const auto store_outcome = [slot](const outcome& answer) {
             slot->give(answer);
         };
-        post(std::move(events), take, pace);
+        post(std::move(events), store_outcome, mode);
         // Without control others wait in front, each for its own timeout.
         return slot->wait_for(m_settings.commit_wait).value_or(make_error_code(transport_errc::timed_out));
     }
@@ -107,15 +107,15 @@
     /// Waits for events and for their turn; empty once finished.
     std::vector<group> take_batch(time_point next_call) {
         const absl::MutexLock lock(&m_mutex);
-        const auto has_any = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
+        const auto has_events = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
             return m_count > 0 || m_is_finished;
         };
-        const auto has_many = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
-            return m_is_pressed || m_count >= m_settings.max_batch || m_is_finished;
+        const auto is_batch_due = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
+            return m_is_flush_due || m_count >= m_settings.max_batch || m_is_finished;
         };
-        m_mutex.Await(absl::Condition(&has_any));
+        m_mutex.Await(absl::Condition(&has_events));
         const auto wait = std::max<std::int64_t>((next_call - m_clock.now()).count(), 0);
-        m_mutex.AwaitWithTimeout(absl::Condition(&has_many), absl::Nanoseconds(wait));
+        m_mutex.AwaitWithTimeout(absl::Condition(&is_batch_due), absl::Nanoseconds(wait));
         std::vector<group> batch;
         std::size_t taken = 0;
         while (!m_groups.empty() && taken < m_settings.max_batch) {
@@ -124,7 +124,7 @@
             m_groups.pop_front();
         }
         m_count -= taken;
-        m_is_pressed = m_is_pressed && !m_groups.empty();
+        m_is_flush_due = m_is_flush_due && !m_groups.empty();
         return batch;
     }
 
@@ -134,15 +134,15 @@
             std::move(item.events.begin(), item.events.end(), std::back_inserter(events));
         }
         auto answer = m_control.propose_batch(events, m_clock.now() + m_settings.commit_timeout);
-        std::size_t place = 0;
+        std::size_t offset = 0;
         for (const auto& item : batch) {
             if (!answer) {
                 item.done(answer.error());
                 continue;
             }
-            const auto first = answer.value().begin() + static_cast<std::ptrdiff_t>(place);
-            place += item.events.size();
-            const auto last = answer.value().begin() + static_cast<std::ptrdiff_t>(place);
+            const auto first = answer.value().begin() + static_cast<std::ptrdiff_t>(offset);
+            offset += item.events.size();
+            const auto last = answer.value().begin() + static_cast<std::ptrdiff_t>(offset);
             item.done(std::vector<wire::command_result>(std::make_move_iterator(first),
                                                         std::make_move_iterator(last)));
         }
@@ -153,8 +153,8 @@
     const system_clock m_clock{};
     absl::Mutex m_mutex;
     std::deque<group> m_groups ABSL_GUARDED_BY(m_mutex);
-    std::size_t m_count ABSL_GUARDED_BY(m_mutex) = 0;   ///< events of the groups
-    bool m_is_pressed ABSL_GUARDED_BY(m_mutex) = false; ///< a waiting group must not wait
+    std::size_t m_count ABSL_GUARDED_BY(m_mutex) = 0;     ///< events of the groups
+    bool m_is_flush_due ABSL_GUARDED_BY(m_mutex) = false; ///< a waiting group must not wait
     bool m_is_finished ABSL_GUARDED_BY(m_mutex) = false;
     std::thread m_sender; ///< last: starts when everything else stands
 };
--- a/poplarpitch/entry/event_batcher_settings.h
+++ b/poplarpitch/entry/event_batcher_settings.h
@@ -14,7 +14,7 @@
     duration commit_timeout = seconds{2}; ///< of one call; its events are told again by whoever raised them
     duration commit_wait = seconds{5};    ///< longest that a caller of `commit` waits
     std::size_t max_batch = 256;          ///< events of one call; that many go without waiting
-    std::size_t max_waiting = 4096;       ///< events that wait; more are refused: without control they add up
+    std::size_t max_queued = 4096;        ///< events that wait; more are refused: without control they add up
 
     friend auto operator<=>(const event_batcher_settings&, const event_batcher_settings&) = default;
 };
--- a/poplarpitch/entry/forward_router.cpp
+++ b/poplarpitch/entry/forward_router.cpp
@@ -11,13 +11,13 @@
     });
 }
 
-std::optional<remote_entry> forward_router::pick(const std::string& service, bool needs_room) {
+std::optional<remote_entry> forward_router::pick(const std::string& service, bool needs_free_slot) {
     std::vector<remote_entry*> near;
     std::vector<remote_entry*> far;
     for (auto& entry : m_entries) {
         const auto found = entry.services.find(service);
         if (found == entry.services.end() || found->second.total <= 0 ||
-            (needs_room && found->second.free <= 0)) {
+            (needs_free_slot && found->second.free <= 0)) {
             continue;
         }
         (entry.is_near ? near : far).push_back(&entry);
--- a/poplarpitch/entry/forward_router.h
+++ b/poplarpitch/entry/forward_router.h
@@ -18,9 +18,9 @@
 
     /// Takes what the entries advertise.
     void set_entries(std::vector<remote_entry> entries) { m_entries = std::move(entries); }
-    /// Returns the entry for a request of `service`; with `needs_room` only one with a free slot. Counts the
-    /// request against what the entry advertised, until the next advertisement.
-    std::optional<remote_entry> pick(const std::string& service, bool needs_room);
+    /// Returns the entry for a request of `service`; with `needs_free_slot` only one with a free slot. Counts
+    /// the request against what the entry advertised, until the next advertisement.
+    std::optional<remote_entry> pick(const std::string& service, bool needs_free_slot);
     /// Returns true when some other entry advertises slots for `service`, free or not.
     [[nodiscard]] bool has_slots(const std::string& service) const;
 
--- a/poplarpitch/entry/hedge_timer.cpp
+++ b/poplarpitch/entry/hedge_timer.cpp
@@ -6,7 +6,8 @@
 
 namespace poplarpitch {
 
-hedge_timer::hedge_timer(int max_threads) : m_threads(max_threads), m_waiter([this] { wait_and_run(); }) {}
+hedge_timer::hedge_timer(int max_threads)
+    : m_threads(max_threads), m_timer_thread([this] { wait_and_run(); }) {}
 
 hedge_timer::~hedge_timer() {
     {
@@ -14,16 +15,16 @@
         m_is_stopped = true;
         m_changed.Signal();
     }
-    m_waiter.join();
+    m_timer_thread.join();
     m_threads.finish();
 }
 
 std::uint64_t hedge_timer::schedule(time_point due, std::function<void()> work) {
     const absl::MutexLock lock(&m_mutex);
-    const auto id = ++m_last;
+    const auto id = ++m_last_id;
     const bool is_first = m_items.empty() || due < m_items.begin()->first;
     m_items.emplace(due, item{id, std::move(work)});
-    m_due.emplace(id, due);
+    m_due_times.emplace(id, due);
     if (is_first) {
         m_changed.Signal();
     }
@@ -32,18 +33,18 @@
 
 bool hedge_timer::cancel(std::uint64_t id) {
     const absl::MutexLock lock(&m_mutex);
-    const auto known = m_due.find(id);
-    if (known == m_due.end()) {
+    const auto known = m_due_times.find(id);
+    if (known == m_due_times.end()) {
         return false;
     }
     const auto [begin, end] = m_items.equal_range(known->second);
-    for (auto place = begin; place != end; ++place) {
-        if (place->second.id == id) {
-            m_items.erase(place);
+    for (auto candidate = begin; candidate != end; ++candidate) {
+        if (candidate->second.id == id) {
+            m_items.erase(candidate);
             break;
         }
     }
-    m_due.erase(known);
+    m_due_times.erase(known);
     return true;
 }
 
@@ -61,7 +62,7 @@
             continue;
         }
         auto node = m_items.extract(m_items.begin());
-        m_due.erase(node.mapped().id);
+        m_due_times.erase(node.mapped().id);
         m_threads.run(std::move(node.mapped().work));
     }
 }
--- a/poplarpitch/entry/hedge_timer.h
+++ b/poplarpitch/entry/hedge_timer.h
@@ -39,10 +39,10 @@
     absl::Mutex m_mutex;
     absl::CondVar m_changed;
     std::multimap<time_point, item> m_items ABSL_GUARDED_BY(m_mutex);
-    std::map<std::uint64_t, time_point> m_due ABSL_GUARDED_BY(m_mutex); ///< by number
-    std::uint64_t m_last ABSL_GUARDED_BY(m_mutex) = 0;
+    std::map<std::uint64_t, time_point> m_due_times ABSL_GUARDED_BY(m_mutex); ///< by number
+    std::uint64_t m_last_id ABSL_GUARDED_BY(m_mutex) = 0;
     bool m_is_stopped ABSL_GUARDED_BY(m_mutex) = false;
-    std::thread m_waiter;
+    std::thread m_timer_thread;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/hedged_call.h
+++ b/poplarpitch/entry/hedged_call.h
@@ -44,13 +44,13 @@
 
     /// Called by the first copy after its end: waits for a second copy that still runs, ends the race, and
     /// returns the winner's answer, if there is one.
-    std::optional<Answer> take_answer() {
+    std::optional<Answer> wait_for_answer() {
         const absl::MutexLock lock(&m_mutex);
         // Even a race that is won waits for the second copy's thread: it uses the request.
-        const auto is_settled = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
+        const auto is_second_done = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
             return !m_is_second_running;
         };
-        m_mutex.Await(absl::Condition(&is_settled));
+        m_mutex.Await(absl::Condition(&is_second_done));
         m_is_over = true;
         return std::move(m_answer);
     }
--- a/poplarpitch/entry/job_codec.cpp
+++ b/poplarpitch/entry/job_codec.cpp
@@ -14,15 +14,16 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t max_id = 128;
-constexpr std::size_t max_payload = 64 << 10;
+constexpr std::size_t max_id_length = 128;
+constexpr std::size_t max_payload_bytes = 64 << 10;
 constexpr std::int64_t max_amount = 1LL << 50;
 
 bool is_id(const std::string& text) {
-    return !text.empty() && text.size() <= max_id && std::all_of(text.begin(), text.end(), [](char letter) {
-        return std::isalnum(static_cast<unsigned char>(letter)) != 0 || letter == '-' || letter == '_' ||
-               letter == '.' || letter == ':';
-    });
+    return !text.empty() && text.size() <= max_id_length &&
+           std::all_of(text.begin(), text.end(), [](char letter) {
+               return std::isalnum(static_cast<unsigned char>(letter)) != 0 || letter == '-' ||
+                      letter == '_' || letter == '.' || letter == ':';
+           });
 }
 
 /// Reads whole numbers of `object` into `target` and notes the first mistake.
@@ -92,7 +93,7 @@
         return codec_error{absl::StrCat("no batch class is called '", job.batch(), "'")};
     }
     job.set_payload(get_text("payload"));
-    if (job.payload().size() > max_payload) {
+    if (job.payload().size() > max_payload_bytes) {
         return codec_error{"'payload' is larger than 64 KB"};
     }
     auto need = batch->need;
--- a/poplarpitch/entry/job_handler.cpp
+++ b/poplarpitch/entry/job_handler.cpp
@@ -13,8 +13,8 @@
 
 using json = nlohmann::json;
 
-constexpr duration control_wait = seconds{5};
-constexpr std::size_t max_many = 256; // jobs of one call, which share one commit
+constexpr duration control_timeout = seconds{5};
+constexpr std::size_t max_jobs_per_call = 256; // jobs of one call, which share one commit
 
 /// Returns the array under `key` of a JSON object, or null when there is none of a fair size.
 json read_array(const std::string& body, const char* key) {
@@ -23,14 +23,14 @@
         return nullptr;
     }
     const auto& array = object[key];
-    const bool is_fair = array.is_array() && !array.empty() && array.size() <= max_many;
-    return is_fair ? array : json(nullptr);
+    const bool is_valid_size = array.is_array() && !array.empty() && array.size() <= max_jobs_per_call;
+    return is_valid_size ? array : json(nullptr);
 }
 
 http_response make_array_error(const char* key) {
     return make_error_response(400, "bad_jobs",
-                               absl::StrCat("the body must be {\"", key, "\":[...]} with 1 to ", max_many,
-                                            " items and no other key"));
+                               absl::StrCat("the body must be {\"", key, "\":[...]} with 1 to ",
+                                            max_jobs_per_call, " items and no other key"));
 }
 
 json describe_refusal(const std::string& id, int status, const std::string& code,
@@ -63,28 +63,28 @@
     : m_state(state), m_control(control), m_events(events) {}
 
 http_response job_handler::handle(const http_request& request, const std::vector<std::string>& parts) {
-    const auto is = [&](const char* method, std::size_t size) {
+    const auto matches = [&](const char* method, std::size_t size) {
         return request.method == method && parts.size() == size;
     };
-    if (is("POST", 2)) {
+    if (matches("POST", 2)) {
         return submit(request);
     }
-    if (is("POST", 3) && parts[2] == "submit") {
+    if (matches("POST", 3) && parts[2] == "submit") {
         return submit_many(request);
     }
-    if (is("POST", 3) && parts[2] == "cancel") {
+    if (matches("POST", 3) && parts[2] == "cancel") {
         return cancel_many(request);
     }
-    if (is("GET", 2)) {
+    if (matches("GET", 2)) {
         return list(request);
     }
-    if (is("GET", 3)) {
+    if (matches("GET", 3)) {
         return get(parts[2]);
     }
-    if (is("DELETE", 3)) {
+    if (matches("DELETE", 3)) {
         return cancel(parts[2]);
     }
-    if (is("POST", 4) && parts[3] == "resolve") {
+    if (matches("POST", 4) && parts[3] == "resolve") {
         return resolve(parts[2], request);
     }
     return make_error_response(404, "not_found", "no such path or method for jobs");
@@ -92,8 +92,8 @@
 
 // ---- one job
 
-http_response job_handler::answer_job(const wire::command& command, int success_status) {
-    const auto outcomes = m_events.commit({command}, batch_pace::now);
+http_response job_handler::commit_job_command(const wire::command& command, int success_status) {
+    const auto outcomes = m_events.commit({command}, flush_mode::immediate);
     if (!outcomes) {
         return make_control_error(outcomes.error());
     }
@@ -112,14 +112,14 @@
     if (const auto* error = std::get_if<codec_error>(&decoded)) {
         return make_error_response(400, "bad_job", error->message);
     }
-    return answer_job(make_submit(std::move(std::get<wire::job>(decoded))), 202);
+    return commit_job_command(make_submit(std::move(std::get<wire::job>(decoded))), 202);
 }
 
 http_response job_handler::get(const std::string& id) {
     wire::query_request query;
     query.set_kind(wire::query_job);
     query.set_name(id);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -136,7 +136,7 @@
     query.set_kind(wire::query_jobs);
     query.set_name(request.get_query("tenant"));
     query.set_stale_allowed(false);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -156,7 +156,7 @@
 }
 
 http_response job_handler::cancel(const std::string& id) {
-    return answer_job(make_cancel(id), 202);
+    return commit_job_command(make_cancel(id), 202);
 }
 
 http_response job_handler::resolve(const std::string& id, const http_request& request) {
@@ -173,7 +173,7 @@
     } else {
         return make_error_response(400, "bad_action", "action must be rerun, done or failed");
     }
-    return answer_job(command, 200);
+    return commit_job_command(command, 200);
 }
 
 // ---- many jobs
@@ -197,7 +197,7 @@
         }
         commands.push_back(make_submit(std::move(std::get<wire::job>(decoded))));
     }
-    return answer_many(std::move(commands), std::move(refused));
+    return commit_job_commands(std::move(commands), std::move(refused));
 }
 
 http_response job_handler::cancel_many(const http_request& request) {
@@ -215,10 +215,10 @@
             refused.push_back(describe_refusal("", 400, "bad_id", "an id must be a text"));
         }
     }
-    return answer_many(std::move(commands), std::move(refused));
+    return commit_job_commands(std::move(commands), std::move(refused));
 }
 
-http_response job_handler::answer_many(std::vector<wire::command>&& commands, json&& items) {
+http_response job_handler::commit_job_commands(std::vector<wire::command>&& commands, json&& items) {
     if (commands.empty()) {
         return make_json({{"jobs", items}});
     }
@@ -227,19 +227,19 @@
     for (const auto& command : commands) {
         ids.push_back(get_job_id(command));
     }
-    const auto outcomes = m_events.commit(std::move(commands), batch_pace::now);
+    const auto outcomes = m_events.commit(std::move(commands), flush_mode::immediate);
     if (!outcomes) {
         return make_control_error(outcomes.error());
     }
-    for (std::size_t place = 0; place < ids.size(); ++place) {
-        const auto& outcome = outcomes.value()[place];
+    for (std::size_t index = 0; index < ids.size(); ++index) {
+        const auto& outcome = outcomes.value()[index];
         if (outcome.code() != 0) {
-            items.push_back(describe_refusal(ids[place], get_status_of(outcome), get_code_name(outcome),
+            items.push_back(describe_refusal(ids[index], get_http_status(outcome), get_code_name(outcome),
                                              outcome.message()));
             continue;
         }
         constexpr int accepted = 202;
-        items.push_back({{"id", ids[place]},
+        items.push_back({{"id", ids[index]},
                          {"status", accepted},
                          {"state", get_job_state_name(outcome.job_record().state())}});
     }
--- a/poplarpitch/entry/job_handler.h
+++ b/poplarpitch/entry/job_handler.h
@@ -35,9 +35,9 @@
     http_response cancel(const std::string& id);
     http_response resolve(const std::string& id, const http_request& request);
     /// Commits one command and answers with its job.
-    http_response answer_job(const wire::command& command, int success_status);
+    http_response commit_job_command(const wire::command& command, int success_status);
     /// Commits commands and answers with one item for each; `items` holds those that were refused already.
-    http_response answer_many(std::vector<wire::command>&& commands, nlohmann::json&& items);
+    http_response commit_job_commands(std::vector<wire::command>&& commands, nlohmann::json&& items);
 
     entry_state& m_state;
     control_client& m_control;
--- a/poplarpitch/entry/load_reporter.cpp
+++ b/poplarpitch/entry/load_reporter.cpp
@@ -41,7 +41,7 @@
     }
 }
 
-bool load_reporter::take(const wire::worker_load& load, time_point now) {
+bool load_reporter::mark_sent_if_due(const wire::worker_load& load, time_point now) {
     auto& sent = m_sent[load.worker()];
     const bool is_first = sent.at == time_point{};
     if (!is_first && now - sent.at < repeat_after && !is_changed(load, sent.load)) {
--- a/poplarpitch/entry/load_reporter.h
+++ b/poplarpitch/entry/load_reporter.h
@@ -17,7 +17,7 @@
     /// Takes the term of the leader that granted the last renewal; a change makes everything new.
     void set_term(std::uint64_t term);
     /// Returns true when `load` is to be sent, and takes it as sent.
-    bool take(const wire::worker_load& load, time_point now);
+    bool mark_sent_if_due(const wire::worker_load& load, time_point now);
     /// Forgets a worker; its next load is sent.
     void forget(const std::string& worker);
 
--- a/poplarpitch/entry/operator_answers.cpp
+++ b/poplarpitch/entry/operator_answers.cpp
@@ -26,10 +26,10 @@
 }
 
 http_response make_state_error(const wire::command_result& outcome) {
-    return make_error_response(get_status_of(outcome), get_code_name(outcome), outcome.message());
+    return make_error_response(get_http_status(outcome), get_code_name(outcome), outcome.message());
 }
 
-int get_status_of(const wire::command_result& outcome) {
+int get_http_status(const wire::command_result& outcome) {
     if (outcome.code() == 0) {
         return 200;
     }
--- a/poplarpitch/entry/operator_answers.h
+++ b/poplarpitch/entry/operator_answers.h
@@ -21,7 +21,7 @@
 [[nodiscard]] http_response make_state_error(const wire::command_result& outcome);
 
 /// Returns the HTTP status for a command's outcome; 200 for success.
-[[nodiscard]] int get_status_of(const wire::command_result& outcome);
+[[nodiscard]] int get_http_status(const wire::command_result& outcome);
 /// Returns the error code that users see for a command's outcome.
 [[nodiscard]] std::string get_code_name(const wire::command_result& outcome);
 
--- a/poplarpitch/entry/operator_handler.cpp
+++ b/poplarpitch/entry/operator_handler.cpp
@@ -21,8 +21,8 @@
 
 using json = nlohmann::json;
 
-constexpr duration control_wait = seconds{5};
-constexpr std::size_t max_config = 1 << 20;
+constexpr duration control_timeout = seconds{5};
+constexpr std::size_t max_config_bytes = 1 << 20;
 
 /// Reads `"12"`, `12` or `W/"12"`.
 bool read_version(std::string text, std::uint64_t& version) {
@@ -46,37 +46,37 @@
 http_response operator_handler::handle(const http_request& request) {
     const auto path = request.get_path();
     const std::vector<std::string> parts = absl::StrSplit(path, '/', absl::SkipEmpty());
-    const auto is = [&](const char* method, std::size_t size, const char* kind) {
+    const auto matches = [&](const char* method, std::size_t size, const char* kind) {
         return request.method == method && parts.size() == size && parts[1] == kind;
     };
     if (parts.size() < 2 || parts[0] != "v1") {
         return make_error_response(404, "not_found", "no such path");
     }
-    if (is("GET", 2, "config")) {
+    if (matches("GET", 2, "config")) {
         return get_config(request);
     }
-    if (is("PUT", 2, "config")) {
+    if (matches("PUT", 2, "config")) {
         return put_config(request);
     }
-    if (is("GET", 3, "config") && parts[2] == "history") {
+    if (matches("GET", 3, "config") && parts[2] == "history") {
         return get_history();
     }
     if (parts[1] == "jobs") {
         return m_jobs.handle(request, parts);
     }
-    if (is("GET", 2, "status")) {
+    if (matches("GET", 2, "status")) {
         return get_status();
     }
-    if (is("GET", 2, "workers")) {
+    if (matches("GET", 2, "workers")) {
         return get_workers();
     }
-    if (is("GET", 2, "members")) {
+    if (matches("GET", 2, "members")) {
         return get_members();
     }
-    if (is("POST", 4, "members")) {
+    if (matches("POST", 4, "members")) {
         return change_member(parts[2], parts[3]);
     }
-    if (is("GET", 2, "snapshot")) {
+    if (matches("GET", 2, "snapshot")) {
         return get_snapshot();
     }
     return make_error_response(404, "not_found",
@@ -94,7 +94,7 @@
         return make_error_response(400, "bad_version", "version must be a number");
     }
     query.set_version(version);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -118,7 +118,7 @@
         return make_error_response(428, "version_required",
                                    "If-Match must name the version this change was made for");
     }
-    if (request.body.size() > max_config) {
+    if (request.body.size() > max_config_bytes) {
         return make_error_response(413, "body_too_large", "a configuration has at most 1 MB");
     }
     const auto parsed = parse_configuration(request.body);
@@ -143,7 +143,7 @@
     }
     change.set_author(request.headers.get("Poplarpitch-Author"));
     change.set_at_ms(get_wall_ms());
-    const auto outcome = m_control.propose(command, m_clock.now() + control_wait);
+    const auto outcome = m_control.propose(command, m_clock.now() + control_timeout);
     if (!outcome) {
         return make_control_error(outcome.error());
     }
@@ -154,7 +154,7 @@
     if (outcome.value().code() != 0) {
         body["error"] = {{"code", get_code_name(outcome.value())}, {"message", outcome.value().message()}};
     }
-    auto response = make_json(body, get_status_of(outcome.value()));
+    auto response = make_json(body, get_http_status(outcome.value()));
     response.headers.add("ETag", absl::StrCat("\"", present.version(), "\""));
     return response;
 }
@@ -162,7 +162,7 @@
 http_response operator_handler::get_history() {
     wire::query_request query;
     query.set_kind(wire::query_history);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -178,12 +178,12 @@
 http_response operator_handler::get_status() {
     wire::query_request query;
     query.set_kind(wire::query_status);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     const auto counts = m_state.get_counts();
     json body = {{"entry", m_entry_id},
                  {"config_version_here", m_state.get_config_version()},
                  {"owned_workers", counts.workers},
-                 {"ready_workers", counts.open_workers},
+                 {"ready_workers", counts.ready_workers},
                  {"waiting_requests", counts.waiting},
                  {"tasks_here", counts.tasks},
                  {"evictions_here", counts.evictions}};
@@ -214,7 +214,7 @@
 http_response operator_handler::get_workers() {
     wire::query_request query;
     query.set_kind(wire::query_workers);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     json body = {{"entry", m_entry_id}, {"owned_here", json::parse(m_state.describe_workers())}};
     if (!answer) {
         body["error"] = answer.error().message();
@@ -237,7 +237,7 @@
 http_response operator_handler::get_members() {
     wire::query_request query;
     query.set_kind(wire::query_members);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -269,7 +269,7 @@
     }
     wire::query_request query;
     query.set_kind(wire::query_members);
-    const auto members = m_control.query(query, m_clock.now() + control_wait);
+    const auto members = m_control.query(query, m_clock.now() + control_timeout);
     if (!members) {
         return make_control_error(members.error());
     }
@@ -281,7 +281,7 @@
         command.mutable_drain()->set_entry(entry);
         command.mutable_drain()->set_incarnation(session.incarnation()); // not a process that came meanwhile
         command.mutable_drain()->set_resumed(verb == "resume");
-        const auto outcome = m_control.propose(command, m_clock.now() + control_wait);
+        const auto outcome = m_control.propose(command, m_clock.now() + control_timeout);
         if (!outcome) {
             return make_control_error(outcome.error());
         }
@@ -307,7 +307,7 @@
     } else {
         return make_error_response(404, "unknown_verb", "use add, promote, remove, drain or lead");
     }
-    const auto answer = m_control.change_members(request, m_clock.now() + control_wait);
+    const auto answer = m_control.change_members(request, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -320,7 +320,7 @@
 http_response operator_handler::get_snapshot() {
     wire::query_request query;
     query.set_kind(wire::query_snapshot);
-    auto answer = m_control.query(query, m_clock.now() + control_wait);
+    auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
--- a/poplarpitch/entry/owned_fleet.cpp
+++ b/poplarpitch/entry/owned_fleet.cpp
@@ -10,9 +10,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double slowdown_memory = 40; // requests after which an old slowdown has faded
-constexpr double slowdown_cut = 10;    // one stuck request must not climb the ladder alone
-constexpr double peak_fade = 0.9;      // per tick
+constexpr double slowdown_window_requests = 40; // requests after which an old slowdown has faded
+constexpr double max_slowdown_sample = 10;      // one stuck request must not climb the ladder alone
+constexpr double peak_decay_factor = 0.9;       // per tick
 
 /// Returns how many times `need` fits into `free`.
 std::int32_t count_fits(const resources& free, const resources& need) {
@@ -139,12 +139,12 @@
 
 // ---- announcements
 
-void owned_fleet::take_announcement(const announcement& told, time_point now) {
-    auto* worker = find(told.id);
+void owned_fleet::take_announcement(const announcement& message, time_point now) {
+    auto* worker = find(message.id);
     if (worker == nullptr) {
         return;
     }
-    if (told.incarnation != worker->incarnation) {
+    if (message.incarnation != worker->incarnation) {
         // The process that ran the doubtful requests is gone, and its numbers with it.
         for (const auto& [grant, doubt] : worker->doubtful) {
             worker->ledger.release(grant);
@@ -152,31 +152,31 @@
         }
         worker->doubtful.clear();
         worker->ledger.set_open(false);
-    } else if (told.sequence < worker->sequence) {
+    } else if (message.sequence < worker->sequence) {
         return; // late: a newer one has been taken
     }
-    worker->sequence = told.sequence;
+    worker->sequence = message.sequence;
     worker->last_heard = now;
-    worker->incarnation = told.incarnation;
-    worker->is_leaving = told.is_leaving;
-    if (told.epoch == worker->epoch) {
-        worker->ledger.set_capacity(told.capacity);
-        worker->ledger.set_foreign(told.old_work);
-        clear_doubts(*worker, told);
+    worker->incarnation = message.incarnation;
+    worker->is_leaving = message.is_leaving;
+    if (message.epoch == worker->epoch) {
+        worker->ledger.set_capacity(message.capacity);
+        worker->ledger.set_foreign(message.old_work);
+        release_ended_requests(*worker, message);
         // The complete list under this epoch is the proof that nothing unknown runs there. Control must know
         // the process first: an assignment names it.
-        if (told.is_complete && told.incarnation == worker->logged_incarnation && !worker->is_silent) {
+        if (message.is_complete && message.incarnation == worker->logged_incarnation && !worker->is_silent) {
             worker->ledger.set_open(true);
         }
     }
     refresh(*worker, now);
 }
 
-void owned_fleet::clear_doubts(owned_worker& worker, const announcement& told) {
+void owned_fleet::release_ended_requests(owned_worker& worker, const announcement& message) {
     std::erase_if(worker.doubtful, [&](const auto& item) {
-        const bool is_listed =
-            std::find(told.requests.begin(), told.requests.end(), item.second.request) != told.requests.end();
-        if (is_listed || told.sequence <= item.second.sequence) {
+        const bool is_listed = std::find(message.requests.begin(), message.requests.end(),
+                                         item.second.request) != message.requests.end();
+        if (is_listed || message.sequence <= item.second.sequence) {
             return false;
         }
         worker.ledger.release(item.first);
@@ -245,14 +245,14 @@
     --worker->outstanding;
     if (ended == attempt_result::answered) {
         worker->health.on_success();
-        learn(*worker, grant, latency);
+        update_models(*worker, grant, latency);
     } else if (ended != attempt_result::refused) {
         worker->health.on_failure(now);
     }
     refresh_counts(*worker, now);
 }
 
-void owned_fleet::learn(owned_worker& worker, const request_grant& grant, duration latency) {
+void owned_fleet::update_models(owned_worker& worker, const request_grant& grant, duration latency) {
     const auto service = m_models.services.get(grant.service);
     const double time_us = to_microseconds(latency);
     const double base_us = m_models.speed.get_base_us(service) * m_models.speed.get_factor(worker.number);
@@ -262,7 +262,7 @@
     }
     const double ratio = time_us / base_us;
     m_models.interference.add(service, get_co_runners(worker), ratio);
-    worker.slowdown += (std::min(ratio, slowdown_cut) - worker.slowdown) / slowdown_memory;
+    worker.slowdown += (std::min(ratio, max_slowdown_sample) - worker.slowdown) / slowdown_window_requests;
 }
 
 // ---- tasks
@@ -317,13 +317,13 @@
 
 void owned_fleet::tick(time_point now) {
     const auto fade = [](std::int64_t value) {
-        return static_cast<std::int64_t>(static_cast<double>(value) * peak_fade);
+        return static_cast<std::int64_t>(static_cast<double>(value) * peak_decay_factor);
     };
     for (auto& [id, worker] : m_workers) {
         auto& peak = worker.request_peak;
         peak = {fade(peak.slots), fade(peak.millicores), fade(peak.memory), fade(peak.accelerators)};
         if (worker.outstanding == 0) {
-            worker.slowdown += (1 - worker.slowdown) / slowdown_memory;
+            worker.slowdown += (1 - worker.slowdown) / slowdown_window_requests;
         }
         refresh(worker, now);
     }
--- a/poplarpitch/entry/owned_fleet.h
+++ b/poplarpitch/entry/owned_fleet.h
@@ -35,7 +35,7 @@
 
     /// Takes what a worker says of itself; opens its ledger when the list is complete under the present
     /// epoch. Precondition: it is owned here.
-    void take_announcement(const announcement& told, time_point now);
+    void take_announcement(const announcement& message, time_point now);
 
     /// Picks the best worker for a request and takes a slot on it.
     std::optional<request_grant> start_request(const std::string& service, const std::string& tenant,
@@ -77,8 +77,8 @@
     void refresh_counts(owned_worker& worker, time_point now);
     /// Brings expected times up to date after a change of its tasks.
     void refresh_factors(owned_worker& worker);
-    void clear_doubts(owned_worker& worker, const announcement& told);
-    void learn(owned_worker& worker, const request_grant& grant, duration latency);
+    void release_ended_requests(owned_worker& worker, const announcement& message);
+    void update_models(owned_worker& worker, const request_grant& grant, duration latency);
     grant_id make_grant_id() { return ++m_last_grant; }
 
     std::string m_entry_id;
--- a/poplarpitch/entry/owned_task.h
+++ b/poplarpitch/entry/owned_task.h
@@ -11,9 +11,9 @@
 
 /// How far an entry has come with a task on a worker it owns.
 enum class task_phase : std::uint8_t {
-    to_start, ///< assigned under this epoch; not sent yet
-    starting, ///< sent; no answer yet
-    unseen,   ///< of an earlier owner; the worker has not said yet whether it runs
+    to_start,    ///< assigned under this epoch; not sent yet
+    starting,    ///< sent; no answer yet
+    unconfirmed, ///< of an earlier owner; the worker has not said yet whether it runs
     running,
     stopping,    ///< told to stop, for a cancellation
     evicting,    ///< told to checkpoint and stop
@@ -36,13 +36,13 @@
     bool is_urgent = false;
     bool is_throttled = false;
     int evictions = 0;
-    std::uint64_t incarnation = 0;   ///< of the worker's process when it was assigned
-    bool is_lost_in_log = false;     ///< control waits for its lease to end
-    bool is_running_in_log = false;  ///< control knows that it was started
-    bool is_maybe_sent = false;      ///< a start was sent whose answer is lost or still to come
-    bool is_doubted = false;         ///< its worker was silent: control may count it as lost
-    bool is_stop_answered = false;   ///< while it is withdrawn: no start is carried out any more
-    std::uint64_t stop_sequence = 0; ///< newest announcement that may be older than that answer
+    std::uint64_t incarnation = 0;     ///< of the worker's process when it was assigned
+    bool is_lost_in_log = false;       ///< control waits for its lease to end
+    bool is_running_in_log = false;    ///< control knows that it was started
+    bool has_unanswered_start = false; ///< a start was sent whose answer is lost or still to come
+    bool is_possibly_lost = false;     ///< its worker was silent: control may count it as lost
+    bool is_stop_answered = false;     ///< while it is withdrawn: no start is carried out any more
+    std::uint64_t stop_sequence = 0;   ///< newest announcement that may be older than that answer
     task_phase phase = task_phase::to_start;
     grant_id grant = 0; ///< in the worker's ledger; 0 while it holds nothing
     time_point since{}; ///< when the phase began
--- a/poplarpitch/entry/request_dispatcher.cpp
+++ b/poplarpitch/entry/request_dispatcher.cpp
@@ -7,8 +7,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration shortest_retry_after = milliseconds{200};
-constexpr duration longest_retry_after = seconds{10};
+constexpr duration min_retry_after = milliseconds{200};
+constexpr duration max_retry_after = seconds{10};
 constexpr std::uint64_t hedge_samples = 100; // too few say nothing about the 95th percentile
 constexpr std::uint64_t estimate_samples = 20;
 
@@ -55,7 +55,7 @@
         return *refused;
     }
     state.retries.add_attempt();
-    auto decision = admit_here(call, state, now);
+    auto decision = admit_locally(call, state, now);
     if (!std::holds_alternative<refusal>(decision)) {
         ++m_tenant_load[call.tenant];
     }
@@ -68,19 +68,19 @@
     if (m_tenant_load[call.tenant] >= limit) {
         return refusal{429, "tenant_limit",
                        absl::StrCat("tenant '", call.tenant, "' has ", limit, " requests here"),
-                       shortest_retry_after};
+                       min_retry_after};
     }
     const auto missing = m_dependencies->find_unavailable(
         call.service, [this](const std::string& need) { return can_serve(need); });
     if (!missing.empty()) {
-        return make_busy(state, "dependency_down",
-                         absl::StrCat("service '", missing, "', which it needs, is down"));
+        return make_retryable_refusal(state, "dependency_down",
+                                      absl::StrCat("service '", missing, "', which it needs, is down"));
     }
     return std::nullopt;
 }
 
-admission_decision request_dispatcher::admit_here(const call_info& call, service_state& state,
-                                                  time_point now) {
+admission_decision request_dispatcher::admit_locally(const call_info& call, service_state& state,
+                                                     time_point now) {
     // 1. A free slot on an owned worker, unless others wait for one already.
     const bool is_below_limit = state.running < static_cast<int>(state.limit.get_limit());
     if (state.queue.get_size() == 0 && is_below_limit) {
@@ -101,15 +101,15 @@
         if (entry.has_value()) {
             return forward_decision{entry->id, entry->address};
         }
-        return make_busy(state, "no_target",
-                         absl::StrCat("no target serves '", call.service, "' at present"));
+        return make_retryable_refusal(state, "no_target",
+                                      absl::StrCat("no target serves '", call.service, "' at present"));
     }
     if (static_cast<std::int64_t>(state.queue.get_size()) >= state.settings.max_queue) {
-        return make_busy(state, "queue_full", "too many requests wait already");
+        return make_retryable_refusal(state, "queue_full", "too many requests wait already");
     }
-    const auto finish = now + estimate_wait(state, call.deadline) + state.latency.get_p99();
-    if (finish > call.deadline) {
-        return make_busy(state, "too_late", "it could not end before its deadline");
+    const auto expected_end = now + estimate_wait(state, call.deadline) + state.latency.get_p99();
+    if (expected_end > call.deadline) {
+        return make_retryable_refusal(state, "too_late", "it could not end before its deadline");
     }
     const admission_ticket ticket{++m_last_ticket, call.tenant, call.deadline};
     state.queue.push(ticket);
@@ -126,13 +126,13 @@
     return state.latency.get_median() * ahead / slots;
 }
 
-refusal request_dispatcher::make_busy(const service_state& state, const std::string& code,
-                                      const std::string& text) const {
+refusal request_dispatcher::make_retryable_refusal(const service_state& state, const std::string& code,
+                                                   const std::string& text) const {
     // Come back when what waits now is through.
     const auto slots = std::max<std::int64_t>(m_fleet.get_total_slots(state.settings.name), 1);
     const auto backlog = static_cast<std::int64_t>(state.queue.get_size()) + 1;
-    const auto clear = state.latency.get_median() * backlog / slots;
-    return {503, code, text, std::clamp<duration>(clear, shortest_retry_after, longest_retry_after)};
+    const auto backlog_time = state.latency.get_median() * backlog / slots;
+    return {503, code, text, std::clamp<duration>(backlog_time, min_retry_after, max_retry_after)};
 }
 
 std::optional<request_grant> request_dispatcher::start(service_state& state, const std::string& tenant,
--- a/poplarpitch/entry/request_dispatcher.h
+++ b/poplarpitch/entry/request_dispatcher.h
@@ -93,9 +93,9 @@
     /// Returns true when this or another entry has a target for `service`.
     [[nodiscard]] bool can_serve(const std::string& service) const;
     std::optional<refusal> check_limits(const call_info& call, service_state& state);
-    admission_decision admit_here(const call_info& call, service_state& state, time_point now);
-    [[nodiscard]] refusal make_busy(const service_state& state, const std::string& code,
-                                    const std::string& text) const;
+    admission_decision admit_locally(const call_info& call, service_state& state, time_point now);
+    [[nodiscard]] refusal make_retryable_refusal(const service_state& state, const std::string& code,
+                                                 const std::string& text) const;
     [[nodiscard]] duration estimate_wait(const service_state& state, time_point deadline) const;
     std::optional<request_grant> start(service_state& state, const std::string& tenant,
                                        const std::string& request_id, time_point now);
--- a/poplarpitch/entry/session_keeper.cpp
+++ b/poplarpitch/entry/session_keeper.cpp
@@ -10,8 +10,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration renew_wait = milliseconds{900};
-constexpr duration leave_wait = seconds{2};
+constexpr duration renew_timeout = milliseconds{900};
+constexpr duration leave_timeout = seconds{2};
 
 std::uint64_t make_incarnation() {
     const auto since = std::chrono::system_clock::now().time_since_epoch();
@@ -37,13 +37,13 @@
     request.mutable_digest()->set_http_address(m_address);
     request.mutable_digest()->set_data_centre(m_data_centre);
     const auto sent = m_clock.now();
-    const auto answer = m_control.renew(request, sent + renew_wait);
+    const auto answer = m_control.renew(request, sent + renew_timeout);
     const bool is_granted = answer.has_value() && answer.value().accepted();
     if (is_granted) {
         // The margin and the lease are of the configuration that control granted it under.
         const auto margin = m_state.get_configuration()->system.drift_margin;
         m_lease.renew(sent, milliseconds{answer.value().lease_ms()}, margin);
-        m_state.take_renewal(answer.value(), m_clock.now());
+        m_state.apply_renewal(answer.value(), m_clock.now());
     } else {
         m_state.on_renewal_failed(request);
     }
@@ -63,7 +63,7 @@
     wire::command command;
     command.mutable_drain()->set_entry(m_entry_id);
     command.mutable_drain()->set_incarnation(m_incarnation);
-    static_cast<void>(m_control.propose(command, m_clock.now() + leave_wait));
+    static_cast<void>(m_control.propose(command, m_clock.now() + leave_timeout));
 }
 
 void session_keeper::close() {
@@ -71,7 +71,7 @@
     command.mutable_close()->set_entry(m_entry_id);
     command.mutable_close()->set_incarnation(m_incarnation);
     command.mutable_close()->set_reason("stopped");
-    static_cast<void>(m_control.propose(command, m_clock.now() + leave_wait));
+    static_cast<void>(m_control.propose(command, m_clock.now() + leave_timeout));
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/task_agent.cpp
+++ b/poplarpitch/entry/task_agent.cpp
@@ -9,11 +9,11 @@
 namespace poplarpitch {
 namespace {
 
-bool is_told(const task_phase phase) {
+bool is_being_stopped(const task_phase phase) {
     return phase == task_phase::stopping || phase == task_phase::evicting || phase == task_phase::withdrawing;
 }
 
-bool wants_stop(const owned_task& task) {
+bool needs_stop_call(const owned_task& task) {
     return task.phase == task_phase::stopping ||
            (task.phase == task_phase::withdrawing && !task.is_stop_answered);
 }
@@ -25,7 +25,7 @@
 
 // ---- what control says
 
-void task_agent::take_jobs(const wire::renew_answer& answer, time_point now) {
+void task_agent::apply_jobs(const wire::renew_answer& answer, time_point now) {
     if (answer.owned_changed()) {
         const std::set<std::string> ids(answer.job_ids().begin(), answer.job_ids().end());
         for (auto& [id, worker] : m_fleet.get_workers()) {
@@ -41,12 +41,12 @@
     }
     for (const auto& job : answer.jobs()) {
         if (auto* worker = m_fleet.find(job.worker())) {
-            take_job(*worker, job, now);
+            apply_job(*worker, job, now);
         }
     }
 }
 
-void task_agent::take_job(owned_worker& worker, const wire::job& job, time_point now) {
+void task_agent::apply_job(owned_worker& worker, const wire::job& job, time_point now) {
     auto& task = worker.tasks[job.id()];
     const bool is_new = task.job.empty() || task.attempt != job.attempt();
     if (is_new) {
@@ -67,14 +67,14 @@
         task.incarnation = job.worker_incarnation();
         task.since = now;
         const bool is_own = job.state() == wire::job_assigned && job.epoch() == worker.epoch;
-        task.phase = is_own ? task_phase::to_start : task_phase::unseen;
+        task.phase = is_own ? task_phase::to_start : task_phase::unconfirmed;
         if (!is_own) {
             // It may run there: it counts from now on, whether it fits or not.
             m_fleet.adopt_task(worker, task);
         }
     }
     task.is_running_in_log = job.state() == wire::job_running;
-    if (job.cancel_requested() && !is_told(task.phase) && task.phase != task_phase::ended) {
+    if (job.cancel_requested() && !is_being_stopped(task.phase) && task.phase != task_phase::ended) {
         task.phase = task_phase::stopping;
         task.since = {};
     } else if (job.evict_requested() && task.phase == task_phase::running) {
@@ -87,7 +87,7 @@
 // ---- what is to be done
 
 std::vector<task_action> task_agent::get_actions(time_point now) {
-    auto actions = std::exchange(m_orphans, {});
+    auto actions = std::exchange(m_orphan_stops, {});
     for (auto& [id, worker] : m_fleet.get_workers()) {
         if (worker.is_silent || !worker.ledger.is_open()) {
             continue;
@@ -107,9 +107,9 @@
                 task.phase = task_phase::starting;
                 action.verb = task_verb::start;
             } else if (task.phase == task_phase::starting && is_due) {
-                task.is_maybe_sent = true; // the call before may have no answer yet
+                task.has_unanswered_start = true; // the call before may have no answer yet
                 action.verb = task_verb::start;
-            } else if (wants_stop(task) && is_due) {
+            } else if (needs_stop_call(task) && is_due) {
                 action.verb = task_verb::stop;
             } else if (task.phase == task_phase::evicting && is_due) {
                 action.verb = task_verb::evict;
@@ -128,7 +128,7 @@
     return actions;
 }
 
-double task_agent::get_growth(owned_worker& worker, const owned_task& task) {
+double task_agent::get_latency_growth(owned_worker& worker, const owned_task& task) {
     const auto capacity = std::max<std::int64_t>(worker.ledger.get_capacity().millicores, 1);
     const double share = static_cast<double>(task.reserved.millicores) / static_cast<double>(capacity);
     auto& models = m_fleet.get_models();
@@ -142,8 +142,8 @@
 
 void task_agent::relieve(owned_worker& worker, time_point now) {
     worker.ladder.update(worker.slowdown, now);
-    const bool has_own_trouble = worker.is_leaving; // a leaving worker's tasks move in any case
-    if (!worker.ladder.is_eviction_due(now) && !has_own_trouble) {
+    const bool is_leaving = worker.is_leaving; // a leaving worker's tasks move in any case
+    if (!worker.ladder.is_eviction_due(now) && !is_leaving) {
         return;
     }
     std::vector<eviction_candidate> candidates;
@@ -153,7 +153,7 @@
             continue;
         }
         const bool is_movable = task.is_idempotent && !task.is_urgent;
-        candidates.push_back({get_growth(worker, task), task.unsaved, task.evictions, is_movable});
+        candidates.push_back({get_latency_growth(worker, task), task.unsaved, task.evictions, is_movable});
         tasks.push_back(&task);
     }
     const auto evict = [&](owned_task& task) {
@@ -161,7 +161,7 @@
         task.since = {};
         ++m_evictions;
     };
-    if (has_own_trouble) {
+    if (is_leaving) {
         for (auto* task : tasks) {
             if (task->is_idempotent) {
                 evict(*task);
--- a/poplarpitch/entry/task_agent_events.cpp
+++ b/poplarpitch/entry/task_agent_events.cpp
@@ -32,8 +32,8 @@
     return command;
 }
 
-wire::command task_agent::make_crash(const owned_task& task, const std::string& worker,
-                                     std::int64_t wall_ms) {
+wire::command task_agent::make_crash_event(const owned_task& task, const std::string& worker,
+                                           std::int64_t wall_ms) {
     auto command = make_event(task, worker, wire::event_lost, "its worker was restarted", wall_ms);
     command.mutable_event()->set_crashed(true);
     return command;
@@ -56,7 +56,7 @@
         for (auto& [job, task] : worker.tasks) {
             const bool is_due = now - task.since >= m_settings.resend_after;
             if (task.phase == task_phase::to_start &&
-                (worker.is_leaving || now - task.since > m_settings.room_wait)) {
+                (worker.is_leaving || now - task.since > m_settings.capacity_wait)) {
                 events.push_back(make_event(task, id, wire::event_refused, "no room on the worker", wall_ms));
             } else if (worker.is_silent && task.phase != task_phase::ended && !task.is_lost_in_log &&
                        is_due) {
@@ -83,16 +83,16 @@
     }
     auto& task = found->second;
     if (answer == start_result::unknown) {
-        task.is_maybe_sent = true;
+        task.has_unanswered_start = true;
         return {}; // stays `starting` and is sent again
     }
-    if (answer == start_result::stale_epoch && task.is_maybe_sent) {
+    if (answer == start_result::stale_epoch && task.has_unanswered_start) {
         return {};
     }
-    if (answer == start_result::other_process && task.is_maybe_sent) {
-        return {make_crash(task, action.worker, wall_ms)};
+    if (answer == start_result::other_process && task.has_unanswered_start) {
+        return {make_crash_event(task, action.worker, wall_ms)};
     }
-    if (answer == start_result::refused && task.is_maybe_sent) {
+    if (answer == start_result::refused && task.has_unanswered_start) {
         withdraw(task);
         return {};
     }
@@ -134,18 +134,18 @@
     }
 }
 
-std::vector<task_agent::reported_event> task_agent::on_announced(const announcement& told, time_point now,
+std::vector<task_agent::reported_event> task_agent::on_announced(const announcement& message, time_point now,
                                                                  std::int64_t wall_ms) {
     std::vector<reported_event> events;
-    auto* worker = m_fleet.find(told.id);
+    auto* worker = m_fleet.find(message.id);
     if (worker == nullptr) {
         return events;
     }
-    for (const auto& running : told.tasks) {
+    for (const auto& running : message.tasks) {
         const auto found = worker->tasks.find(running.job);
         if (found != worker->tasks.end() && found->second.attempt == running.attempt) {
             found->second.unsaved = running.unsaved;
-        } else if (told.epoch == worker->epoch) {
+        } else if (message.epoch == worker->epoch) {
             // The log has moved the job on, so nobody waits for this run of it.
             task_action stop;
             stop.verb = task_verb::stop;
@@ -154,10 +154,10 @@
             stop.epoch = worker->epoch;
             stop.task.job = running.job;
             stop.task.attempt = running.attempt;
-            m_orphans.push_back(std::move(stop));
+            m_orphan_stops.push_back(std::move(stop));
         }
     }
-    for (const auto& report : told.reports) {
+    for (const auto& report : message.reports) {
         owned_task task; // the log decides by job and attempt; the task may be unknown here
         task.job = report.job;
         task.attempt = report.attempt;
@@ -175,28 +175,28 @@
         } else if (report.kind == "stopped") {
             kind = wire::event_stopped;
         }
-        reported_event event{report.number, make_event(task, told.id, kind, report.detail, wall_ms)};
+        reported_event event{report.number, make_event(task, message.id, kind, report.detail, wall_ms)};
         event.command.mutable_event()->set_checkpoint(report.checkpoint);
         events.push_back(std::move(event));
         if (kind == wire::event_finished && !task.batch.empty()) {
             m_usage.push_back(make_usage(task, report));
         }
     }
-    if (told.is_complete && told.epoch == worker->epoch) {
-        check_unseen(*worker, told, now, wall_ms, events);
+    if (message.is_complete && message.epoch == worker->epoch) {
+        check_unlisted_tasks(*worker, message, now, wall_ms, events);
     }
     return events;
 }
 
-void task_agent::check_unseen(owned_worker& worker, const announcement& told, time_point now,
-                              std::int64_t wall_ms, std::vector<reported_event>& events) {
+void task_agent::check_unlisted_tasks(owned_worker& worker, const announcement& message, time_point now,
+                                      std::int64_t wall_ms, std::vector<reported_event>& events) {
     const auto lists = [&](const owned_task& task) {
-        return std::any_of(told.tasks.begin(), told.tasks.end(), [&](const running_task& running) {
+        return std::any_of(message.tasks.begin(), message.tasks.end(), [&](const running_task& running) {
             return running.job == task.job && running.attempt == task.attempt;
         });
     };
     const auto reports = [&](const owned_task& task) {
-        return std::any_of(told.reports.begin(), told.reports.end(), [&](const task_report& report) {
+        return std::any_of(message.reports.begin(), message.reports.end(), [&](const task_report& report) {
             return report.job == task.job && report.attempt == task.attempt && report.kind != "checkpointed";
         });
     };
@@ -206,30 +206,31 @@
             continue;
         }
         if (lists(task)) {
-            if (task.phase == task_phase::unseen) {
-                events.push_back({0, make_event(task, told.id, wire::event_started, "", wall_ms)});
+            if (task.phase == task_phase::unconfirmed) {
+                events.push_back({0, make_event(task, message.id, wire::event_started, "", wall_ms)});
             }
             continue;
         }
-        const bool is_same_process = task.incarnation == told.incarnation;
+        const bool is_same_process = task.incarnation == message.incarnation;
         if (task.phase == task_phase::withdrawing && is_same_process && !task.is_running_in_log) {
-            if (task.is_stop_answered && told.sequence > task.stop_sequence) {
+            if (task.is_stop_answered && message.sequence > task.stop_sequence) {
                 events.push_back(
-                    {0, make_event(task, told.id, wire::event_refused, "the worker refused it", wall_ms)});
+                    {0, make_event(task, message.id, wire::event_refused, "the worker refused it", wall_ms)});
             }
             continue;
         }
         const bool is_seen_nowhere = !task.is_running_in_log && is_same_process;
-        if (is_seen_nowhere && task.is_maybe_sent && task.phase == task_phase::unseen && task.is_idempotent) {
+        if (is_seen_nowhere && task.has_unanswered_start && task.phase == task_phase::unconfirmed &&
+            task.is_idempotent) {
             task.phase = task_phase::withdrawing; // its start may yet be carried out
             task.since = {};
-        } else if (is_seen_nowhere && !task.is_maybe_sent) {
+        } else if (is_seen_nowhere && !task.has_unanswered_start) {
             // Assigned under an older epoch, which the worker refuses by now, and never started there.
-            events.push_back({0, make_event(task, told.id, wire::event_absent, "", wall_ms)});
-        } else if (!is_same_process || now - task.since > m_settings.missing_wait) {
-            events.push_back({0, is_same_process ? make_event(task, told.id, wire::event_lost,
+            events.push_back({0, make_event(task, message.id, wire::event_absent, "", wall_ms)});
+        } else if (!is_same_process || now - task.since > m_settings.missing_task_wait) {
+            events.push_back({0, is_same_process ? make_event(task, message.id, wire::event_lost,
                                                               "its worker does not know it", wall_ms)
-                                                 : make_crash(task, told.id, wall_ms)});
+                                                 : make_crash_event(task, message.id, wall_ms)});
         }
     }
 }
@@ -260,7 +261,7 @@
     case wire::event_started:
         found->second.is_running_in_log = true;
         found->second.is_lost_in_log = false;
-        if (found->second.phase == task_phase::unseen) {
+        if (found->second.phase == task_phase::unconfirmed) {
             found->second.phase = task_phase::running;
         }
         break;
@@ -269,20 +270,21 @@
     }
 }
 
-bool task_agent::may_renew(const owned_worker& worker) const {
+bool task_agent::may_renew_leases(const owned_worker& worker) const {
     return !worker.is_silent && std::none_of(worker.tasks.begin(), worker.tasks.end(), [](const auto& item) {
         const auto& task = item.second;
-        return task.phase == task_phase::unseen || (task.phase == task_phase::withdrawing && task.is_doubted);
+        return task.phase == task_phase::unconfirmed ||
+               (task.phase == task_phase::withdrawing && task.is_possibly_lost);
     });
 }
 
-bool task_agent::wants_list(const owned_worker& worker) {
+bool task_agent::needs_complete_list(const owned_worker& worker) {
     return std::any_of(worker.tasks.begin(), worker.tasks.end(), [](const auto& item) {
         return item.second.phase == task_phase::withdrawing && item.second.is_stop_answered;
     });
 }
 
-void task_agent::revive(owned_worker& worker, time_point now) {
+void task_agent::end_silence(owned_worker& worker, time_point now) {
     worker.is_silent = false;
     worker.last_heard = now;
     worker.ledger.set_open(false);
@@ -290,12 +292,12 @@
         if (task.phase != task_phase::to_start) {
             m_fleet.adopt_task(worker, task);
             if (task.phase == task_phase::starting) {
-                task.is_maybe_sent = true; // the list may be older than its arrival
+                task.has_unanswered_start = true; // the list may be older than its arrival
             }
             if (task.phase != task_phase::withdrawing) {
-                task.phase = task_phase::unseen;
+                task.phase = task_phase::unconfirmed;
             }
-            task.is_doubted = true;
+            task.is_possibly_lost = true;
             task.since = now;
         }
     }
@@ -307,10 +309,10 @@
 }
 
 void task_agent::return_usage(const std::vector<wire::usage_sample>& samples) {
-    constexpr std::size_t most_kept = 1000; // without control for long, the newest say enough
+    constexpr std::size_t max_samples = 1000; // without control for long, the newest say enough
     m_usage.insert(m_usage.end(), samples.begin(), samples.end());
-    if (m_usage.size() > most_kept) {
-        m_usage.erase(m_usage.begin(), m_usage.end() - most_kept);
+    if (m_usage.size() > max_samples) {
+        m_usage.erase(m_usage.begin(), m_usage.end() - max_samples);
     }
 }
 
--- a/poplarpitch/entry/task_caller.cpp
+++ b/poplarpitch/entry/task_caller.cpp
@@ -16,7 +16,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration call_wait = seconds{2};
+constexpr duration call_timeout = seconds{2};
 
 } // namespace
 
@@ -27,13 +27,13 @@
 void task_caller::call(const task_action& action) {
     switch (action.verb) {
     case task_verb::stop:
-        return tell(action, "stop");
+        return send_command(action, "stop");
     case task_verb::evict:
-        return tell(action, "evict");
+        return send_command(action, "evict");
     case task_verb::throttle:
-        return tell(action, "throttle");
+        return send_command(action, "throttle");
     case task_verb::unthrottle:
-        return tell(action, "unthrottle");
+        return send_command(action, "unthrottle");
     case task_verb::start:
         break;
     }
@@ -72,7 +72,7 @@
         return start_result::unknown; // not sent; sent again once the session is back
     }
     const auto exchange =
-        m_workers.send(action.address, request, m_clock.now() + call_wait, connection_choice::pooled);
+        m_workers.send(action.address, request, m_clock.now() + call_timeout, connection_choice::pooled);
     if (exchange.progress != exchange_progress::answered) {
         m_workers.drop(action.address);
         return start_result::unknown;
@@ -95,13 +95,13 @@
     return refused.empty() ? start_result::unknown : start_result::refused;
 }
 
-void task_caller::tell(const task_action& action, const char* verb) {
+void task_caller::send_command(const task_action& action, const char* verb) {
     http_request request;
     request.method = "POST";
     request.target = absl::StrCat("/v1/tasks/", action.task.job, "%23", action.task.attempt, "/", verb);
     request.headers.add(header_epoch, absl::StrCat(action.epoch));
     const auto exchange =
-        m_workers.send(action.address, request, m_clock.now() + call_wait, connection_choice::pooled);
+        m_workers.send(action.address, request, m_clock.now() + call_timeout, connection_choice::pooled);
     if (exchange.progress != exchange_progress::answered) {
         m_workers.drop(action.address); // told again by the agent
     } else if (action.verb == task_verb::stop && exchange.response.status == 200) {
--- a/poplarpitch/entry/task_caller.h
+++ b/poplarpitch/entry/task_caller.h
@@ -24,7 +24,7 @@
 
 private:
     [[nodiscard]] start_result start(const task_action& action);
-    void tell(const task_action& action, const char* verb);
+    void send_command(const task_action& action, const char* verb);
 
     entry_state& m_state;
     http_client_pool& m_workers;
--- a/unit_tests/entry/call_handler_test.cpp
+++ b/unit_tests/entry/call_handler_test.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 constexpr std::size_t max_intents = 100;
-constexpr std::size_t max_answer = 1000; // bytes
+constexpr std::size_t max_answer_bytes = 1000; // bytes
 constexpr const char* config_text = "[tenant t]\n[service s]\ndeadline = 20s\nidempotent = true\n";
 
 /// An entry's request side over real HTTP: one worker with one slot, and another entry with room.
@@ -37,7 +37,7 @@
         m_worker_address = "127.0.0.1:" + std::to_string(m_worker.start().value());
         m_other_address = "127.0.0.1:" + std::to_string(m_other.start().value());
         m_lease.renew(m_clock.now(), seconds{60}, milliseconds{0});
-        take_workers(1);
+        set_worker_count(1);
     }
 
     std::string start_leader() {
@@ -45,38 +45,38 @@
     }
 
     /// Gives the entry this many workers of one slot each, all of which are the same server.
-    void take_workers(int count) {
-        wire::renew_answer news;
-        news.set_revision(++m_revision);
-        news.mutable_config()->set_version(1);
-        news.mutable_config()->set_text(config_text);
-        news.set_owned_changed(true);
+    void set_worker_count(int count) {
+        wire::renew_answer answer;
+        answer.set_revision(++m_revision);
+        answer.mutable_config()->set_version(1);
+        answer.mutable_config()->set_text(config_text);
+        answer.set_owned_changed(true);
         for (int number = 1; number <= count; ++number) {
-            auto& record = *news.add_owned();
+            auto& record = *answer.add_owned();
             record.set_id("w" + std::to_string(number));
             record.set_address(m_worker_address);
             record.set_epoch(2);
             record.add_services("s");
             record.mutable_capacity()->set_slots(1);
         }
-        auto& digest = *news.add_entries();
+        auto& digest = *answer.add_entries();
         digest.set_entry("e2");
         digest.set_http_address(m_other_address);
         auto& room = *digest.add_services();
         room.set_service("s");
         room.set_free(8);
         room.set_total(8);
-        m_state.take_renewal(news, m_clock.now());
+        m_state.apply_renewal(answer, m_clock.now());
         for (int number = 1; number <= count; ++number) {
-            announcement told;
-            told.id = "w" + std::to_string(number);
-            told.address = m_worker_address;
-            told.services = {"s"};
-            told.capacity = {1, 0, 0, 0};
-            told.epoch = 2;
-            told.sequence = m_revision;
-            told.is_complete = true;
-            m_state.take_announcement(told, 1);
+            announcement message;
+            message.id = "w" + std::to_string(number);
+            message.address = m_worker_address;
+            message.services = {"s"};
+            message.capacity = {1, 0, 0, 0};
+            message.epoch = 2;
+            message.sequence = m_revision;
+            message.is_complete = true;
+            m_state.take_announcement(message, 1);
         }
     }
 
@@ -89,7 +89,7 @@
         response.body = request.body;
         // Without the request's own id an answer counts as another's: what became of this one is not known.
         response.headers.add(header_request_id,
-                             m_worker_forgets ? "other" : request.headers.get(header_request_id));
+                             m_worker_omits_request_id ? "other" : request.headers.get(header_request_id));
         return response;
     }
 
@@ -150,11 +150,11 @@
     }
 
     absl::Mutex m_mutex;
-    intent_table m_intents ABSL_GUARDED_BY(m_mutex){state_rules{}, max_intents, max_answer};
+    intent_table m_intents ABSL_GUARDED_BY(m_mutex){state_rules{}, max_intents, max_answer_bytes};
     control_server m_leader{"", make_control()};
     std::function<void()> m_on_first_call; ///< what the worker does before it answers its first call
     std::atomic<int> m_worker_status{200};
-    std::atomic<bool> m_worker_forgets{false};
+    std::atomic<bool> m_worker_omits_request_id{false};
     std::atomic<int> m_worker_calls{0};
     std::atomic<int> m_other_calls{0};
     http_server m_worker;
@@ -181,7 +181,7 @@
 
 // Found by scripts/scenarios: the first attempt's slot is held, as it may run on, so the retry is forwarded.
 TEST_F(call_handler_test, not_run_of_a_forwarded_retry_says_nothing_of_the_first_attempt) {
-    m_worker_forgets = true;
+    m_worker_omits_request_id = true;
     const auto response = call();
     EXPECT_EQ(m_worker_calls, 1);
     EXPECT_EQ(m_other_calls, 1);
@@ -192,8 +192,8 @@
 // A request that ends its target's process was sent to three targets, and by another entry to three more.
 // Each would have taken along all that ran beside it.
 TEST_F(call_handler_test, sends_a_request_to_no_third_target_when_two_gave_no_answer) {
-    take_workers(6);
-    m_worker_forgets = true;
+    set_worker_count(6);
+    m_worker_omits_request_id = true;
     const auto response = call();
     EXPECT_EQ(m_worker_calls, 2);
     EXPECT_EQ(m_other_calls, 0);
@@ -201,8 +201,8 @@
 }
 
 TEST_F(call_handler_test, sends_a_forwarded_request_once_that_had_no_answer_from_one_target_before) {
-    take_workers(6);
-    m_worker_forgets = true;
+    set_worker_count(6);
+    m_worker_omits_request_id = true;
     call(1);
     EXPECT_EQ(m_worker_calls, 1);
 }
@@ -234,7 +234,7 @@
 }
 
 TEST_F(call_handler_test, runs_a_key_once_that_comes_twice_under_one_request_id) {
-    take_workers(2);
+    set_worker_count(2);
     absl::Notification is_running;
     absl::Notification may_end;
     m_on_first_call = [&] {
--- a/unit_tests/entry/codecs_test.cpp
+++ b/unit_tests/entry/codecs_test.cpp
@@ -17,22 +17,22 @@
 }
 
 TEST(announcement_codec, reads_what_it_wrote) {
-    announcement told;
-    told.id = "w";
-    told.address = "127.0.0.1:1";
-    told.services = {"a", "b"};
-    told.capacity = {8, 64000, 1LL << 40, 2};
-    told.epoch = 3;
-    told.incarnation = 1ULL << 60;
-    told.sequence = 9;
-    told.is_complete = true;
-    told.requests = {"r1"};
-    told.tasks = {{"j", 2, milliseconds{30}}};
-    told.reports = {{5, "j", 1, "failed", "why", "c", 0.5, 2, 3}};
-    const auto decoded = decode_announcement(encode_announcement(told));
+    announcement message;
+    message.id = "w";
+    message.address = "127.0.0.1:1";
+    message.services = {"a", "b"};
+    message.capacity = {8, 64000, 1LL << 40, 2};
+    message.epoch = 3;
+    message.incarnation = 1ULL << 60;
+    message.sequence = 9;
+    message.is_complete = true;
+    message.requests = {"r1"};
+    message.tasks = {{"j", 2, milliseconds{30}}};
+    message.reports = {{5, "j", 1, "failed", "why", "c", 0.5, 2, 3}};
+    const auto decoded = decode_announcement(encode_announcement(message));
     ASSERT_TRUE(std::holds_alternative<announcement>(decoded))
-        << announcement_error(encode_announcement(told));
-    EXPECT_EQ(std::get<announcement>(decoded), told);
+        << announcement_error(encode_announcement(message));
+    EXPECT_EQ(std::get<announcement>(decoded), message);
 }
 
 TEST(announcement_codec, bounds_what_a_report_leaves_in_the_log) {
@@ -100,7 +100,7 @@
     ASSERT_EQ(read_status("/v1/call/s/a/b?c=d", {{header_tenant, "t"}, {header_deadline, "250"}}), 0);
     const auto& call = std::get<call_info>(m_read);
     EXPECT_EQ(call.service, "s");
-    EXPECT_EQ(call.rest, "/a/b?c=d");
+    EXPECT_EQ(call.path_suffix, "/a/b?c=d");
     EXPECT_EQ(call.deadline, time_point{milliseconds{1250}});
     EXPECT_TRUE(call.is_idempotent);
 }
--- a/unit_tests/entry/event_batcher_test.cpp
+++ b/unit_tests/entry/event_batcher_test.cpp
@@ -19,7 +19,7 @@
         }
         const absl::MutexLock lock(&m_mutex);
         m_calls.push_back(commands.size());
-        if (m_is_gone) {
+        if (m_is_unavailable) {
             return make_error_code(transport_errc::no_leader);
         }
         std::vector<wire::command_result> outcomes;
@@ -36,15 +36,15 @@
 
     absl::Notification* gate = nullptr; ///< calls wait for it; set before the first
 
-    void go() {
+    void make_unavailable() {
         const absl::MutexLock lock(&m_mutex);
-        m_is_gone = true;
+        m_is_unavailable = true;
     }
 
 private:
     absl::Mutex m_mutex;
     std::vector<std::size_t> m_calls ABSL_GUARDED_BY(m_mutex);
-    bool m_is_gone ABSL_GUARDED_BY(m_mutex) = false;
+    bool m_is_unavailable ABSL_GUARDED_BY(m_mutex) = false;
 };
 
 std::vector<wire::command> make_events(std::uint64_t first, int count) {
@@ -100,7 +100,7 @@
 
 TEST(event_batcher, tells_every_group_when_control_is_gone) {
     fake_control control;
-    control.go();
+    control.make_unavailable();
     batcher events(control, make_settings(2));
     EXPECT_FALSE(events.commit(make_events(1, 1)));
     std::atomic<int> failed{0};
@@ -116,7 +116,7 @@
 TEST(event_batcher, is_bounded_without_control) {
     fake_control control;
     auto settings = make_settings(100);
-    settings.max_waiting = 3;
+    settings.max_queued = 3;
     batcher events(control, settings);
     EXPECT_TRUE(events.commit(make_events(1, 1)));
     int refused = 0;
--- a/unit_tests/entry/fleet_fixture.h
+++ b/unit_tests/entry/fleet_fixture.h
@@ -37,23 +37,24 @@
         m_dispatcher.set_entries({});
     }
 
-    announcement tell(std::uint64_t epoch, bool is_complete, std::vector<std::string> requests = {}) {
-        announcement told;
-        told.id = "w";
-        told.address = "w:1";
-        told.services = {"s"};
-        told.capacity = {2, 8000, 1LL << 40, 0};
-        told.epoch = epoch;
-        told.incarnation = 77;
-        told.sequence = ++m_sequence;
-        told.is_complete = is_complete;
-        told.requests = std::move(requests);
-        return told;
+    announcement make_announcement(std::uint64_t epoch, bool is_complete,
+                                   std::vector<std::string> requests = {}) {
+        announcement message;
+        message.id = "w";
+        message.address = "w:1";
+        message.services = {"s"};
+        message.capacity = {2, 8000, 1LL << 40, 0};
+        message.epoch = epoch;
+        message.incarnation = 77;
+        message.sequence = ++m_sequence;
+        message.is_complete = is_complete;
+        message.requests = std::move(requests);
+        return message;
     }
 
-    void announce(const announcement& told) {
-        m_fleet.take_announcement(told, m_now);
-        m_events = m_tasks.on_announced(told, m_now, 1);
+    void announce(const announcement& message) {
+        m_fleet.take_announcement(message, m_now);
+        m_events = m_tasks.on_announced(message, m_now, 1);
         m_dispatcher.set_entries({});
     }
 
@@ -82,7 +83,7 @@
         return answer;
     }
 
-    wire::job_event_kind only_event() {
+    wire::job_event_kind only_event_kind() {
         return m_events.size() == 1 ? m_events[0].command.event().kind() : wire::event_none;
     }
 
--- a/unit_tests/entry/hedge_test.cpp
+++ b/unit_tests/entry/hedge_test.cpp
@@ -35,13 +35,13 @@
     EXPECT_TRUE(race.first.is_cancelled());
     race.finish(1, true, false, race.second);
     EXPECT_FALSE(race.second.is_cancelled());
-    EXPECT_EQ(race.take_answer(), 2);
+    EXPECT_EQ(race.wait_for_answer(), 2);
 }
 
 TEST(hedged_call, second_copy_does_not_begin_after_the_end) {
     hedged_call<int> race;
     race.finish(1, true, false, race.second);
-    EXPECT_EQ(race.take_answer(), 1);
+    EXPECT_EQ(race.wait_for_answer(), 1);
     EXPECT_FALSE(race.start_second());
 }
 
@@ -50,7 +50,7 @@
     ASSERT_TRUE(race.start_second());
     std::thread second([&] { race.finish(2, true, true, race.first); });
     race.finish(1, false, false, race.second);
-    EXPECT_EQ(race.take_answer(), 2);
+    EXPECT_EQ(race.wait_for_answer(), 2);
     second.join();
 }
 
@@ -58,7 +58,7 @@
 
 TEST_F(hedge_test, second_copy_goes_to_no_worker_that_has_the_first) {
     own();
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     const auto decision = m_dispatcher.admit(make_call("a"), m_now);
     ASSERT_TRUE(std::holds_alternative<request_grant>(decision));
     EXPECT_FALSE(m_dispatcher.try_hedge(make_call("a"), "w", m_now).has_value());
--- a/unit_tests/entry/load_reporter_test.cpp
+++ b/unit_tests/entry/load_reporter_test.cpp
@@ -17,36 +17,36 @@
 TEST(load_reporter, sends_what_changed_and_all_now_and_then) {
     load_reporter reporter;
     const time_point start{seconds{100}};
-    EXPECT_TRUE(reporter.take(make_load(), start));
-    EXPECT_FALSE(reporter.take(make_load(1.05), start + seconds{1}));
-    EXPECT_TRUE(reporter.take(make_load(1.2), start + seconds{2}));
-    EXPECT_TRUE(reporter.take(make_load(1.2, false), start + seconds{3}));
-    EXPECT_FALSE(reporter.take(make_load(1.2, false), start + seconds{4}));
-    EXPECT_TRUE(reporter.take(make_load(1.2, false), start + seconds{8}));
+    EXPECT_TRUE(reporter.mark_sent_if_due(make_load(), start));
+    EXPECT_FALSE(reporter.mark_sent_if_due(make_load(1.05), start + seconds{1}));
+    EXPECT_TRUE(reporter.mark_sent_if_due(make_load(1.2), start + seconds{2}));
+    EXPECT_TRUE(reporter.mark_sent_if_due(make_load(1.2, false), start + seconds{3}));
+    EXPECT_FALSE(reporter.mark_sent_if_due(make_load(1.2, false), start + seconds{4}));
+    EXPECT_TRUE(reporter.mark_sent_if_due(make_load(1.2, false), start + seconds{8}));
 }
 
 TEST(load_reporter, follows_request_rates) {
     load_reporter reporter;
     const time_point now{seconds{100}};
-    EXPECT_TRUE(reporter.take(make_load(), now));
+    EXPECT_TRUE(reporter.mark_sent_if_due(make_load(), now));
     auto load = make_load();
     (*load.mutable_rates())["s"] = 12;
-    EXPECT_FALSE(reporter.take(load, now));
+    EXPECT_FALSE(reporter.mark_sent_if_due(load, now));
     (*load.mutable_rates())["s"] = 20;
-    EXPECT_TRUE(reporter.take(load, now));
+    EXPECT_TRUE(reporter.mark_sent_if_due(load, now));
 }
 
 TEST(load_reporter, tells_a_new_leader_everything_and_repeats_what_was_lost) {
     load_reporter reporter;
     const time_point now{seconds{100}};
     reporter.set_term(1);
-    EXPECT_TRUE(reporter.take(make_load(), now));
+    EXPECT_TRUE(reporter.mark_sent_if_due(make_load(), now));
     reporter.set_term(1);
-    EXPECT_FALSE(reporter.take(make_load(), now));
+    EXPECT_FALSE(reporter.mark_sent_if_due(make_load(), now));
     reporter.set_term(2);
-    EXPECT_TRUE(reporter.take(make_load(), now));
+    EXPECT_TRUE(reporter.mark_sent_if_due(make_load(), now));
     reporter.forget("w");
-    EXPECT_TRUE(reporter.take(make_load(), now));
+    EXPECT_TRUE(reporter.mark_sent_if_due(make_load(), now));
 }
 
 } // namespace
--- a/unit_tests/entry/request_dispatcher_test.cpp
+++ b/unit_tests/entry/request_dispatcher_test.cpp
@@ -20,26 +20,27 @@
 TEST_F(request_dispatcher_test, new_owner_waits_for_the_complete_list) {
     own();
     EXPECT_EQ(admit_as<refusal>(make_call()).code, "no_target");
-    announce(tell(1, true)); // under the old epoch: says nothing about what the old owner still sends
+    announce(
+        make_announcement(1, true)); // under the old epoch: says nothing about what the old owner still sends
     EXPECT_EQ(admit_as<refusal>(make_call()).code, "no_target");
-    announce(tell(2, false));
+    announce(make_announcement(2, false));
     EXPECT_EQ(admit_as<refusal>(make_call()).code, "no_target");
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     EXPECT_EQ(admit_as<request_grant>(make_call()).epoch, 2U);
 }
 
 TEST_F(request_dispatcher_test, counts_the_old_owners_requests) {
     own();
-    auto told = tell(2, true);
-    told.old_work = {1, 0, 0, 0};
-    announce(told);
+    auto message = make_announcement(2, true);
+    message.old_work = {1, 0, 0, 0};
+    announce(message);
     admit_as<request_grant>(make_call("a"));
     admit_as<wait_decision>(make_call("b"));
 }
 
 TEST_F(request_dispatcher_test, queues_when_full_and_serves_in_order) {
     own();
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     const auto first = admit_as<request_grant>(make_call("a"));
     admit_as<request_grant>(make_call("b"));
     const auto late = admit_as<wait_decision>(make_call("c", milliseconds{900}));
@@ -54,37 +55,37 @@
 
 TEST_F(request_dispatcher_test, request_that_may_run_on_keeps_its_slot) {
     own();
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     const auto grant = admit_as<request_grant>(make_call("a"));
     admit_as<request_grant>(make_call("b"));
     m_dispatcher.finish(grant, attempt_result::maybe_running, {}, m_now);
     EXPECT_TRUE(m_dispatcher.serve_waiting(m_now).empty());
     admit_as<wait_decision>(make_call("c"));
-    announce(tell(2, false, {"a", "b"})); // it still runs
+    announce(make_announcement(2, false, {"a", "b"})); // it still runs
     EXPECT_EQ(m_fleet.get_free_slots("s"), 0);
-    announce(tell(2, false, {"b"})); // was under way when the doubt arose? the next one counts
-    announce(tell(2, false, {"b"}));
+    announce(make_announcement(2, false, {"b"})); // was under way when the doubt arose? the next one counts
+    announce(make_announcement(2, false, {"b"}));
     EXPECT_EQ(m_dispatcher.serve_waiting(m_now).size(), 1U);
 }
 
 TEST_F(request_dispatcher_test, retry_at_the_same_worker_keeps_and_frees_both_slots) {
     own();
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     for (int attempt = 0; attempt < 2; ++attempt) {
         const auto grant = admit_as<request_grant>(make_call("a"));
         m_dispatcher.finish(grant, attempt_result::maybe_running, {}, m_now);
     }
     EXPECT_EQ(m_fleet.get_free_slots("s"), 0);
-    announce(tell(2, false, {"a"}));
+    announce(make_announcement(2, false, {"a"}));
     EXPECT_EQ(m_fleet.get_free_slots("s"), 0);
-    announce(tell(2, false));
-    announce(tell(2, false));
+    announce(make_announcement(2, false));
+    announce(make_announcement(2, false));
     EXPECT_EQ(m_fleet.get_free_slots("s"), 2);
 }
 
 TEST_F(request_dispatcher_test, bounds_queue_and_tenant) {
     own();
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     for (int index = 0; index < 2; ++index) {
         admit_as<request_grant>(make_call(std::to_string(index)));
     }
@@ -98,7 +99,7 @@
 
 TEST_F(request_dispatcher_test, refuses_what_cannot_end_in_time) {
     own();
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     for (int index = 0; index < 200; ++index) {
         const auto grant = admit_as<request_grant>(make_call());
         m_dispatcher.finish(grant, attempt_result::answered, milliseconds{100}, m_now);
@@ -123,11 +124,11 @@
     own();
     auto call = make_call();
     call.service = "top";
-    m_fleet.take_announcement(tell(2, true), m_now); // no renewal has come since
+    m_fleet.take_announcement(make_announcement(2, true), m_now); // no renewal has come since
     EXPECT_NE(admit_as<refusal>(call).code, "dependency_down");
-    auto told = tell(2, false);
-    told.is_leaving = true;
-    m_fleet.take_announcement(told, m_now);
+    auto message = make_announcement(2, false);
+    message.is_leaving = true;
+    m_fleet.take_announcement(message, m_now);
     EXPECT_EQ(admit_as<refusal>(call).code, "dependency_down");
 }
 
@@ -143,17 +144,17 @@
 
 TEST_F(request_dispatcher_test, leaving_worker_gets_nothing_new) {
     own();
-    announce(tell(2, true));
-    auto told = tell(2, false);
-    told.is_leaving = true;
-    announce(told);
+    announce(make_announcement(2, true));
+    auto message = make_announcement(2, false);
+    message.is_leaving = true;
+    announce(message);
     EXPECT_EQ(admit_as<refusal>(make_call()).code, "no_target");
 }
 
 TEST_F(request_dispatcher_test, late_announcement_does_not_undo_a_newer_one) {
     own();
-    const auto old = tell(2, true);
-    auto leaving = tell(2, true);
+    const auto old = make_announcement(2, true);
+    auto leaving = make_announcement(2, true);
     leaving.is_leaving = true;
     announce(leaving);
     announce(old);
@@ -162,16 +163,16 @@
 
 TEST_F(request_dispatcher_test, restarted_process_closes_the_ledger_until_control_knows_it) {
     own();
-    announce(tell(2, true));
-    auto told = tell(2, true);
-    told.incarnation = 78;
-    announce(told);
+    announce(make_announcement(2, true));
+    auto message = make_announcement(2, true);
+    message.incarnation = 78;
+    announce(message);
     EXPECT_EQ(admit_as<refusal>(make_call()).code, "no_target");
 }
 
 TEST_F(request_dispatcher_test, quarantines_a_worker_that_fails_everything) {
     own();
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     for (int index = 0; index < 5; ++index) {
         const auto grant = admit_as<request_grant>(make_call());
         m_dispatcher.finish(grant, attempt_result::failed, milliseconds{1}, m_now);
--- a/unit_tests/entry/task_agent_test.cpp
+++ b/unit_tests/entry/task_agent_test.cpp
@@ -7,7 +7,7 @@
 protected:
     task_agent_test() {
         own();
-        announce(tell(2, true));
+        announce(make_announcement(2, true));
     }
 
     owned_task& task() { return m_fleet.find("w")->tasks.at("j"); }
@@ -24,7 +24,7 @@
     void refuse_after_lost_answer(bool is_idempotent = true) {
         auto jobs = make_jobs(wire::job_assigned, 2);
         jobs.mutable_jobs(0)->set_idempotent(is_idempotent);
-        m_tasks.take_jobs(jobs, m_now);
+        m_tasks.apply_jobs(jobs, m_now);
         m_tasks.get_actions(m_now);
         EXPECT_TRUE(answer_start(start_result::unknown).empty());
         m_now += seconds{1};
@@ -48,15 +48,15 @@
         m_tasks.on_event_committed("w", event);
     }
 
-    announcement tell_running(std::uint64_t attempt = 1) {
-        auto told = tell(2, true);
-        told.tasks = {{"j", attempt, seconds{1}}};
-        return told;
+    announcement make_running_announcement(std::uint64_t attempt = 1) {
+        auto message = make_announcement(2, true);
+        message.tasks = {{"j", attempt, seconds{1}}};
+        return message;
     }
 };
 
 TEST_F(task_agent_test, starts_against_the_ledger_and_tells_the_log) {
-    m_tasks.take_jobs(make_jobs(wire::job_assigned, 2), m_now);
+    m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     const auto actions = m_tasks.get_actions(m_now);
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_EQ(actions[0].verb, task_verb::start);
@@ -67,7 +67,7 @@
 }
 
 TEST_F(task_agent_test, sends_a_start_again_while_its_answer_is_lost) {
-    m_tasks.take_jobs(make_jobs(wire::job_assigned, 2), m_now);
+    m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     EXPECT_TRUE(answer_start(start_result::unknown).empty());
     EXPECT_TRUE(m_tasks.get_actions(m_now).empty());
@@ -77,14 +77,14 @@
 }
 
 TEST_F(task_agent_test, refusal_by_a_newer_epoch_after_a_lost_answer_says_nothing) {
-    m_tasks.take_jobs(make_jobs(wire::job_assigned, 2), m_now);
+    m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     answer_start(start_result::unknown);
     EXPECT_TRUE(answer_start(start_result::stale_epoch).empty()); // it may run: the new owner finds out
 }
 
 TEST_F(task_agent_test, restarted_worker_after_a_lost_answer_is_a_loss) {
-    m_tasks.take_jobs(make_jobs(wire::job_assigned, 2), m_now);
+    m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     answer_start(start_result::unknown);
     const auto events = answer_start(start_result::other_process);
@@ -95,13 +95,13 @@
 
 TEST_F(task_agent_test, refusal_of_a_repeated_start_says_nothing_of_the_first) {
     refuse_after_lost_answer();
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     EXPECT_TRUE(m_events.empty()); // it may yet come
     EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000);
 }
 
 TEST_F(task_agent_test, refusal_of_a_repeated_start_says_nothing_of_one_that_has_no_answer_yet) {
-    m_tasks.take_jobs(make_jobs(wire::job_assigned, 2), m_now);
+    m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     m_now += seconds{1};
     ASSERT_EQ(m_tasks.get_actions(m_now).size(), 1U);
@@ -111,11 +111,11 @@
 TEST_F(task_agent_test, gives_back_a_refused_repeat_once_a_list_after_its_stop_is_without_it) {
     refuse_after_lost_answer();
     stop();
-    EXPECT_TRUE(task_agent::wants_list(*m_fleet.find("w")));
-    announce(tell(2, true)); // may have been on its way when the stop was answered
+    EXPECT_TRUE(task_agent::needs_complete_list(*m_fleet.find("w")));
+    announce(make_announcement(2, true)); // may have been on its way when the stop was answered
     EXPECT_TRUE(m_events.empty());
-    announce(tell(2, true));
-    EXPECT_EQ(only_event(), wire::event_refused);
+    announce(make_announcement(2, true));
+    EXPECT_EQ(only_event_kind(), wire::event_refused);
     commit(wire::event_refused);
     EXPECT_TRUE(m_fleet.find("w")->tasks.empty());
     EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 0);
@@ -134,82 +134,82 @@
 TEST_F(task_agent_test, first_start_that_was_carried_out_is_stopped_not_refused) {
     refuse_after_lost_answer();
     stop();
-    announce(tell_running());
-    announce(tell_running());
+    announce(make_running_announcement());
+    announce(make_running_announcement());
     EXPECT_TRUE(m_events.empty());
-    auto told = tell(2, true);
-    told.reports = {{41, "j", 1, "stopped", "", "", 1, 1, 1}};
-    announce(told);
-    EXPECT_EQ(only_event(), wire::event_stopped);
+    auto message = make_announcement(2, true);
+    message.reports = {{41, "j", 1, "stopped", "", "", 1, 1, 1}};
+    announce(message);
+    EXPECT_EQ(only_event_kind(), wire::event_stopped);
 }
 
 TEST_F(task_agent_test, withdrawn_task_on_a_restarted_worker_is_lost) {
     refuse_after_lost_answer();
     stop();
-    auto told = tell(2, true);
-    told.incarnation = 78;
-    announce(told);
-    EXPECT_EQ(only_event(), wire::event_lost);
+    auto message = make_announcement(2, true);
+    message.incarnation = 78;
+    announce(message);
+    EXPECT_EQ(only_event_kind(), wire::event_lost);
 }
 
 TEST_F(task_agent_test, worker_heard_again_keeps_a_task_withdrawn) {
     refuse_after_lost_answer();
     m_now += seconds{3};
     m_tasks.get_events(m_now, seconds{2}, 1);
-    m_tasks.revive(*m_fleet.find("w"), m_now);
-    announce(tell(2, true));
+    m_tasks.end_silence(*m_fleet.find("w"), m_now);
+    announce(make_announcement(2, true));
     EXPECT_TRUE(m_events.empty());
     m_now += seconds{1};
     stop();
 }
 
 TEST_F(task_agent_test, list_of_a_worker_heard_again_says_nothing_of_a_start_without_answer) {
-    m_tasks.take_jobs(make_jobs(wire::job_assigned, 2), m_now);
+    m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     m_now += seconds{3};
     m_tasks.get_events(m_now, seconds{2}, 1);
-    m_tasks.revive(*m_fleet.find("w"), m_now);
-    announce(tell(2, true));
+    m_tasks.end_silence(*m_fleet.find("w"), m_now);
+    announce(make_announcement(2, true));
     EXPECT_TRUE(m_events.empty());
     stop();
-    announce(tell(2, true));
+    announce(make_announcement(2, true));
     EXPECT_TRUE(m_events.empty());
-    announce(tell(2, true));
-    EXPECT_EQ(only_event(), wire::event_refused);
+    announce(make_announcement(2, true));
+    EXPECT_EQ(only_event_kind(), wire::event_refused);
 }
 
 TEST_F(task_agent_test, start_without_answer_that_a_worker_heard_again_lists_goes_on) {
-    m_tasks.take_jobs(make_jobs(wire::job_assigned, 2), m_now);
+    m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     m_now += seconds{3};
     m_tasks.get_events(m_now, seconds{2}, 1);
-    m_tasks.revive(*m_fleet.find("w"), m_now);
-    announce(tell_running());
-    EXPECT_EQ(only_event(), wire::event_started);
+    m_tasks.end_silence(*m_fleet.find("w"), m_now);
+    announce(make_running_announcement());
+    EXPECT_EQ(only_event_kind(), wire::event_started);
 }
 
 TEST_F(task_agent_test, start_without_answer_that_must_run_once_is_lost_not_absent) {
     auto jobs = make_jobs(wire::job_assigned, 2);
     jobs.mutable_jobs(0)->set_idempotent(false);
-    m_tasks.take_jobs(jobs, m_now);
+    m_tasks.apply_jobs(jobs, m_now);
     m_tasks.get_actions(m_now);
     m_now += seconds{3};
     m_tasks.get_events(m_now, seconds{2}, 1);
-    m_tasks.revive(*m_fleet.find("w"), m_now);
-    announce(tell(2, true));
+    m_tasks.end_silence(*m_fleet.find("w"), m_now);
+    announce(make_announcement(2, true));
     EXPECT_TRUE(m_events.empty());
     m_now += seconds{3};
-    announce(tell(2, true));
-    EXPECT_EQ(only_event(), wire::event_lost);
+    announce(make_announcement(2, true));
+    EXPECT_EQ(only_event_kind(), wire::event_lost);
 }
 
 TEST_F(task_agent_test, renews_nothing_while_a_withdrawn_task_may_count_as_lost) {
     refuse_after_lost_answer();
-    EXPECT_TRUE(m_tasks.may_renew(*m_fleet.find("w")));
+    EXPECT_TRUE(m_tasks.may_renew_leases(*m_fleet.find("w")));
     m_now += seconds{3};
     m_tasks.get_events(m_now, seconds{2}, 1);
-    m_tasks.revive(*m_fleet.find("w"), m_now);
-    EXPECT_FALSE(m_tasks.may_renew(*m_fleet.find("w")));
+    m_tasks.end_silence(*m_fleet.find("w"), m_now);
+    EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w")));
 }
 
 TEST_F(task_agent_test, sends_what_must_run_once_again_instead_of_stopping_it) {
@@ -222,7 +222,7 @@
 }
 
 TEST_F(task_agent_test, gives_back_what_the_worker_refused) {
-    m_tasks.take_jobs(make_jobs(wire::job_assigned, 2), m_now);
+    m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     const auto events = answer_start(start_result::refused);
     ASSERT_EQ(events.size(), 1U);
@@ -231,58 +231,58 @@
 }
 
 TEST_F(task_agent_test, adopts_a_running_task_of_the_last_owner) {
-    m_tasks.take_jobs(make_jobs(wire::job_running, 1), m_now);
+    m_tasks.apply_jobs(make_jobs(wire::job_running, 1), m_now);
     EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000); // counts at once
-    EXPECT_FALSE(m_tasks.may_renew(*m_fleet.find("w")));
-    announce(tell_running());
-    EXPECT_EQ(only_event(), wire::event_started);
-    EXPECT_FALSE(m_tasks.may_renew(*m_fleet.find("w"))); // not before the log knows
+    EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w")));
+    announce(make_running_announcement());
+    EXPECT_EQ(only_event_kind(), wire::event_started);
+    EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w"))); // not before the log knows
     commit(wire::event_started);
-    EXPECT_TRUE(m_tasks.may_renew(*m_fleet.find("w")));
+    EXPECT_TRUE(m_tasks.may_renew_leases(*m_fleet.find("w")));
 }
 
 TEST_F(task_agent_test, assigned_task_that_was_never_started_goes_back) {
-    m_tasks.take_jobs(make_jobs(wire::job_assigned, 1), m_now);
-    announce(tell(2, true));
-    EXPECT_EQ(only_event(), wire::event_absent);
+    m_tasks.apply_jobs(make_jobs(wire::job_assigned, 1), m_now);
+    announce(make_announcement(2, true));
+    EXPECT_EQ(only_event_kind(), wire::event_absent);
 }
 
 TEST_F(task_agent_test, assigned_task_on_a_restarted_worker_is_lost_not_absent) {
     auto jobs = make_jobs(wire::job_assigned, 1);
     jobs.mutable_jobs(0)->set_worker_incarnation(76); // the process of the assignment is gone
-    m_tasks.take_jobs(jobs, m_now);
-    announce(tell(2, true));
-    EXPECT_EQ(only_event(), wire::event_lost);
+    m_tasks.apply_jobs(jobs, m_now);
+    announce(make_announcement(2, true));
+    EXPECT_EQ(only_event_kind(), wire::event_lost);
 }
 
 TEST_F(task_agent_test, silent_worker_loses_its_tasks_and_renews_nothing) {
-    m_tasks.take_jobs(make_jobs(wire::job_running, 1), m_now);
-    announce(tell_running());
+    m_tasks.apply_jobs(make_jobs(wire::job_running, 1), m_now);
+    announce(make_running_announcement());
     commit(wire::event_started);
     m_now += seconds{3};
     const auto events = m_tasks.get_events(m_now, seconds{2}, 1);
     ASSERT_EQ(events.size(), 2U);
     EXPECT_TRUE(events[0].has_mark());
     EXPECT_EQ(events[1].event().kind(), wire::event_lost);
-    EXPECT_FALSE(m_tasks.may_renew(*m_fleet.find("w")));
+    EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w")));
 }
 
 TEST_F(task_agent_test, worker_heard_again_must_list_its_tasks_before_they_are_renewed) {
-    m_tasks.take_jobs(make_jobs(wire::job_running, 1), m_now);
-    announce(tell_running());
+    m_tasks.apply_jobs(make_jobs(wire::job_running, 1), m_now);
+    announce(make_running_announcement());
     commit(wire::event_started);
     m_now += seconds{3};
     m_tasks.get_events(m_now, seconds{2}, 1);
-    m_tasks.revive(*m_fleet.find("w"), m_now);
-    EXPECT_FALSE(m_tasks.may_renew(*m_fleet.find("w")));
-    announce(tell_running());
-    EXPECT_EQ(only_event(), wire::event_started);
+    m_tasks.end_silence(*m_fleet.find("w"), m_now);
+    EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w")));
+    announce(make_running_announcement());
+    EXPECT_EQ(only_event_kind(), wire::event_started);
     commit(wire::event_started);
-    EXPECT_TRUE(m_tasks.may_renew(*m_fleet.find("w")));
+    EXPECT_TRUE(m_tasks.may_renew_leases(*m_fleet.find("w")));
 }
 
 TEST_F(task_agent_test, stops_a_run_that_the_log_has_moved_on_from) {
-    announce(tell_running(7));
+    announce(make_running_announcement(7));
     const auto actions = m_tasks.get_actions(m_now);
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_EQ(actions[0].verb, task_verb::stop);
@@ -290,12 +290,12 @@
 }
 
 TEST_F(task_agent_test, cancellation_stops_a_running_task_once_a_second) {
-    m_tasks.take_jobs(make_jobs(wire::job_running, 1), m_now);
-    announce(tell_running());
+    m_tasks.apply_jobs(make_jobs(wire::job_running, 1), m_now);
+    announce(make_running_announcement());
     commit(wire::event_started);
     auto jobs = make_jobs(wire::job_running, 1);
     jobs.mutable_jobs(0)->set_cancel_requested(true);
-    m_tasks.take_jobs(jobs, m_now);
+    m_tasks.apply_jobs(jobs, m_now);
     ASSERT_EQ(m_tasks.get_actions(m_now).size(), 1U);
     EXPECT_TRUE(m_tasks.get_actions(m_now).empty());
     m_now += seconds{1};
@@ -303,21 +303,21 @@
 }
 
 TEST_F(task_agent_test, reports_keep_their_numbers_for_the_acknowledgement) {
-    m_tasks.take_jobs(make_jobs(wire::job_running, 1), m_now);
-    auto told = tell(2, false);
-    told.reports = {{41, "j", 1, "finished", "ok", "", 1, 1, 1}};
-    announce(told);
+    m_tasks.apply_jobs(make_jobs(wire::job_running, 1), m_now);
+    auto message = make_announcement(2, false);
+    message.reports = {{41, "j", 1, "finished", "ok", "", 1, 1, 1}};
+    announce(message);
     ASSERT_EQ(m_events.size(), 1U);
     EXPECT_EQ(m_events[0].report, 41U);
-    EXPECT_EQ(only_event(), wire::event_finished);
+    EXPECT_EQ(only_event_kind(), wire::event_finished);
     commit(wire::event_finished);
     EXPECT_TRUE(m_fleet.find("w")->tasks.empty());
     EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 0);
 }
 
 TEST_F(task_agent_test, throttles_then_evicts_under_lasting_pressure) {
-    m_tasks.take_jobs(make_jobs(wire::job_running, 1), m_now);
-    announce(tell_running());
+    m_tasks.apply_jobs(make_jobs(wire::job_running, 1), m_now);
+    announce(make_running_announcement());
     commit(wire::event_started);
     auto& worker = *m_fleet.find("w");
     m_fleet.get_models().interference.set_estimate(m_fleet.get_models().services.get("s"),
