--- a/poplarpitch/entry/announce_handler.cpp
+++ b/poplarpitch/entry/announce_handler.cpp
@@ -22,7 +22,8 @@
     return response;
 }
 
-/// Errors after which the report is of no use any more: the job has moved on without it.
+/// Returns true when the report needs no repetition: it was applied, or the job has moved on and no longer
+/// needs it.
 bool is_final(std::uint32_t code) {
     return code == 0 || code == static_cast<std::uint32_t>(state_errc::stale_attempt) ||
            code == static_cast<std::uint32_t>(state_errc::unknown_job);
@@ -44,7 +45,8 @@
     }
     const auto& message = std::get<announcement>(decoded);
     if (!m_lease.is_valid(m_clock.now())) {
-        // Without a session nothing is owned here for sure; the worker goes to another entry.
+        // Without a valid session, ownership is uncertain; the worker has to announce itself to another
+        // entry.
         return make_error_response(503, "no_control", "this entry has no contact with control");
     }
     std::string refusal;
@@ -75,7 +77,8 @@
     answer.owner = m_entry_id;
     answer.owner_address = m_own_address;
     commit_events(message, answer);
-    // After the events: a task that was just taken over may be renewed with this very answer.
+    // Filled in after the commit, so that a task that was just taken over can have its lease renewed by this
+    // answer.
     m_state.fill_answer(message, m_lease.is_valid(m_clock.now()), answer);
     return make_answer(answer);
 }
@@ -92,7 +95,7 @@
     }
     const auto outcomes = m_events.commit(std::move(commands));
     if (!outcomes) {
-        return; // none is acknowledged: the worker sends them again
+        return; // no report is acknowledged, so the worker sends them again
     }
     for (std::size_t index = 0; index < events.size(); ++index) {
         handle_event_outcome(message, events[index], outcomes.value()[index], answer);
@@ -173,7 +176,7 @@
         if (!register_worker(message, refusal)) {
             log_event(log_level::warn, "register_refused").add("worker", message.id).add("reason", refusal);
         }
-        return; // the leader gives it an owner within a moment
+        return; // the leader assigns an owner shortly
     }
     const auto& worker = found.value().workers(0);
     answer.owner = worker.owner();
--- a/poplarpitch/entry/announce_handler.h
+++ b/poplarpitch/entry/announce_handler.h
@@ -16,23 +16,24 @@
 class metrics_registry;
 class session_lease;
 
-/// Answers targets that announce themselves. A worker of another entry is told where to go; a new one is
-/// registered. A report is acknowledged only after its event was committed, so the worker sends it again
-/// until then. Thread safety: any thread, for all methods.
+/// Handles the announcements of targets. Redirects a worker that another entry owns and registers a new one.
+/// Acknowledges a report only after its event was committed; the worker repeats the report until then. Thread
+/// safety: any thread, for all methods.
 class announce_handler {
 public:
-    /// Precondition: all parts outlive the handler.
+    /// Precondition: all referenced objects outlive the handler.
     announce_handler(entry_state& state, control_client& control, event_batcher<control_client>& events,
                      const session_lease& lease, metrics_registry& metrics, std::string entry_id,
                      std::string own_address);
 
-    /// Answers a request to /v1/targets/announce.
+    /// Handles a request to /v1/targets/announce.
     http_response handle(const http_request& request);
 
 private:
     http_response answer_owned(const announcement& message);
     http_response answer_not_owned(const announcement& message);
-    /// Brings control's record of the worker up to date; returns an error answer when that is refused.
+    /// Updates control's record of the worker. Returns false and sets `refusal` to the reason when that
+    /// fails.
     bool register_worker(const announcement& message, std::string& refusal);
     void commit_events(const announcement& message, announce_answer& answer);
     void handle_event_outcome(const announcement& message, const task_agent::reported_event& event,
--- a/poplarpitch/entry/announcement.h
+++ b/poplarpitch/entry/announcement.h
@@ -9,7 +9,7 @@
 
 namespace poplarpitch {
 
-/// A task that a worker says it runs.
+/// A task that a worker reports as running.
 struct running_task {
     std::string job;
     std::uint64_t attempt = 0;
@@ -18,23 +18,23 @@
     friend auto operator<=>(const running_task&, const running_task&) = default;
 };
 
-/// Something that happened to a task; sent again until it is acknowledged.
+/// An event of a task. The worker sends the report again until it is acknowledged.
 struct task_report {
-    std::uint64_t number = 0; ///< of the worker's process, rising
+    std::uint64_t number = 0; ///< counted by the worker's process, increasing
     std::string job;
     std::uint64_t attempt = 0;
     std::string kind; ///< finished, failed, checkpointed, evicted or stopped
     std::string detail;
     std::string checkpoint;
-    double cores_ratio = 1; ///< used over declared
+    double cores_ratio = 1; ///< ratio of used to declared
     double memory_ratio = 1;
     double time_ratio = 1;
 
     friend auto operator<=>(const task_report&, const task_report&) = default;
 };
 
-/// What a target tells about itself. The lists of tasks and requests are whole when `is_complete`, else only
-/// the requests are there.
+/// A target's report about itself. With `is_complete` the lists of tasks and requests are both complete;
+/// otherwise only the requests are listed.
 struct announcement {
     std::string id;
     std::string address; ///< host:port
@@ -43,26 +43,26 @@
     std::string speed_class;
     std::vector<std::string> services;
     resources capacity;
-    std::uint64_t epoch = 0;       ///< newest that it has accepted
-    std::uint64_t incarnation = 0; ///< of its process
+    std::uint64_t epoch = 0;       ///< newest epoch that the target has accepted
+    std::uint64_t incarnation = 0; ///< of the target's process
     std::uint64_t sequence = 0;
     bool is_leaving = false;
     bool is_complete = false;
-    std::vector<std::string> requests; ///< ids of the requests it runs
-    resources old_work;                ///< taken by requests that were started under older epochs
+    std::vector<std::string> requests; ///< ids of the requests that it runs
+    resources old_work;                ///< used by requests that were started under older epochs
     std::vector<running_task> tasks;
     std::vector<task_report> reports;
 
     friend bool operator==(const announcement&, const announcement&) = default;
 };
 
-/// What the target gets back.
+/// The answer to an announcement.
 struct announce_answer {
     std::string owner;
-    std::string owner_address; ///< where to announce from now on; empty while there is none
+    std::string owner_address; ///< where the target announces itself from now on; empty while it has no owner
     std::uint64_t epoch = 0;
-    bool is_renewed = false;     ///< its task leases go on
-    bool wants_complete = false; ///< announce again at once, with all tasks
+    bool is_renewed = false;     ///< the leases of its tasks are renewed
+    bool wants_complete = false; ///< the target must announce itself again at once, with all tasks
     std::vector<std::uint64_t> acknowledged;
     duration interval = milliseconds{500};
     duration task_lease = seconds{10};
--- a/poplarpitch/entry/announcement_codec.cpp
+++ b/poplarpitch/entry/announcement_codec.cpp
@@ -12,12 +12,12 @@
 
 constexpr std::size_t max_name_bytes = 128;
 constexpr std::size_t max_list_items = 100'000;
-constexpr std::size_t max_detail_bytes = 4096;         // bytes; it stays in the job's record
-constexpr std::size_t max_checkpoint_bytes = 64 << 10; // bytes, as for payloads
+constexpr std::size_t max_detail_bytes = 4096;         // stored in the job's record
+constexpr std::size_t max_checkpoint_bytes = 64 << 10; // the same limit as for payloads
 constexpr std::int64_t max_amount = 1LL << 50;
 constexpr std::int64_t max_number = 1LL << 62;
 
-/// Thrown inside this file only, and turned into a codec_error at its border.
+/// Thrown and caught in this file only; the public functions convert it to a codec_error.
 class field_error : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -32,7 +32,7 @@
         return {};
     }
     if (!found->is_string()) {
-        throw field_error(std::string("'") + key + "' must be a text");
+        throw field_error(std::string("'") + key + "' must be a string");
     }
     auto text = found->get<std::string>();
     const bool is_bad = text.size() > max_name_bytes || text.find_first_of(" \t\r\n\"/") != std::string::npos;
@@ -102,7 +102,7 @@
         return {};
     }
     if (!found->is_string()) {
-        throw field_error(std::string("'") + key + "' must be a text");
+        throw field_error(std::string("'") + key + "' must be a string");
     }
     auto text = found->get<std::string>();
     if (text.size() > limit) {
@@ -154,7 +154,7 @@
         running_task task{read_name(item, "job", true), read_number(item, "attempt"),
                           milliseconds{read_amount(item, "unsaved_ms")}};
         if (!jobs.insert(task.job).second) {
-            throw field_error("task '" + task.job + "' stands twice");
+            throw field_error("task '" + task.job + "' is listed twice");
         }
         value.tasks.push_back(std::move(task));
     }
@@ -209,7 +209,7 @@
     } catch (const field_error& error) {
         return codec_error{error.what()};
     } catch (const json::exception& error) {
-        return codec_error{std::string("the body is no valid JSON: ") + error.what()};
+        return codec_error{std::string("the body is not valid JSON: ") + error.what()};
     }
 }
 
--- a/poplarpitch/entry/call_handler.cpp
+++ b/poplarpitch/entry/call_handler.cpp
@@ -25,7 +25,7 @@
 namespace {
 
 constexpr int max_attempts = 3;
-// A request that ends its target's process would end the next one too, with all that runs there.
+// A request that crashes its target's process would also crash the next one, and all that runs there.
 constexpr int max_lost_attempts = 2;
 constexpr int hedge_threads = 64;
 constexpr duration default_retry_after = seconds{1};
@@ -43,13 +43,13 @@
     return outcome_unknown;
 }
 
-/// Headers other than those that the entry itself sets. What speaks of one connection only is left out where
-/// connections are: see `is_connection_header`.
+/// Returns true for headers that the entry does not set itself. Headers that concern a single connection are
+/// removed by the HTTP connection code, see `is_connection_header`.
 bool is_application_header(const std::string& name) {
     return !absl::StartsWithIgnoreCase(name, "poplarpitch-") && !absl::EqualsIgnoreCase(name, "host");
 }
 
-/// Copies the headers that callers and targets say to each other.
+/// Copies the headers that callers and targets exchange.
 void copy_application_headers(const header_list& from, header_list& to) {
     for (const auto& header : from.get_all()) {
         if (is_application_header(header.name)) {
@@ -87,7 +87,8 @@
 
 call_result call_handler::run(const call_info& call, const http_request& request, call_record& record) {
     if (!call.has_valid_session) {
-        // Without control this entry may be on the far side of a partition, with an old configuration.
+        // Without contact with control, this entry may be isolated by a partition and have an old
+        // configuration.
         const auto settings = m_state.get_configuration();
         const auto* service = settings->find_service(call.service);
         if (service == nullptr || !service->serve_when_cut_off || !call.is_idempotent) {
@@ -114,14 +115,15 @@
     begun.set_request_hash(
         absl::StrCat(absl::Hex(hash_bytes(request.method + "\n" + call.path_suffix + "\n" + request.body))));
     begun.set_entry(m_entry_id);
-    // Never the caller's: two calls may come under the same one, and only one of them has begun the key.
+    // Not the caller's request id: two calls may arrive with the same one, but only one of them has begun the
+    // key.
     const auto own_id = make_id();
     begun.set_request_id(own_id);
     begun.set_begun_ms(get_wall_ms());
     const auto limit = std::min<time_point>(call.deadline, m_clock.now() + intent_commit_timeout);
     const auto answer = m_control.propose(command, limit);
     if (!answer) {
-        // The key may be recorded, but nothing was sent to a target, and nothing will be.
+        // The key may have been recorded, but nothing was sent to a target and nothing will be sent.
         return make_refused(503, "no_control", "the key could not be recorded", default_retry_after);
     }
     const auto& outcome = answer.value();
@@ -130,10 +132,10 @@
     const bool is_own = known.request_id() == own_id && known.entry() == m_entry_id &&
                         known.phase() == static_cast<std::uint32_t>(intent_phase::begun);
     if (code == state_errc::key_conflict) {
-        return make_refused(422, "key_conflict", "the key was used with another request", {});
+        return make_refused(422, "key_conflict", "the key was already used with a different request", {});
     }
     if (code == state_errc::intents_full) {
-        return make_refused(503, "keys_full", "too many keys are remembered at present", default_retry_after);
+        return make_refused(503, "keys_full", "the table of idempotency keys is full", default_retry_after);
     }
     if (outcome.code() != 0 && !is_own) {
         if (known.phase() == static_cast<std::uint32_t>(intent_phase::answered)) {
@@ -167,7 +169,8 @@
         phase = intent_phase::not_run;
     }
     ended.set_phase(static_cast<std::uint32_t>(phase));
-    // When this is lost the record stays begun, and a resend is told "unknown": never a second run.
+    // If this proposal is lost, the record stays in phase `begun`. A resent request then gets the outcome
+    // "unknown" and never runs a second time.
     static_cast<void>(m_control.propose(command, m_clock.now() + intent_commit_timeout));
 }
 
@@ -182,7 +185,7 @@
         auto decision = m_state.admit(call);
         record.queue_wait += m_clock.now() - admission_start;
         if (auto* refused = std::get_if<refusal>(&decision)) {
-            // A retry that finds no room leaves the first attempt's outcome as it is.
+            // A retry that finds no free slot does not change the outcome of the first attempt.
             if (record.attempts > 0) {
                 return last;
             }
@@ -237,7 +240,7 @@
         choice = connection_choice::known_alive;
     }
     const auto sent = m_clock.now();
-    // The last look at the lease before bytes go out; the epoch covers what is left of the gap.
+    // The last check of the lease before sending. The epoch covers the remaining gap between check and send.
     const bool may_send = m_lease.is_valid(sent) || !call.has_valid_session;
     if (!may_send) {
         m_state.finish(grant, attempt_result::refused, {});
@@ -257,7 +260,7 @@
     const auto is_good = [](const attempt_outcome& attempt) {
         return attempt.result.outcome == call_outcome::done && !attempt.may_retry;
     };
-    // The first copy waits for a second one that has begun, so `call` and `request` outlive it.
+    // The first copy waits for a second copy that has begun, so `call` and `request` outlive the second.
     const auto second =
         m_hedges.schedule(m_clock.now() + delay, [this, race, second_lost, &call, &request, &grant, is_good] {
             if (!race->start_second()) {
@@ -288,7 +291,7 @@
     if (is_cancelled && exchange.progress != exchange_progress::answered) {
         const bool is_sent = exchange.progress == exchange_progress::maybe_sent;
         m_state.finish(grant, is_sent ? attempt_result::abandoned : attempt_result::refused, latency);
-        return {make_unknown("cancelled", "another copy was faster"), false};
+        return {make_unknown("cancelled", "another copy of the request was answered first"), false};
     }
     if (exchange.progress == exchange_progress::not_sent) {
         m_state.finish(grant, attempt_result::not_sent, latency);
@@ -305,7 +308,7 @@
         const auto* code = is_foreign ? "foreign_answer" : "no_answer";
         return {make_unknown(code, exchange.error == transport_errc::too_large
                                        ? "the answer is too large"
-                                       : "no whole answer came in time"),
+                                       : "no complete answer arrived in time"),
                 call.is_idempotent, 1};
     }
     const auto refused = exchange.response.headers.get(header_refused);
@@ -342,17 +345,19 @@
     outgoing.headers.add(header_forwarded, m_entry_id);
     outgoing.headers.add(header_lost_attempts, absl::StrCat(lost_attempts));
     const auto choice = call.is_idempotent ? connection_choice::pooled : connection_choice::known_alive;
-    // The other entry answers by the deadline; a little more lets that answer come through.
+    // The other entry answers by the deadline; the margin leaves time for that answer to arrive.
     auto exchange = m_targets.send(decision.address, outgoing, call.deadline + milliseconds{50}, choice);
     if (exchange.progress == exchange_progress::not_sent) {
-        return make_refused(503, "entry_unreachable", "the owning entry could not be reached",
+        return make_refused(503, "entry_unreachable",
+                            "the entry that the request was forwarded to could not be reached",
                             default_retry_after);
     }
     const bool is_own_answer = exchange.progress == exchange_progress::answered &&
                                exchange.response.headers.get(header_request_id) == call.request_id;
     if (!is_own_answer) {
         m_targets.drop(decision.address);
-        return make_unknown("no_answer", "the owning entry did not answer in time");
+        return make_unknown("no_answer",
+                            "the entry that the request was forwarded to did not answer in time");
     }
     call_result result;
     const auto outcome = exchange.response.headers.get(header_outcome);
--- a/poplarpitch/entry/call_outcome.h
+++ b/poplarpitch/entry/call_outcome.h
@@ -4,11 +4,11 @@
 
 namespace poplarpitch {
 
-/// What is known of a caller's request.
+/// The known outcome of a caller's request.
 enum class call_outcome : std::uint8_t {
-    done,    ///< a target answered; the caller has its whole answer
-    not_run, ///< it surely ran nowhere
-    unknown, ///< it was sent, and nobody knows what became of it
+    done,    ///< a target answered, and the caller gets the complete answer
+    not_run, ///< it certainly did not run anywhere
+    unknown, ///< it was sent, and its outcome is not known
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/call_reader.h
+++ b/poplarpitch/entry/call_reader.h
@@ -9,8 +9,8 @@
 
 namespace poplarpitch {
 
-/// Reads and checks a caller's request: service, tenant, deadline, idempotency. What is wrong becomes a 4xx
-/// answer that says so. Thread safety: any thread.
+/// Parses and validates a caller's request: service, tenant, deadline and idempotency. Returns a 4xx answer
+/// with the reason when the request is invalid. Thread safety: any thread.
 [[nodiscard]] std::variant<call_info, http_response> read_call(const http_request& request,
                                                                const configuration& settings, time_point now);
 
--- a/poplarpitch/entry/entry_daemon.cpp
+++ b/poplarpitch/entry/entry_daemon.cpp
@@ -34,8 +34,8 @@
 
 constexpr int start_failure_exit_code = 1;
 
-/// The parts of one entry and their threads: the control thread renews and keeps up, the traffic threads
-/// serve.
+/// The components of one entry and their threads. The control thread renews the session and runs periodic
+/// work; the traffic threads serve requests.
 class entry_daemon {
 public:
     explicit entry_daemon(const daemon_settings& settings)
@@ -108,7 +108,7 @@
         const auto path = request.get_path();
         if (path == "/v1/targets/announce" && request.method == "POST") {
             if (!m_is_serving) {
-                return make_error_response(503, "not_ready", "this entry starts or stops");
+                return make_error_response(503, "not_ready", "this entry is starting or stopping");
             }
             return m_announcements->handle(request);
         }
@@ -173,10 +173,11 @@
         }
     }
 
-    // ---- stop
+    // ---- shutdown
 
-    /// Unready first, so the balancer looks elsewhere; workers go to others while this entry still serves;
-    /// then what is in flight ends. Nothing is cut off.
+    /// Shuts down in order. First the entry reports itself as not ready, so that the load balancer stops
+    /// routing to it. Its workers move to other entries while it still serves. Then it waits for the requests
+    /// in flight, at most for `drain_wait`.
     void stop() {
         log_event(log_level::info, "stopping")
             .add("entry", m_settings.id)
@@ -208,7 +209,7 @@
                 return false;
             }
             if (m_signal.wait_for(milliseconds{20})) {
-                // A second signal tells what would be cut off; a third is the operator's kill.
+                // A second signal logs how many requests are still in flight; a third is the operator's kill.
                 log_event(log_level::warn, "drain_waiting").add("in_flight", m_calls_in_flight.load());
                 m_signal.reset();
             }
@@ -216,7 +217,7 @@
         return true;
     }
 
-    stop_signal m_signal; // first: blocks the signals for all threads
+    stop_signal m_signal; // declared first because it blocks the signals for all threads
     const daemon_settings m_settings;
     const entry_settings m_entry_settings{};
     const system_clock m_clock{};
--- a/poplarpitch/entry/entry_daemon.h
+++ b/poplarpitch/entry/entry_daemon.h
@@ -4,8 +4,8 @@
 
 namespace poplarpitch {
 
-/// Runs an entry until SIGTERM or SIGINT. Returns the exit code: 0 after a planned stop, 1 when it cannot
-/// start. Precondition: `settings` were checked. Thread safety: none.
+/// Runs an entry until SIGTERM or SIGINT. Returns the exit code: 0 after a planned shutdown, 1 when it cannot
+/// start. Precondition: `settings` were validated. Thread safety: none.
 int run_entry_daemon(const daemon_settings& settings);
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/entry_settings.h
+++ b/poplarpitch/entry/entry_settings.h
@@ -6,15 +6,16 @@
 
 namespace poplarpitch {
 
-/// How an entry runs.
+/// Intervals and limits of an entry process.
 struct entry_settings {
-    duration renew_interval =
-        milliseconds{400}; ///< of the control session, which is also how news comes; three fit into a lease
-    duration tick_interval = milliseconds{100}; ///< of tasks, silence and relief
-    duration drain_wait = seconds{30};          ///< longest wait for requests in flight at a planned stop
+    duration renew_interval = milliseconds{400}; ///< of the session with control; the answers also deliver
+                                                 ///< updates. Three renewals fit into a lease
+    duration tick_interval =
+        milliseconds{100};             ///< of the checks of tasks, silent workers and relief from overload
+    duration drain_wait = seconds{30}; ///< maximum wait for requests in flight at a planned shutdown
     duration drain_grace =
-        milliseconds{700}; ///< unready but still serving: the balancer needs a moment to see it
-    int task_threads = 8;  ///< calls to workers about tasks at the same time
+        milliseconds{700}; ///< time not ready but still serving: the load balancer needs a moment to notice
+    int task_threads = 8;  ///< maximum number of concurrent task calls to workers
 
     friend auto operator<=>(const entry_settings&, const entry_settings&) = default;
 };
--- a/poplarpitch/entry/entry_state.cpp
+++ b/poplarpitch/entry/entry_state.cpp
@@ -53,7 +53,7 @@
 void entry_state::apply_renewal(const wire::renew_answer& answer, time_point now) {
     m_is_draining = answer.draining();
     const absl::MutexLock lock(&m_mutex);
-    // A version never goes down here, whatever an old answer says.
+    // The configuration version never decreases here, even if an old answer carries an older one.
     if (answer.has_config() && answer.config().version() > m_config_version) {
         m_config_version = answer.config().version();
         m_settings = std::make_shared<const configuration>(parse_configuration(answer.config().text()).value);
@@ -166,7 +166,7 @@
         return std::move(*self.grant);
     }
     m_dispatcher.abandon(call.service, wait.ticket);
-    return refusal{503, "too_late", "no slot came free in time", m_dispatcher.get_median(call.service)};
+    return refusal{503, "too_late", "no slot became free in time", m_dispatcher.get_median(call.service)};
 }
 
 void entry_state::serve_waiting(time_point now) {
@@ -258,7 +258,7 @@
         message.epoch < worker.epoch || is_unsure || task_agent::needs_complete_list(worker);
 }
 
-// ---- upkeep
+// ---- periodic work
 
 entry_state::due_work entry_state::tick(std::int64_t wall_ms) {
     const absl::MutexLock lock(&m_mutex);
@@ -308,7 +308,7 @@
     auto list = nlohmann::json::array();
     for (const auto& [id, worker] : m_fleet.get_workers()) {
         const auto free = worker.ledger.get_free();
-        auto health = worker.health; // asking may end a quarantine, so a copy is asked
+        auto health = worker.health; // get_trust may end a quarantine, so it is called on a copy
         list.push_back({{"id", id},
                         {"epoch", worker.epoch},
                         {"ready", worker.is_usable()},
--- a/poplarpitch/entry/event_batcher.h
+++ b/poplarpitch/entry/event_batcher.h
@@ -22,26 +22,28 @@
 
 namespace poplarpitch {
 
-/// Anything that commits several commands with one call, in the way of `control_client::propose_batch`.
+/// A type that commits several commands with one call, like `control_client::propose_batch`.
 template <class T>
 concept batch_committer = requires(T& control, const std::vector<wire::command>& commands,
                                    time_point deadline) {
     { control.propose_batch(commands, deadline) } -> std::same_as<result<std::vector<wire::command_result>>>;
 };
 
-/// How long what is posted may wait for others.
+/// Whether posted events may wait to be sent in one batch with others.
 enum class flush_mode : std::uint8_t {
-    batched,   ///< until the interval is over
-    immediate, ///< not at all: a user waits; what was gathered goes along
+    batched,   ///< wait until the interval is over
+    immediate, ///< do not wait because a user waits for the result; events that are already queued are sent
+               ///< too
 };
 
-/// Gathers what happens to tasks and brings it into the log with few calls, on one thread of its own. A call
-/// of its own for each event costs the leader more than the commit does. An event after a rest goes at once;
-/// under load each waits at most for the interval. Thread safety: any thread, for all methods.
+/// Batches events of tasks and commits them to the log with few calls, on a thread of its own. A separate
+/// call for each event costs the leader more than the commit itself. An event after an idle period is sent at
+/// once; under load each event waits at most for the interval. Thread safety: any thread, for all methods.
 template <batch_committer Control>
 class event_batcher {
 public:
-    /// What became of the events of one `post`, in their order; an error says that each may yet be committed.
+    /// The results of the events of one `post`, in their order. After an error each event may still be
+    /// committed.
     using outcome = result<std::vector<wire::command_result>>;
     using callback = std::function<void(const outcome&)>;
 
@@ -52,8 +54,8 @@
     event_batcher(const event_batcher&) = delete;
     event_batcher& operator=(const event_batcher&) = delete;
 
-    /// Queues events that belong together; `done` is called once, on the batcher's thread, or on this one
-    /// when they are refused. Precondition: `events` is not empty.
+    /// Queues a group of events. `done` is called once, on the batcher's thread, or on the calling thread
+    /// when the queue refuses them. Precondition: `events` is not empty.
     void post(std::vector<wire::command>&& events, callback done, flush_mode mode = flush_mode::batched) {
         {
             const absl::MutexLock lock(&m_mutex);
@@ -67,19 +69,20 @@
         done(make_error_code(transport_errc::unreachable));
     }
 
-    /// Queues events and waits for what became of them, at most for the settings' `commit_wait`: then they
-    /// may yet be committed.
+    /// Queues events and waits for their results, at most for `commit_wait` of the settings. After that it
+    /// returns `timed_out`, and the events may still be committed.
     outcome commit(std::vector<wire::command>&& events, flush_mode mode = flush_mode::batched) {
         const auto slot = std::make_shared<answer_slot<outcome>>();
         const auto store_outcome = [slot](const outcome& answer) {
             slot->give(answer);
         };
         post(std::move(events), store_outcome, mode);
-        // Without control others wait in front, each for its own timeout.
+        // While control is unreachable, earlier batches are in front, and each of them waits for its own
+        // timeout.
         return slot->wait_for(m_settings.commit_wait).value_or(make_error_code(transport_errc::timed_out));
     }
 
-    /// Sends what is queued, then ends the thread. Later events are refused.
+    /// Sends the queued events, then stops the thread. Events posted later are refused.
     void finish() {
         {
             const absl::MutexLock lock(&m_mutex);
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Waits for events and for their turn; empty once finished.
+    /// Waits until a batch is due and returns it; returns an empty batch once finished.
     std::vector<group> take_batch(time_point next_call) {
         const absl::MutexLock lock(&m_mutex);
         const auto has_events = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
@@ -130,7 +133,8 @@
 
     void send(std::vector<group>& batch) {
         std::vector<wire::command> events;
-        for (auto& item : batch) { // moved out one by one: each group still says how many it had
+        for (auto& item :
+             batch) { // moves the elements, not the vector: the size of each group is needed below
             std::move(item.events.begin(), item.events.end(), std::back_inserter(events));
         }
         auto answer = m_control.propose_batch(events, m_clock.now() + m_settings.commit_timeout);
@@ -153,10 +157,10 @@
     const system_clock m_clock{};
     absl::Mutex m_mutex;
     std::deque<group> m_groups ABSL_GUARDED_BY(m_mutex);
-    std::size_t m_count ABSL_GUARDED_BY(m_mutex) = 0;     ///< events of the groups
-    bool m_is_flush_due ABSL_GUARDED_BY(m_mutex) = false; ///< a waiting group must not wait
+    std::size_t m_count ABSL_GUARDED_BY(m_mutex) = 0;     ///< number of events in all groups
+    bool m_is_flush_due ABSL_GUARDED_BY(m_mutex) = false; ///< a queued group must be sent immediately
     bool m_is_finished ABSL_GUARDED_BY(m_mutex) = false;
-    std::thread m_sender; ///< last: starts when everything else stands
+    std::thread m_sender; ///< declared last: it starts when all other members are initialized
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/event_batcher_settings.h
+++ b/poplarpitch/entry/event_batcher_settings.h
@@ -7,14 +7,16 @@
 
 namespace poplarpitch {
 
-/// How events of tasks are gathered on their way to control.
+/// Limits for batching the events of tasks that are sent to control.
 struct event_batcher_settings {
     duration interval =
-        milliseconds{100}; ///< least time between two calls; the first after a rest goes at once
-    duration commit_timeout = seconds{2}; ///< of one call; its events are told again by whoever raised them
-    duration commit_wait = seconds{5};    ///< longest that a caller of `commit` waits
-    std::size_t max_batch = 256;          ///< events of one call; that many go without waiting
-    std::size_t max_queued = 4096;        ///< events that wait; more are refused: without control they add up
+        milliseconds{100}; ///< minimum time between two calls; the first after an idle period is sent at once
+    duration commit_timeout =
+        seconds{2};                    ///< of one call; after it the source of its events raises them again
+    duration commit_wait = seconds{5}; ///< maximum time that a caller of `commit` waits
+    std::size_t max_batch = 256;       ///< events at which a batch is sent without waiting
+    std::size_t max_queued = 4096; ///< maximum queued events; more are refused, because they accumulate while
+                                   ///< control is unreachable
 
     friend auto operator<=>(const event_batcher_settings&, const event_batcher_settings&) = default;
 };
--- a/poplarpitch/entry/fleet_models.h
+++ b/poplarpitch/entry/fleet_models.h
@@ -6,8 +6,8 @@
 
 namespace poplarpitch {
 
-/// What an entry has learned about services, batch classes and workers, and the dense numbers they go by.
-/// Thread safety: none.
+/// The models that an entry learns of services, batch classes and workers, and the dense indexes that
+/// identify these. Thread safety: none.
 struct fleet_models {
     name_index services;
     name_index batches;
--- a/poplarpitch/entry/forward_router.h
+++ b/poplarpitch/entry/forward_router.h
@@ -9,17 +9,18 @@
 
 namespace poplarpitch {
 
-/// Picks the entry that a request is forwarded to. What it knows is a heartbeat old, so it takes the better
-/// of two at random: all entries picking the best one would bury it (Mitzenmacher, 2001). The same data
-/// centre goes first. Thread safety: none, as for all methods.
+/// Picks the entry that a request is forwarded to. The advertised slots are up to one heartbeat old, so it
+/// picks the better of two random entries; if all entries picked the best one, they would overload it
+/// (Mitzenmacher, 2001). Entries of the same data centre are preferred. Thread safety: none, for all methods.
 class forward_router {
 public:
     explicit forward_router(std::uint32_t seed) : m_random(seed | 1U) {}
 
-    /// Takes what the entries advertise.
+    /// Replaces the list of other entries with what they advertise now.
     void set_entries(std::vector<remote_entry> entries) { m_entries = std::move(entries); }
-    /// Returns the entry for a request of `service`; with `needs_free_slot` only one with a free slot. Counts
-    /// the request against what the entry advertised, until the next advertisement.
+    /// Returns an entry for a request of `service`, or nothing when there is none. With `needs_free_slot` it
+    /// considers only entries with a free slot. The request is deducted from the entry's advertised slots
+    /// until the next advertisement.
     std::optional<remote_entry> pick(const std::string& service, bool needs_free_slot);
     /// Returns true when some other entry advertises slots for `service`, free or not.
     [[nodiscard]] bool has_slots(const std::string& service) const;
--- a/poplarpitch/entry/hedge_timer.h
+++ b/poplarpitch/entry/hedge_timer.h
@@ -12,8 +12,8 @@
 
 namespace poplarpitch {
 
-/// Runs work at a later time, unless it is cancelled before: the second copies of slow requests. One thread
-/// waits for all of them; the work itself runs on threads of its own, since it waits for answers. Thread
+/// Runs work at a later time unless it is cancelled before. Used for the second copies of slow requests. One
+/// thread waits for all due times; the work runs on separate threads because it waits for answers. Thread
 /// safety: any thread, for all methods.
 class hedge_timer {
 public:
@@ -22,9 +22,9 @@
     hedge_timer(const hedge_timer&) = delete;
     hedge_timer& operator=(const hedge_timer&) = delete;
 
-    /// Runs `work` at `due`. Returns a number to cancel it by.
+    /// Runs `work` at `due`. Returns an id for `cancel`.
     std::uint64_t schedule(time_point due, std::function<void()> work);
-    /// Takes the work back. Returns false when it has begun or is over.
+    /// Cancels the work. Returns false when it has begun or has ended.
     bool cancel(std::uint64_t id);
 
 private:
@@ -39,7 +39,7 @@
     absl::Mutex m_mutex;
     absl::CondVar m_changed;
     std::multimap<time_point, item> m_items ABSL_GUARDED_BY(m_mutex);
-    std::map<std::uint64_t, time_point> m_due_times ABSL_GUARDED_BY(m_mutex); ///< by number
+    std::map<std::uint64_t, time_point> m_due_times ABSL_GUARDED_BY(m_mutex); ///< by id
     std::uint64_t m_last_id ABSL_GUARDED_BY(m_mutex) = 0;
     bool m_is_stopped ABSL_GUARDED_BY(m_mutex) = false;
     std::thread m_timer_thread;
--- a/poplarpitch/entry/hedged_call.h
+++ b/poplarpitch/entry/hedged_call.h
@@ -8,12 +8,12 @@
 
 namespace poplarpitch {
 
-/// Two copies of one request that race. The first good answer wins and breaks the other copy off.
-/// Thread safety: any thread, for all methods.
+/// Coordinates two copies of one request (a hedged request). The first good answer wins and cancels the other
+/// copy. Thread safety: any thread, for all methods.
 template <class Answer>
 class hedged_call {
 public:
-    /// Notes that the second copy is on its way. Returns false when the race is over already.
+    /// Marks the second copy as running. Returns false when the race is already over.
     bool start_second() {
         const absl::MutexLock lock(&m_mutex);
         if (m_is_over) {
@@ -23,7 +23,7 @@
         return true;
     }
 
-    /// Takes the end of a copy. A good answer that comes first wins and cancels `other`.
+    /// Called when a copy has ended. The first good answer wins and cancels `other`.
     void finish(Answer answer, bool is_good, bool is_second, http_cancel& other) {
         bool has_won = false;
         {
@@ -42,11 +42,12 @@
         }
     }
 
-    /// Called by the first copy after its end: waits for a second copy that still runs, ends the race, and
-    /// returns the winner's answer, if there is one.
+    /// Called by the first copy after its end. Waits for a second copy that is still running, ends the race
+    /// and returns the winner's answer if there is one.
     std::optional<Answer> wait_for_answer() {
         const absl::MutexLock lock(&m_mutex);
-        // Even a race that is won waits for the second copy's thread: it uses the request.
+        // Waits for the second copy's thread even after the race is won, because that thread uses the
+        // request.
         const auto is_second_done = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
             return !m_is_second_running;
         };
@@ -55,8 +56,8 @@
         return std::move(m_answer);
     }
 
-    http_cancel first;  ///< breaks the first copy off
-    http_cancel second; ///< breaks the second copy off
+    http_cancel first;  ///< cancels the first copy
+    http_cancel second; ///< cancels the second copy
 
 private:
     absl::Mutex m_mutex;
--- a/poplarpitch/entry/job_codec.h
+++ b/poplarpitch/entry/job_codec.h
@@ -9,13 +9,13 @@
 
 namespace poplarpitch {
 
-/// Reads a job that a user submits as JSON, filling in what its batch class declares. Thread safety: any
+/// Parses a job that a user submits as JSON and fills in the defaults of its batch class. Thread safety: any
 /// thread.
 [[nodiscard]] std::variant<wire::job, codec_error> decode_job(const std::string& text,
                                                               const configuration& settings);
-/// Writes a job's record as JSON text. Thread safety: any thread.
+/// Encodes a job's record as JSON. Thread safety: any thread.
 [[nodiscard]] std::string encode_job(const wire::job& job);
-/// Returns the state's name as users see it. Thread safety: any thread.
+/// Returns the state's name that users see. Thread safety: any thread.
 [[nodiscard]] const char* get_job_state_name(wire::job_state state);
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/job_handler.cpp
+++ b/poplarpitch/entry/job_handler.cpp
@@ -14,9 +14,10 @@
 using json = nlohmann::json;
 
 constexpr duration control_timeout = seconds{5};
-constexpr std::size_t max_jobs_per_call = 256; // jobs of one call, which share one commit
+constexpr std::size_t max_jobs_per_call = 256; // the jobs of one call share one commit
 
-/// Returns the array under `key` of a JSON object, or null when there is none of a fair size.
+/// Returns the array under `key`, the only key of a JSON object. Returns null when the body has another form,
+/// or the array is empty or has too many items.
 json read_array(const std::string& body, const char* key) {
     const auto object = json::parse(body, nullptr, false);
     if (!object.is_object() || object.size() != 1 || !object.contains(key)) {
@@ -124,7 +125,7 @@
         return make_control_error(answer.error());
     }
     if (!answer.value().found()) {
-        return make_error_response(404, "unknown_job", absl::StrCat("no job is called '", id, "'"));
+        return make_error_response(404, "unknown_job", absl::StrCat("unknown job '", id, "'"));
     }
     http_response response;
     response.body = encode_job(answer.value().jobs(0)) + "\n";
@@ -176,7 +177,7 @@
     return commit_job_command(command, 200);
 }
 
-// ---- many jobs
+// ---- several jobs
 
 http_response job_handler::submit_many(const http_request& request) {
     const auto array = read_array(request.body, "jobs");
@@ -212,7 +213,7 @@
         if (id.is_string()) {
             commands.push_back(make_cancel(id.get<std::string>()));
         } else {
-            refused.push_back(describe_refusal("", 400, "bad_id", "an id must be a text"));
+            refused.push_back(describe_refusal("", 400, "bad_id", "an id must be a string"));
         }
     }
     return commit_job_commands(std::move(commands), std::move(refused));
--- a/poplarpitch/entry/job_handler.h
+++ b/poplarpitch/entry/job_handler.h
@@ -15,28 +15,30 @@
 
 class entry_state;
 
-/// Answers batch users: jobs submitted, looked at, cancelled and resolved, one or many with a call. An answer
-/// about a change is given after its commit. Thread safety: any thread, for all methods.
+/// Handles requests of batch users: to submit, read, cancel and resolve jobs, one or several per call.
+/// Answers a change only after its commit. Thread safety: any thread, for all methods.
 class job_handler {
 public:
-    /// Precondition: all parts outlive the handler.
+    /// Precondition: all referenced objects outlive the handler.
     job_handler(entry_state& state, control_client& control, event_batcher<control_client>& events);
 
-    /// Answers a request under /v1/jobs. `parts` are those of its path: {"v1", "jobs", ...}.
+    /// Handles a request under /v1/jobs. `parts` are the segments of its path: {"v1", "jobs", ...}.
     http_response handle(const http_request& request, const std::vector<std::string>& parts);
 
 private:
     http_response submit(const http_request& request);
-    /// Answers for each job of an array by itself: a bad one does not keep the others out.
+    /// Answers for each job of an array separately; an invalid job does not prevent the submission of the
+    /// others.
     http_response submit_many(const http_request& request);
     http_response cancel_many(const http_request& request);
     http_response get(const std::string& id);
     http_response list(const http_request& request);
     http_response cancel(const std::string& id);
     http_response resolve(const std::string& id, const http_request& request);
-    /// Commits one command and answers with its job.
+    /// Commits one command and answers with the record of its job.
     http_response commit_job_command(const wire::command& command, int success_status);
-    /// Commits commands and answers with one item for each; `items` holds those that were refused already.
+    /// Commits commands and answers with one item for each. `items` holds the items that were already
+    /// refused.
     http_response commit_job_commands(std::vector<wire::command>&& commands, nlohmann::json&& items);
 
     entry_state& m_state;
--- a/poplarpitch/entry/load_reporter.cpp
+++ b/poplarpitch/entry/load_reporter.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr duration repeat_after = seconds{5};
-constexpr double factor_step = 0.1; // of slowdown and speed
-constexpr double rate_share = 0.25; // of a service's request rate
-constexpr double rate_step = 1.0;   // requests a second, below which a change says nothing
+constexpr double factor_step = 0.1; // minimum change of slowdown or speed that is reported
+constexpr double rate_share = 0.25; // minimum relative change of a service's request rate that is reported
+constexpr double rate_step = 1.0;   // requests per second; smaller changes are not significant
 
 bool is_rate_changed(const wire::worker_load& now, const wire::worker_load& before) {
     return std::any_of(now.rates().begin(), now.rates().end(), [&](const auto& item) {
@@ -24,7 +24,7 @@
 bool is_changed(const wire::worker_load& now, const wire::worker_load& before) {
     auto requests = decode(now.requests());
     auto old_requests = decode(before.requests());
-    requests.slots = 0; // slots are the entry's own matter and change all the time
+    requests.slots = 0; // only the entry uses the slots, and they change constantly
     old_requests.slots = 0;
     return now.ready() != before.ready() || now.leaving() != before.leaving() ||
            now.relieved() != before.relieved() || requests != old_requests ||
--- a/poplarpitch/entry/load_reporter.h
+++ b/poplarpitch/entry/load_reporter.h
@@ -9,16 +9,17 @@
 
 namespace poplarpitch {
 
-/// Picks the workers' loads that are worth sending with a renewal: those that changed so much that a
-/// placement could come out differently, all of them every few seconds, and all of them to a new leader, who
-/// knows none. The leader keeps the last load of each worker. Thread safety: none, as for all methods.
+/// Selects the worker loads to send with a renewal: those that changed enough to affect a placement, all of
+/// them every few seconds, and all of them to a new leader, which knows none. The leader keeps the last load
+/// of each worker. Thread safety: none, for all methods.
 class load_reporter {
 public:
-    /// Takes the term of the leader that granted the last renewal; a change makes everything new.
+    /// Sets the term of the leader that granted the last renewal. When the term changes, all loads are sent
+    /// again.
     void set_term(std::uint64_t term);
-    /// Returns true when `load` is to be sent, and takes it as sent.
+    /// Returns true when `load` has to be sent, and records it as sent.
     bool mark_sent_if_due(const wire::worker_load& load, time_point now);
-    /// Forgets a worker; its next load is sent.
+    /// Forgets the last load sent for a worker; its next load is sent.
     void forget(const std::string& worker);
 
 private:
--- a/poplarpitch/entry/operator_answers.h
+++ b/poplarpitch/entry/operator_answers.h
@@ -13,11 +13,12 @@
 
 namespace poplarpitch {
 
-/// Answers with JSON. Thread safety: any thread, as for all below.
+/// Returns a JSON answer. Thread safety: any thread, for all functions below.
 [[nodiscard]] http_response make_json(const nlohmann::json& body, int status = 200);
-/// Says what a failed call to control means to the user.
+/// Returns an error answer that tells the user what a failed call to control means.
 [[nodiscard]] http_response make_control_error(const std::error_code& error);
-/// Says why control refused a command. Precondition: the outcome's code is not 0.
+/// Returns an error answer with the reason why control refused a command. Precondition: the outcome's code is
+/// not 0.
 [[nodiscard]] http_response make_state_error(const wire::command_result& outcome);
 
 /// Returns the HTTP status for a command's outcome; 200 for success.
--- a/poplarpitch/entry/operator_handler.h
+++ b/poplarpitch/entry/operator_handler.h
@@ -12,15 +12,16 @@
 
 class entry_state;
 
-/// Answers operators: configuration, workers, members, status; jobs go to `job_handler`. Everything here asks
-/// control; an answer about a change is given after its commit. Thread safety: any thread, for all methods.
+/// Handles requests of operators for configuration, workers, members and status; passes requests about jobs
+/// to `job_handler`. All of them call control. A change is answered only after its commit. Thread safety: any
+/// thread, for all methods.
 class operator_handler {
 public:
-    /// Precondition: all parts outlive the handler.
+    /// Precondition: all referenced objects outlive the handler.
     operator_handler(entry_state& state, control_client& control, event_batcher<control_client>& events,
                      std::string entry_id);
 
-    /// Answers a request; 404 for a path that is not known here.
+    /// Handles a request; answers 404 for an unknown path.
     http_response handle(const http_request& request);
 
 private:
--- a/poplarpitch/entry/owned_fleet.cpp
+++ b/poplarpitch/entry/owned_fleet.cpp
@@ -10,9 +10,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double slowdown_window_requests = 40; // requests after which an old slowdown has faded
-constexpr double max_slowdown_sample = 10;      // one stuck request must not climb the ladder alone
-constexpr double peak_decay_factor = 0.9;       // per tick
+constexpr double slowdown_window_requests = 40; // number of requests over which an old slowdown decays
+constexpr double max_slowdown_sample =
+    10; // limits a sample, so that a single stuck request does not raise the relief step
+constexpr double peak_decay_factor = 0.9; // applied at each tick
 
 /// Returns how many times `need` fits into `free`.
 std::int32_t count_fits(const resources& free, const resources& need) {
@@ -54,7 +55,7 @@
         names.insert(record.id());
         auto& worker = m_workers[record.id()];
         if (worker.epoch != record.epoch()) {
-            // A new epoch: nothing is known of what runs there until the worker has told it.
+            // After a change of epoch nothing is known of what runs on the worker until it has announced it.
             const auto number = m_models.workers.get(record.id());
             worker = owned_worker{};
             worker.id = record.id();
@@ -145,7 +146,7 @@
         return;
     }
     if (message.incarnation != worker->incarnation) {
-        // The process that ran the doubtful requests is gone, and its numbers with it.
+        // The process that ran the doubtful requests has ended, and its sequence numbers are no longer valid.
         for (const auto& [grant, doubt] : worker->doubtful) {
             worker->ledger.release(grant);
             --worker->outstanding;
@@ -153,7 +154,7 @@
         worker->doubtful.clear();
         worker->ledger.set_open(false);
     } else if (message.sequence < worker->sequence) {
-        return; // late: a newer one has been taken
+        return; // out of order: a newer announcement was already processed
     }
     worker->sequence = message.sequence;
     worker->last_heard = now;
@@ -163,8 +164,8 @@
         worker->ledger.set_capacity(message.capacity);
         worker->ledger.set_foreign(message.old_work);
         release_ended_requests(*worker, message);
-        // The complete list under this epoch is the proof that nothing unknown runs there. Control must know
-        // the process first: an assignment names it.
+        // The complete list under this epoch proves that nothing unknown runs on the worker. Control must
+        // know the process first, because an assignment names its incarnation.
         if (message.is_complete && message.incarnation == worker->logged_incarnation && !worker->is_silent) {
             worker->ledger.set_open(true);
         }
@@ -201,7 +202,7 @@
     auto& worker = m_workers.at(table.workers[*picked]);
     const auto id = make_grant_id();
     if (!worker.ledger.try_acquire(id, table.need)) {
-        refresh_counts(worker, now); // the row was out of date; the ledger has the last word
+        refresh_counts(worker, now); // the routing row was stale; the ledger is authoritative
         return std::nullopt;
     }
     ++worker.outstanding;
@@ -230,10 +231,11 @@
                               time_point now) {
     auto* worker = find(grant.worker);
     if (worker == nullptr || worker->epoch != grant.epoch || !worker->ledger.has(grant.id)) {
-        return; // given on since: the new owner counts what the worker reports
+        return; // the worker has changed owner since; the new owner counts what the worker reports
     }
     if (ended == attempt_result::maybe_running || ended == attempt_result::abandoned) {
-        // It may run on there. The slot is free again when the worker's own list says so.
+        // The request may still be running there. Its slot is released when the worker's list no longer names
+        // it.
         worker->doubtful[grant.id] = {grant.request_id, worker->sequence + 1};
         if (ended == attempt_result::maybe_running) {
             worker->health.on_failure(now);
@@ -313,7 +315,7 @@
     }
 }
 
-// ---- upkeep
+// ---- periodic work
 
 void owned_fleet::tick(time_point now) {
     const auto fade = [](std::int64_t value) {
--- a/poplarpitch/entry/owned_task.h
+++ b/poplarpitch/entry/owned_task.h
@@ -9,19 +9,21 @@
 
 namespace poplarpitch {
 
-/// How far an entry has come with a task on a worker it owns.
+/// The progress of a task on an owned worker.
 enum class task_phase : std::uint8_t {
     to_start,    ///< assigned under this epoch; not sent yet
-    starting,    ///< sent; no answer yet
-    unconfirmed, ///< of an earlier owner; the worker has not said yet whether it runs
+    starting,    ///< the start was sent; no answer yet
+    unconfirmed, ///< assigned or started under an earlier owner or before silence; the worker has not
+                 ///< confirmed yet whether it runs
     running,
-    stopping,    ///< told to stop, for a cancellation
-    evicting,    ///< told to checkpoint and stop
-    withdrawing, ///< told to stop, since a start was refused after one whose answer is not known
-    ended,       ///< its end is being committed
+    stopping,    ///< asked to stop because of a cancellation
+    evicting,    ///< asked to write a checkpoint and stop
+    withdrawing, ///< asked to stop, because a start was refused after an earlier start whose answer is not
+                 ///< known
+    ended,       ///< its end is being committed to the log
 };
 
-/// A task on an owned worker, as its owner sees it.
+/// A task on an owned worker, as known to the owning entry.
 struct owned_task {
     std::string job;
     std::uint64_t attempt = 0;
@@ -29,24 +31,25 @@
     std::string batch;
     std::string payload;
     std::string checkpoint;
-    resources declared; ///< need that its submitter declared
+    resources declared; ///< resources that its submitter declared
     resources reserved;
     duration run_time{}; ///< declared
     bool is_idempotent = true;
     bool is_urgent = false;
     bool is_throttled = false;
     int evictions = 0;
-    std::uint64_t incarnation = 0;     ///< of the worker's process when it was assigned
-    bool is_lost_in_log = false;       ///< control waits for its lease to end
-    bool is_running_in_log = false;    ///< control knows that it was started
-    bool has_unanswered_start = false; ///< a start was sent whose answer is lost or still to come
-    bool is_possibly_lost = false;     ///< its worker was silent: control may count it as lost
-    bool is_stop_answered = false;     ///< while it is withdrawn: no start is carried out any more
-    std::uint64_t stop_sequence = 0;   ///< newest announcement that may be older than that answer
+    std::uint64_t incarnation = 0;     ///< of the worker's process at the assignment
+    bool is_lost_in_log = false;       ///< control has recorded it as lost and waits for its lease to end
+    bool is_running_in_log = false;    ///< control has recorded its start
+    bool has_unanswered_start = false; ///< a start was sent whose answer was lost or is still pending
+    bool is_possibly_lost = false;     ///< its worker was silent, so control may count it as lost
+    bool is_stop_answered = false; ///< in phase `withdrawing`: the worker will not execute any earlier start
+    std::uint64_t stop_sequence =
+        0; ///< sequence number of the newest announcement that may be older than that answer
     task_phase phase = task_phase::to_start;
-    grant_id grant = 0; ///< in the worker's ledger; 0 while it holds nothing
-    time_point since{}; ///< when the phase began
-    duration unsaved{}; ///< as the worker last told
+    grant_id grant = 0; ///< its reservation in the worker's ledger; 0 for none
+    time_point since{}; ///< when the phase began or the last call was made; zero when a call is due at once
+    duration unsaved{}; ///< work since the last checkpoint, as last announced by the worker
 
     friend bool operator==(const owned_task&, const owned_task&) = default;
 };
--- a/poplarpitch/entry/protocol_names.h
+++ b/poplarpitch/entry/protocol_names.h
@@ -12,7 +12,8 @@
 inline constexpr const char* header_epoch = "Poplarpitch-Epoch";
 inline constexpr const char* header_forwarded = "Poplarpitch-Forwarded";
 inline constexpr const char* header_lost_attempts =
-    "Poplarpitch-Lost-Attempts"; ///< set by an entry that forwards: targets that gave no answer before
+    "Poplarpitch-Lost-Attempts"; ///< set by an entry that forwards a request: earlier attempts without an
+                                 ///< answer from their target
 inline constexpr const char* header_refused =
     "Poplarpitch-Refused"; ///< set by a target that did not run the request
 inline constexpr const char* header_change_id = "Poplarpitch-Change-Id";
--- a/poplarpitch/entry/refusal.h
+++ b/poplarpitch/entry/refusal.h
@@ -7,11 +7,11 @@
 
 namespace poplarpitch {
 
-/// Why a request was refused before anything ran.
+/// The reason for refusing a request before it ran anywhere.
 struct refusal {
     int status = 503;
-    std::string code;    ///< for programs
-    std::string message; ///< for people
+    std::string code;    ///< machine-readable
+    std::string message; ///< human-readable
     duration retry_after = seconds{1};
 
     friend auto operator<=>(const refusal&, const refusal&) = default;
--- a/poplarpitch/entry/remote_entry.h
+++ b/poplarpitch/entry/remote_entry.h
@@ -9,7 +9,7 @@
 
 namespace poplarpitch {
 
-/// What another entry last advertised for one service.
+/// The slots that another entry last advertised for one service.
 struct remote_service {
     std::int64_t free = 0;
     std::int64_t total = 0;
@@ -21,7 +21,7 @@
 struct remote_entry {
     std::string id;
     std::string address;
-    bool is_near = false; ///< same data centre
+    bool is_near = false; ///< in the same data centre as this entry
     std::map<std::string, remote_service> services;
 
     friend auto operator<=>(const remote_entry&, const remote_entry&) = default;
--- a/poplarpitch/entry/request_dispatcher.cpp
+++ b/poplarpitch/entry/request_dispatcher.cpp
@@ -9,7 +9,7 @@
 
 constexpr duration min_retry_after = milliseconds{200};
 constexpr duration max_retry_after = seconds{10};
-constexpr std::uint64_t hedge_samples = 100; // too few say nothing about the 95th percentile
+constexpr std::uint64_t hedge_samples = 100; // fewer samples give no meaningful 95th percentile
 constexpr std::uint64_t estimate_samples = 20;
 
 } // namespace
@@ -22,7 +22,7 @@
     m_settings = std::move(settings);
     m_dependencies = std::make_unique<dependency_graph>(*m_settings);
     for (const auto& service : m_settings->services) {
-        auto& state = m_services[service.name]; // what was learned stays
+        auto& state = m_services[service.name]; // keeps the learned state of a known service
         state.settings = service;
         state.limit.set_maximum(static_cast<double>(service.max_in_flight));
         for (const auto& tenant : m_settings->tenants) {
@@ -36,7 +36,8 @@
 }
 
 bool request_dispatcher::can_serve(const std::string& service) const {
-    // Own workers are asked now: what the last renewal knew may be half a second old.
+    // Reads the current state of the owned workers, because the state at the last renewal may be half a
+    // second old.
     return m_fleet.has_slots(service) || m_forward.has_slots(service);
 }
 
@@ -45,7 +46,7 @@
 admission_decision request_dispatcher::admit(const call_info& call, time_point now) {
     const auto found = m_services.find(call.service);
     if (found == m_services.end() || m_settings->find_service(call.service) == nullptr) {
-        return refusal{404, "unknown_service", absl::StrCat("no service is called '", call.service, "'"), {}};
+        return refusal{404, "unknown_service", absl::StrCat("unknown service '", call.service, "'"), {}};
     }
     auto& state = found->second;
     if (call.deadline <= now) {
@@ -66,35 +67,36 @@
     const auto* tenant = m_settings->find_tenant(call.tenant);
     const auto limit = tenant == nullptr ? tenant_settings{}.max_in_flight : tenant->max_in_flight;
     if (m_tenant_load[call.tenant] >= limit) {
-        return refusal{429, "tenant_limit",
-                       absl::StrCat("tenant '", call.tenant, "' has ", limit, " requests here"),
-                       min_retry_after};
+        return refusal{
+            429, "tenant_limit",
+            absl::StrCat("tenant '", call.tenant, "' already has ", limit, " requests at this entry"),
+            min_retry_after};
     }
     const auto missing = m_dependencies->find_unavailable(
         call.service, [this](const std::string& need) { return can_serve(need); });
     if (!missing.empty()) {
         return make_retryable_refusal(state, "dependency_down",
-                                      absl::StrCat("service '", missing, "', which it needs, is down"));
+                                      absl::StrCat("the required service '", missing, "' is unavailable"));
     }
     return std::nullopt;
 }
 
 admission_decision request_dispatcher::admit_locally(const call_info& call, service_state& state,
                                                      time_point now) {
-    // 1. A free slot on an owned worker, unless others wait for one already.
+    // 1. A free slot on an owned worker, unless other requests are already waiting for one.
     const bool is_below_limit = state.running < static_cast<int>(state.limit.get_limit());
     if (state.queue.get_size() == 0 && is_below_limit) {
         if (auto grant = start(state, call.tenant, call.request_id, now)) {
             return std::move(*grant);
         }
     }
-    // 2. A free slot at another entry; once, so that no request goes in circles.
+    // 2. A free slot at another entry. A request is forwarded only once, which prevents forwarding loops.
     if (!call.is_forwarded) {
         if (const auto entry = m_forward.pick(call.service, true)) {
             return forward_decision{entry->id, entry->address};
         }
     }
-    // 3. The queue, if it can still end in time.
+    // 3. The queue, if the request can still finish before its deadline.
     const auto slots = m_fleet.get_total_slots(call.service);
     if (slots == 0) {
         const auto entry = call.is_forwarded ? std::nullopt : m_forward.pick(call.service, false);
@@ -102,14 +104,14 @@
             return forward_decision{entry->id, entry->address};
         }
         return make_retryable_refusal(state, "no_target",
-                                      absl::StrCat("no target serves '", call.service, "' at present"));
+                                      absl::StrCat("no target currently serves '", call.service, "'"));
     }
     if (static_cast<std::int64_t>(state.queue.get_size()) >= state.settings.max_queue) {
-        return make_retryable_refusal(state, "queue_full", "too many requests wait already");
+        return make_retryable_refusal(state, "queue_full", "too many requests are already waiting");
     }
     const auto expected_end = now + estimate_wait(state, call.deadline) + state.latency.get_p99();
     if (expected_end > call.deadline) {
-        return make_retryable_refusal(state, "too_late", "it could not end before its deadline");
+        return make_retryable_refusal(state, "too_late", "the request could not finish before its deadline");
     }
     const admission_ticket ticket{++m_last_ticket, call.tenant, call.deadline};
     state.queue.push(ticket);
@@ -128,7 +130,7 @@
 
 refusal request_dispatcher::make_retryable_refusal(const service_state& state, const std::string& code,
                                                    const std::string& text) const {
-    // Come back when what waits now is through.
+    // Suggests a retry when the current backlog should have been processed.
     const auto slots = std::max<std::int64_t>(m_fleet.get_total_slots(state.settings.name), 1);
     const auto backlog = static_cast<std::int64_t>(state.queue.get_size()) + 1;
     const auto backlog_time = state.latency.get_median() * backlog / slots;
@@ -154,7 +156,7 @@
 std::vector<served_ticket> request_dispatcher::serve_waiting(time_point now) {
     std::vector<served_ticket> served;
     while (true) {
-        // Services share workers, so the earliest deadline over all queues goes first.
+        // Services share workers, so the request with the earliest deadline over all queues goes first.
         service_state* next = nullptr;
         admission_ticket ticket;
         for (auto& [name, state] : m_services) {
@@ -232,7 +234,8 @@
     }
     ++m_tenant_load[call.tenant];
     if (grant->worker == first_worker) {
-        // The same worker is as slow as before; and its list could not tell the copies apart.
+        // The same worker would be as slow as before, and its list of requests cannot distinguish the two
+        // copies.
         finish(*grant, attempt_result::refused, {}, now);
         return std::nullopt;
     }
--- a/poplarpitch/entry/request_dispatcher.h
+++ b/poplarpitch/entry/request_dispatcher.h
@@ -21,63 +21,67 @@
 
 namespace poplarpitch {
 
-/// The request is to be sent to another entry.
+/// The decision to forward the request to another entry.
 struct forward_decision {
     std::string entry;
     std::string address;
     friend auto operator<=>(const forward_decision&, const forward_decision&) = default;
 };
 
-/// The request waits for a slot.
+/// The decision to queue the request until a slot is free.
 struct wait_decision {
     admission_ticket ticket;
-    time_point give_up{}; ///< when it cannot end in time any more
+    time_point give_up{}; ///< from then on it can no longer finish before its deadline
     friend auto operator<=>(const wait_decision&, const wait_decision&) = default;
 };
 
-/// What becomes of a request that arrives.
+/// The decision about a request that arrives.
 using admission_decision = std::variant<request_grant, forward_decision, wait_decision, refusal>;
 
-/// A waiting request that got its slot.
+/// A waiting request that got a slot.
 struct served_ticket {
     std::uint64_t ticket = 0;
     request_grant grant;
     friend auto operator<=>(const served_ticket&, const served_ticket&) = default;
 };
 
-/// Decides for each request: a slot here, another entry, the queue, or a refusal that says when to come back.
-/// What it refuses was surely not run. Pure: time is passed in, threads wait elsewhere. Thread safety: none,
-/// as for all methods; `entry_state` guards it.
+/// Decides for each request: a slot on an owned worker, another entry, the queue, or a refusal with the time
+/// after which to retry. A refused request has certainly not run. It reads no clock and never blocks: the
+/// time is passed in, and threads wait elsewhere. Thread safety: none, for all methods; `entry_state` guards
+/// it.
 class request_dispatcher {
 public:
     /// Precondition: `fleet` outlives the dispatcher.
     request_dispatcher(owned_fleet& fleet, std::uint32_t seed);
 
-    /// Takes a configuration. Precondition: not null.
+    /// Applies a configuration. Precondition: `settings` is not null.
     void set_configuration(std::shared_ptr<const configuration> settings);
-    /// Takes what the other entries advertise.
+    /// Replaces the list of other entries with what they advertise now.
     void set_entries(std::vector<remote_entry> entries);
 
-    /// Decides for a request that arrives.
+    /// Decides about a request that arrives.
     admission_decision admit(const call_info& call, time_point now);
-    /// Gives free slots to waiting requests, in their order.
+    /// Grants free slots to waiting requests, in the order of their queues. Returns the requests that got
+    /// one.
     std::vector<served_ticket> serve_waiting(time_point now);
-    /// Takes a waiting request out: its caller gave up, or its time is over.
+    /// Removes a waiting request because its caller gave up or it can no longer finish in time.
     void abandon(const std::string& service, const admission_ticket& ticket);
-    /// Takes the end of an attempt that had a grant.
+    /// Called when an attempt with a grant has ended.
     void finish(const request_grant& grant, attempt_result ended, duration latency, time_point now);
-    /// Takes the end of a forwarded request.
+    /// Called when a forwarded request has ended.
     void finish_forwarded(const call_info& call);
 
-    /// Returns true when one more attempt is within the service's budget, and takes it.
+    /// Takes one retry from the service's budget. Returns false when the budget is exhausted.
     bool try_retry(const std::string& service);
-    /// Takes a slot for the second copy of a request, within the budget and only when nobody waits for one.
+    /// Acquires a slot for the second copy of a request. Returns nothing when the retry budget is exhausted,
+    /// another request is waiting, or no worker other than `first_worker` was picked.
     std::optional<request_grant> try_hedge(const call_info& call, const std::string& first_worker,
                                            time_point now);
-    /// Returns the requests of a tenant that run or wait here.
+    /// Returns the number of requests that wait for a slot here.
     [[nodiscard]] std::size_t get_waiting_count() const;
-    /// Returns what this entry advertises.
+    /// Returns the slots and latencies that this entry advertises to other entries.
     [[nodiscard]] wire::entry_digest make_digest() const;
+    /// Returns the median latency of a service; zero for an unknown one.
     [[nodiscard]] duration get_median(const std::string& service) const;
 
 private:
--- a/poplarpitch/entry/request_grant.h
+++ b/poplarpitch/entry/request_grant.h
@@ -8,7 +8,7 @@
 
 namespace poplarpitch {
 
-/// Permission to send one request to one worker.
+/// The permission to send one request to one worker.
 struct request_grant {
     grant_id id = 0;
     std::string worker;
@@ -18,21 +18,22 @@
     std::string tenant;
     std::string request_id;
     time_point started{};
-    double interference = 1; ///< predicted factor of the tasks that run beside it
-    duration hedge_after{};  ///< when a second copy is due; zero for never
-    int in_flight = 0;       ///< requests of the service that ran when it started
+    double interference = 1; ///< predicted latency factor due to the tasks on the same worker
+    duration hedge_after{};  ///< delay until a second copy is sent; zero for never
+    int in_flight = 0;       ///< requests of the service that were running when it started
 
     friend auto operator<=>(const request_grant&, const request_grant&) = default;
 };
 
-/// How an attempt at a worker ended.
+/// The result of an attempt at a worker.
 enum class attempt_result : std::uint8_t {
-    answered,      ///< the worker answered; the slot is free
-    failed,        ///< the worker answered with a fault of its own (5xx)
-    refused,       ///< the worker did not run it
-    not_sent,      ///< no byte left
-    abandoned,     ///< broken off because another copy was faster: as maybe_running, but nobody is to blame
-    maybe_running, ///< no whole answer: the slot counts as taken until the worker reports otherwise
+    answered,  ///< the worker answered; its slot is free
+    failed,    ///< the worker answered with an error of its own (5xx)
+    refused,   ///< the worker did not run it
+    not_sent,  ///< no byte was sent
+    abandoned, ///< cancelled because another copy was faster; like maybe_running, but the worker's health is
+               ///< not affected
+    maybe_running, ///< no complete answer; the slot counts as occupied until the worker reports otherwise
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/session_keeper.cpp
+++ b/poplarpitch/entry/session_keeper.cpp
@@ -40,7 +40,7 @@
     const auto answer = m_control.renew(request, sent + renew_timeout);
     const bool is_granted = answer.has_value() && answer.value().accepted();
     if (is_granted) {
-        // The margin and the lease are of the configuration that control granted it under.
+        // The drift margin and the lease belong to the configuration under which control granted the lease.
         const auto margin = m_state.get_configuration()->system.drift_margin;
         m_lease.renew(sent, milliseconds{answer.value().lease_ms()}, margin);
         m_state.apply_renewal(answer.value(), m_clock.now());
--- a/poplarpitch/entry/session_keeper.h
+++ b/poplarpitch/entry/session_keeper.h
@@ -11,17 +11,17 @@
 class entry_state;
 class session_lease;
 
-/// Keeps the entry's session with control: renews it, and takes the news that come back with each renewal.
-/// Thread safety: none; the entry's control thread owns it.
+/// Keeps the entry's session with control alive: renews it and applies the updates in each answer. Thread
+/// safety: none; the entry's control thread owns it.
 class session_keeper {
 public:
-    /// Precondition: all parts outlive the keeper.
+    /// Precondition: all referenced objects outlive the keeper.
     session_keeper(entry_state& state, control_client& control, session_lease& lease, std::string entry_id,
                    std::string address, std::string data_centre);
 
-    /// Renews once. Returns true when the renewal was granted.
+    /// Sends one renewal. Returns true when it was granted.
     bool renew();
-    /// Tells control that this entry leaves: its workers go to others.
+    /// Tells control that this entry is shutting down, so that its workers move to other entries.
     void drain();
     /// Ends the session at once.
     void close();
@@ -33,7 +33,8 @@
     const std::string m_entry_id;
     const std::string m_address;
     const std::string m_data_centre;
-    const std::uint64_t m_incarnation; ///< start time of this process: later ones are larger
+    const std::uint64_t
+        m_incarnation; ///< start time of this process, so that later processes have larger values
     const system_clock m_clock{};
     bool m_was_granted = false;
 };
--- a/poplarpitch/entry/task_action.h
+++ b/poplarpitch/entry/task_action.h
@@ -8,10 +8,10 @@
 
 namespace poplarpitch {
 
-/// What is to be said to a worker about a task.
+/// The operation that a worker is asked to perform on a task.
 enum class task_verb : std::uint8_t { start, stop, evict, throttle, unthrottle };
 
-/// One call to a worker that the task agent asks for.
+/// A call to a worker that the task agent requests.
 struct task_action {
     task_verb verb = task_verb::start;
     std::string worker;
@@ -22,13 +22,13 @@
     friend bool operator==(const task_action&, const task_action&) = default;
 };
 
-/// What the worker said to a start.
+/// The worker's answer to a start.
 enum class start_result : std::uint8_t {
-    started,       ///< it runs, or ran already
-    refused,       ///< it does not run there and will not
-    stale_epoch,   ///< another entry owns the worker: what came of earlier sends is for it to find out
-    other_process, ///< the worker was restarted since the assignment
-    unknown,       ///< no answer: the call is made again, and says so when it runs already
+    started,       ///< the task runs, or has run already
+    refused,       ///< the task does not run there; the call was rejected
+    stale_epoch,   ///< another entry owns the worker; it has to determine the outcome of earlier starts
+    other_process, ///< the worker was restarted after the assignment
+    unknown,       ///< no answer; the call is repeated, and the worker reports when the task already runs
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/task_agent.cpp
+++ b/poplarpitch/entry/task_agent.cpp
@@ -23,7 +23,7 @@
 task_agent::task_agent(owned_fleet& fleet, const task_agent_settings& settings)
     : m_fleet(fleet), m_settings(settings) {}
 
-// ---- what control says
+// ---- updates from control
 
 void task_agent::apply_jobs(const wire::renew_answer& answer, time_point now) {
     if (answer.owned_changed()) {
@@ -69,7 +69,8 @@
         const bool is_own = job.state() == wire::job_assigned && job.epoch() == worker.epoch;
         task.phase = is_own ? task_phase::to_start : task_phase::unconfirmed;
         if (!is_own) {
-            // It may run there: it counts from now on, whether it fits or not.
+            // The task may be running there, so it is charged to the ledger from now on, whether it fits or
+            // not.
             m_fleet.adopt_task(worker, task);
         }
     }
@@ -84,7 +85,7 @@
     }
 }
 
-// ---- what is to be done
+// ---- calls to workers
 
 std::vector<task_action> task_agent::get_actions(time_point now) {
     auto actions = std::exchange(m_orphan_stops, {});
@@ -107,7 +108,7 @@
                 task.phase = task_phase::starting;
                 action.verb = task_verb::start;
             } else if (task.phase == task_phase::starting && is_due) {
-                task.has_unanswered_start = true; // the call before may have no answer yet
+                task.has_unanswered_start = true; // the previous call may still be unanswered
                 action.verb = task_verb::start;
             } else if (needs_stop_call(task) && is_due) {
                 action.verb = task_verb::stop;
@@ -142,7 +143,8 @@
 
 void task_agent::relieve(owned_worker& worker, time_point now) {
     worker.ladder.update(worker.slowdown, now);
-    const bool is_leaving = worker.is_leaving; // a leaving worker's tasks move in any case
+    const bool is_leaving =
+        worker.is_leaving; // the tasks of a leaving worker are moved regardless of its load
     if (!worker.ladder.is_eviction_due(now) && !is_leaving) {
         return;
     }
--- a/poplarpitch/entry/task_agent.h
+++ b/poplarpitch/entry/task_agent.h
@@ -12,62 +12,65 @@
 
 namespace poplarpitch {
 
-/// The tasks on the workers that this entry owns: starts what control assigned, adopts what an earlier owner
-/// started, stops what was cancelled, evicts under pressure, and turns what workers report into events for
-/// the log. Pure: calls and events come back as values. Every event names the attempt, so one that is late
-/// does nothing. Thread safety: none, as for all methods; `entry_state` guards it.
+/// Manages the tasks on owned workers. Starts the tasks that control assigned, adopts those that an earlier
+/// owner started, stops cancelled ones, evicts tasks under pressure, and converts reports of workers into
+/// events for the log. It does no I/O: calls and events are returned as values. Every event names the
+/// attempt, so a late event has no effect. Thread safety: none, for all methods; `entry_state` guards it.
 class task_agent {
 public:
     /// Precondition: `fleet` outlives the agent.
     explicit task_agent(owned_fleet& fleet, const task_agent_settings& settings = {});
 
-    /// Takes the jobs of a renewal; with `is_complete` the ids are all there are on owned workers.
+    /// Applies the jobs of a renewal's answer. With `owned_changed` its job ids are all jobs on owned
+    /// workers, and tasks of other jobs are dropped.
     void apply_jobs(const wire::renew_answer& answer, time_point now);
-    /// Returns the calls to workers that are due. `now` also drives the relief ladder.
+    /// Returns the calls to workers that are due. Also updates the relief ladders for `now`.
     std::vector<task_action> get_actions(time_point now);
-    /// Returns events for the log that are due: refusals, losses, marks. They stay due until control confirms
-    /// them.
+    /// Returns the events for the log that are due: refused and lost tasks, and marks of workers that have
+    /// been silent for longer than `silence`. Events of tasks stay due until control confirms them.
     std::vector<wire::command> get_events(time_point now, duration silence, std::int64_t wall_ms);
-    /// Takes the worker's answer to a start; returns the event for the log.
+    /// Processes the worker's answer to a start. Returns the events for the log.
     std::vector<wire::command> on_start_answered(const task_action& action, start_result answer,
                                                  time_point now, std::int64_t wall_ms);
-    /// Takes that the worker has carried out a stop, or will carry out no start of that attempt.
+    /// Called when the worker has executed a stop, or has confirmed that it will not execute a start of that
+    /// attempt.
     void on_stop_answered(const task_action& action);
-    /// Takes what a worker told, after the fleet did; returns events, each with the number of its report or
-    /// 0.
+    /// An event for the log, with the number of the worker's report that it stems from, or 0.
     struct reported_event {
         std::uint64_t report = 0;
         wire::command command;
     };
+    /// Processes a worker's announcement after the fleet has processed it. Returns the events for the log.
     std::vector<reported_event> on_announced(const announcement& message, time_point now,
                                              std::int64_t wall_ms);
-    /// Takes control's answer to an event of a job: the present record, or that it is stale.
+    /// Called when control has committed an event of a job or has found it stale.
     void on_event_committed(const std::string& worker, const wire::job_event& event);
-    /// Takes and returns what finished tasks used, for control.
+    /// Removes and returns the usage samples of finished tasks, to be sent to control.
     std::vector<wire::usage_sample> take_usage();
-    /// Gives samples back that did not reach control.
+    /// Puts back samples that did not reach control.
     void return_usage(const std::vector<wire::usage_sample>& samples);
-    /// Returns true when the worker's task leases may go on: not while it is silent, and not while control
-    /// may still count one of its tasks as lost, whose lease is about to end.
+    /// Returns true when the leases of the worker's tasks may be renewed: not while the worker is silent, and
+    /// not while control may still count one of its tasks as lost and wait for its lease to end.
     [[nodiscard]] bool may_renew_leases(const owned_worker& worker) const;
-    /// Returns true when only the complete list of a worker can tell what became of one of its tasks.
+    /// Returns true when only a complete list from the worker can determine the outcome of one of its tasks.
     [[nodiscard]] static bool needs_complete_list(const owned_worker& worker);
-    /// Takes a worker that was silent as heard again: what runs there must be told anew.
+    /// Marks a silent worker as heard again. The worker must announce its tasks again before they are
+    /// renewed.
     void end_silence(owned_worker& worker, time_point now);
-    /// Returns the evictions begun since start.
+    /// Returns the number of evictions begun since the start of the process.
     [[nodiscard]] std::uint64_t get_eviction_count() const { return m_evictions; }
 
 private:
     void apply_job(owned_worker& worker, const wire::job& job, time_point now);
     void relieve(owned_worker& worker, time_point now);
-    /// Gives a task back that was refused although an earlier start may yet be carried out.
+    /// Moves a task to `withdrawing` when its start was refused but an earlier start may still be executed.
     static void withdraw(owned_task& task);
     void check_unlisted_tasks(owned_worker& worker, const announcement& message, time_point now,
                               std::int64_t wall_ms, std::vector<reported_event>& events);
     [[nodiscard]] static wire::command make_event(const owned_task& task, const std::string& worker,
                                                   wire::job_event_kind kind, const std::string& detail,
                                                   std::int64_t wall_ms);
-    /// Returns the event of a task whose worker's process has ended.
+    /// Returns the event for a task whose worker process has ended.
     [[nodiscard]] static wire::command make_crash_event(const owned_task& task, const std::string& worker,
                                                         std::int64_t wall_ms);
     double get_latency_growth(owned_worker& worker, const owned_task& task);
@@ -75,7 +78,7 @@
     owned_fleet& m_fleet;
     const task_agent_settings m_settings;
     eviction_budget m_budget;
-    std::vector<task_action> m_orphan_stops; ///< stops of tasks that nobody waits for
+    std::vector<task_action> m_orphan_stops; ///< stop calls for runs that the log has superseded
     std::vector<wire::usage_sample> m_usage;
     std::uint64_t m_evictions = 0;
 };
--- a/poplarpitch/entry/task_agent_events.cpp
+++ b/poplarpitch/entry/task_agent_events.cpp
@@ -1,4 +1,4 @@
-// What happens to tasks, told by workers or by their silence, on its way into the log.
+// The part of task_agent that converts reports of workers, and their silence, into events for the log.
 #include "poplarpitch/entry/task_agent.h"
 
 #include <algorithm>
@@ -43,7 +43,7 @@
     std::vector<wire::command> events;
     for (auto& [id, worker] : m_fleet.get_workers()) {
         if (!worker.is_silent && now - worker.last_heard > silence) {
-            // From here on no lease is renewed; only then may anybody count on its end.
+            // From now on no lease is renewed. Only after that may others rely on the leases expiring.
             worker.is_silent = true;
             worker.ledger.set_open(false);
             m_fleet.refresh(worker, now);
@@ -57,10 +57,11 @@
             const bool is_due = now - task.since >= m_settings.resend_after;
             if (task.phase == task_phase::to_start &&
                 (worker.is_leaving || now - task.since > m_settings.capacity_wait)) {
-                events.push_back(make_event(task, id, wire::event_refused, "no room on the worker", wall_ms));
+                events.push_back(
+                    make_event(task, id, wire::event_refused, "no capacity on the worker", wall_ms));
             } else if (worker.is_silent && task.phase != task_phase::ended && !task.is_lost_in_log &&
                        is_due) {
-                // One that was never sent is not lost; it is given back.
+                // A task whose start was never sent is not lost; it is returned to control as refused.
                 const bool is_unsent = task.phase == task_phase::to_start;
                 events.push_back(make_event(task, id, is_unsent ? wire::event_refused : wire::event_lost,
                                             "its worker is silent", wall_ms));
@@ -84,7 +85,7 @@
     auto& task = found->second;
     if (answer == start_result::unknown) {
         task.has_unanswered_start = true;
-        return {}; // stays `starting` and is sent again
+        return {}; // stays in phase `starting` and is sent again
     }
     if (answer == start_result::stale_epoch && task.has_unanswered_start) {
         return {};
@@ -99,7 +100,8 @@
     if (answer != start_result::started) {
         m_fleet.end_task(*worker, task);
         task.phase = task_phase::ended;
-        return {make_event(task, action.worker, wire::event_refused, "the worker refused it", wall_ms)};
+        return {
+            make_event(task, action.worker, wire::event_refused, "the worker refused the start", wall_ms)};
     }
     if (task.phase == task_phase::starting) {
         task.phase = task_phase::running;
@@ -110,7 +112,8 @@
 
 void task_agent::withdraw(owned_task& task) {
     const bool is_cancelled = task.phase == task_phase::stopping;
-    // What must run at most once may have begun, and a stop would cut it off: it is sent until it is taken.
+    // A task that must run at most once may have begun, and a stop would interrupt it. Its start is therefore
+    // sent again until the worker accepts it.
     const bool may_stop = task.phase == task_phase::starting && task.is_idempotent;
     if (is_cancelled || may_stop) {
         task.phase = task_phase::withdrawing;
@@ -130,7 +133,7 @@
     auto& task = found->second;
     if (task.phase == task_phase::withdrawing && !task.is_stop_answered) {
         task.is_stop_answered = true;
-        task.stop_sequence = worker->sequence + 1; // one announcement may be on its way
+        task.stop_sequence = worker->sequence + 1; // one announcement may already be in transit
     }
 }
 
@@ -146,7 +149,7 @@
         if (found != worker->tasks.end() && found->second.attempt == running.attempt) {
             found->second.unsaved = running.unsaved;
         } else if (message.epoch == worker->epoch) {
-            // The log has moved the job on, so nobody waits for this run of it.
+            // The log has superseded this run of the job, so its result is not needed.
             task_action stop;
             stop.verb = task_verb::stop;
             stop.worker = worker->id;
@@ -158,7 +161,7 @@
         }
     }
     for (const auto& report : message.reports) {
-        owned_task task; // the log decides by job and attempt; the task may be unknown here
+        owned_task task; // the log identifies the task by job and attempt; it may be unknown here
         task.job = report.job;
         task.attempt = report.attempt;
         const auto found = worker->tasks.find(report.job);
@@ -214,22 +217,22 @@
         const bool is_same_process = task.incarnation == message.incarnation;
         if (task.phase == task_phase::withdrawing && is_same_process && !task.is_running_in_log) {
             if (task.is_stop_answered && message.sequence > task.stop_sequence) {
-                events.push_back(
-                    {0, make_event(task, message.id, wire::event_refused, "the worker refused it", wall_ms)});
+                events.push_back({0, make_event(task, message.id, wire::event_refused,
+                                                "the worker refused the start", wall_ms)});
             }
             continue;
         }
         const bool is_seen_nowhere = !task.is_running_in_log && is_same_process;
         if (is_seen_nowhere && task.has_unanswered_start && task.phase == task_phase::unconfirmed &&
             task.is_idempotent) {
-            task.phase = task_phase::withdrawing; // its start may yet be carried out
+            task.phase = task_phase::withdrawing; // its start may still be executed
             task.since = {};
         } else if (is_seen_nowhere && !task.has_unanswered_start) {
-            // Assigned under an older epoch, which the worker refuses by now, and never started there.
+            // Assigned under an older epoch, which the worker now refuses, and never started there.
             events.push_back({0, make_event(task, message.id, wire::event_absent, "", wall_ms)});
         } else if (!is_same_process || now - task.since > m_settings.missing_task_wait) {
             events.push_back({0, is_same_process ? make_event(task, message.id, wire::event_lost,
-                                                              "its worker does not know it", wall_ms)
+                                                              "its worker does not list it", wall_ms)
                                                  : make_crash_event(task, message.id, wall_ms)});
         }
     }
@@ -255,7 +258,7 @@
         owner->tasks.erase(found);
         break;
     case wire::event_lost:
-        // It keeps its place until its lease is over and control takes it off the list.
+        // It keeps its reservation until its lease has expired and control removes it from the list.
         found->second.is_lost_in_log = true;
         break;
     case wire::event_started:
@@ -292,7 +295,8 @@
         if (task.phase != task_phase::to_start) {
             m_fleet.adopt_task(worker, task);
             if (task.phase == task_phase::starting) {
-                task.has_unanswered_start = true; // the list may be older than its arrival
+                task.has_unanswered_start =
+                    true; // the worker's list may be older than the arrival of the start
             }
             if (task.phase != task_phase::withdrawing) {
                 task.phase = task_phase::unconfirmed;
@@ -309,7 +313,8 @@
 }
 
 void task_agent::return_usage(const std::vector<wire::usage_sample>& samples) {
-    constexpr std::size_t max_samples = 1000; // without control for long, the newest say enough
+    constexpr std::size_t max_samples =
+        1000; // limits the samples kept during a long loss of control; the newest ones are sufficient
     m_usage.insert(m_usage.end(), samples.begin(), samples.end());
     if (m_usage.size() > max_samples) {
         m_usage.erase(m_usage.begin(), m_usage.end() - max_samples);
--- a/poplarpitch/entry/task_caller.cpp
+++ b/poplarpitch/entry/task_caller.cpp
@@ -69,7 +69,7 @@
     request.body = body.dump();
     request.headers.add("Content-Type", "application/json");
     if (!m_lease.is_valid(m_clock.now())) {
-        return start_result::unknown; // not sent; sent again once the session is back
+        return start_result::unknown; // not sent; the agent repeats it once the session is valid again
     }
     const auto exchange =
         m_workers.send(action.address, request, m_clock.now() + call_timeout, connection_choice::pooled);
@@ -103,7 +103,7 @@
     const auto exchange =
         m_workers.send(action.address, request, m_clock.now() + call_timeout, connection_choice::pooled);
     if (exchange.progress != exchange_progress::answered) {
-        m_workers.drop(action.address); // told again by the agent
+        m_workers.drop(action.address); // the agent repeats the call
     } else if (action.verb == task_verb::stop && exchange.response.status == 200) {
         m_state.on_stop_answered(action);
     }
--- a/poplarpitch/entry/task_caller.h
+++ b/poplarpitch/entry/task_caller.h
@@ -11,15 +11,15 @@
 class http_client_pool;
 class session_lease;
 
-/// Makes the calls to workers that the task agent asks for, and brings their answers into the log.
-/// Thread safety: any thread, for all methods.
+/// Makes the calls to workers that the task agent requests, and posts the events that result from the
+/// answers. Thread safety: any thread, for all methods.
 class task_caller {
 public:
-    /// Precondition: all parts outlive the caller.
+    /// Precondition: all referenced objects outlive the caller.
     task_caller(entry_state& state, http_client_pool& workers, event_batcher<control_client>& events,
                 const session_lease& lease);
 
-    /// Makes one call and waits for its answer, not until the log knows of it.
+    /// Makes one call and waits for its answer, but not for the commit of the resulting events.
     void call(const task_action& action);
 
 private:
--- a/unit_tests/entry/call_handler_test.cpp
+++ b/unit_tests/entry/call_handler_test.cpp
@@ -23,10 +23,11 @@
 namespace {
 
 constexpr std::size_t max_intents = 100;
-constexpr std::size_t max_answer_bytes = 1000; // bytes
+constexpr std::size_t max_answer_bytes = 1000;
 constexpr const char* config_text = "[tenant t]\n[service s]\ndeadline = 20s\nidempotent = true\n";
 
-/// An entry's request side over real HTTP: one worker with one slot, and another entry with room.
+/// The request path of an entry over real HTTP, with one worker of one slot and another entry with free
+/// slots.
 class call_handler_test : public testing::Test {
 protected:
     call_handler_test()
@@ -44,7 +45,7 @@
         return "127.0.0.1:" + std::to_string(m_leader.start("127.0.0.1", 0).value());
     }
 
-    /// Gives the entry this many workers of one slot each, all of which are the same server.
+    /// Gives the entry `count` workers of one slot each, all at the address of the same server.
     void set_worker_count(int count) {
         wire::renew_answer answer;
         answer.set_revision(++m_revision);
@@ -87,7 +88,8 @@
         http_response response;
         response.status = m_worker_status;
         response.body = request.body;
-        // Without the request's own id an answer counts as another's: what became of this one is not known.
+        // An answer without the request's own id counts as the answer to another request; the outcome is
+        // unknown.
         response.headers.add(header_request_id,
                              m_worker_omits_request_id ? "other" : request.headers.get(header_request_id));
         return response;
@@ -95,13 +97,15 @@
 
     http_response answer_as_entry(const http_request& request) {
         ++m_other_calls;
-        auto response = make_error_response(503, "too_late", "it could not end before its deadline");
+        auto response =
+            make_error_response(503, "too_late", "the request could not finish before its deadline");
         response.headers.add(header_outcome, outcome_not_run);
         response.headers.add(header_request_id, request.headers.get(header_request_id));
         return response;
     }
 
-    /// Calls; `lost_before`: the request comes from another entry, at which it had no answer this often.
+    /// Sends a request. With `lost_before` > 0 it comes from another entry, where that many attempts got no
+    /// answer.
     http_response call(int lost_before = 0) {
         http_request request;
         if (lost_before > 0) {
@@ -115,7 +119,7 @@
         return m_calls.handle(request);
     }
 
-    /// Sends a request with a key that must run at most once; always under the same request id.
+    /// Sends a request with a key that must run at most once, always with the same request id.
     http_response call_keyed() {
         http_request request;
         request.method = "POST";
@@ -128,7 +132,7 @@
         return m_calls.handle(request);
     }
 
-    /// Does what control does with the keys of requests.
+    /// Applies a command to the table of keys, as control does.
     wire::propose_answer commit(const wire::command& command) {
         const absl::MutexLock lock(&m_mutex);
         const bool is_begin = command.has_begin();
@@ -152,7 +156,7 @@
     absl::Mutex m_mutex;
     intent_table m_intents ABSL_GUARDED_BY(m_mutex){state_rules{}, max_intents, max_answer_bytes};
     control_server m_leader{"", make_control()};
-    std::function<void()> m_on_first_call; ///< what the worker does before it answers its first call
+    std::function<void()> m_on_first_call; ///< called by the worker before it answers its first call
     std::atomic<int> m_worker_status{200};
     std::atomic<bool> m_worker_omits_request_id{false};
     std::atomic<int> m_worker_calls{0};
@@ -179,7 +183,8 @@
     EXPECT_EQ(m_other_calls, 0);
 }
 
-// Found by scripts/scenarios: the first attempt's slot is held, as it may run on, so the retry is forwarded.
+// Found by scripts/scenarios: the first attempt may still be running and holds its slot, so the retry is
+// forwarded.
 TEST_F(call_handler_test, not_run_of_a_forwarded_retry_says_nothing_of_the_first_attempt) {
     m_worker_omits_request_id = true;
     const auto response = call();
@@ -189,8 +194,8 @@
     EXPECT_EQ(response.status, 504);
 }
 
-// A request that ends its target's process was sent to three targets, and by another entry to three more.
-// Each would have taken along all that ran beside it.
+// Regression: a request that crashes its target's process was sent to three targets, and by another entry to
+// three more. Each crash would have ended everything else that ran on the target.
 TEST_F(call_handler_test, sends_a_request_to_no_third_target_when_two_gave_no_answer) {
     set_worker_count(6);
     m_worker_omits_request_id = true;
--- a/unit_tests/entry/event_batcher_test.cpp
+++ b/unit_tests/entry/event_batcher_test.cpp
@@ -7,9 +7,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration forever = std::chrono::hours{1}; // tests send by number, never by time
+constexpr duration forever = std::chrono::hours{1}; // tests trigger a batch by its size, never by time
 
-/// Commits everything, and remembers how many events came with each call.
+/// Commits everything and records the number of events of each call.
 class fake_control {
 public:
     result<std::vector<wire::command_result>> propose_batch(const std::vector<wire::command>& commands,
@@ -34,7 +34,7 @@
         return m_calls;
     }
 
-    absl::Notification* gate = nullptr; ///< calls wait for it; set before the first
+    absl::Notification* gate = nullptr; ///< calls wait for it; must be set before the first call
 
     void make_unavailable() {
         const absl::MutexLock lock(&m_mutex);
@@ -67,7 +67,7 @@
 TEST(event_batcher, sends_the_first_at_once_and_gathers_the_rest) {
     fake_control control;
     batcher events(control, make_settings(5));
-    EXPECT_TRUE(events.commit(make_events(1, 1))); // waits for nobody
+    EXPECT_TRUE(events.commit(make_events(1, 1))); // sent at once
     std::vector<std::uint64_t> indexes;
     absl::Notification last;
     const auto take = [&](const batcher::outcome& answer) {
@@ -83,7 +83,7 @@
     });
     last.WaitForNotification();
     EXPECT_EQ(control.get_calls(), (std::vector<std::size_t>{1, 5}));
-    EXPECT_EQ(indexes, (std::vector<std::uint64_t>{10, 11, 20, 30, 31})); // each group got its own answers
+    EXPECT_EQ(indexes, (std::vector<std::uint64_t>{10, 11, 20, 30, 31})); // each group got its own results
 }
 
 TEST(event_batcher, finish_sends_what_waits_and_refuses_what_comes_later) {
@@ -124,7 +124,7 @@
         refused += answer ? 0 : 1;
     };
     events.post(make_events(2, 3), take);
-    events.post(make_events(5, 1), take); // on this thread: there is no room
+    events.post(make_events(5, 1), take); // refused on the calling thread because the queue is full
     EXPECT_EQ(refused, 1);
     events.finish();
     EXPECT_EQ(refused, 1);
@@ -140,7 +140,7 @@
     EXPECT_EQ(events.commit(make_events(1, 1)).error(), make_error_code(transport_errc::timed_out));
     gate.Notify();
     events.finish();
-    EXPECT_EQ(control.get_calls(), (std::vector<std::size_t>{1})); // it was committed all the same
+    EXPECT_EQ(control.get_calls(), (std::vector<std::size_t>{1})); // it was committed nevertheless
 }
 
 } // namespace
--- a/unit_tests/entry/fleet_fixture.h
+++ b/unit_tests/entry/fleet_fixture.h
@@ -9,7 +9,7 @@
 
 namespace poplarpitch {
 
-/// The pure parts of an entry with one worker, driven by hand.
+/// The components of an entry without I/O, with one worker; tests drive them step by step.
 class fleet_fixture : public testing::Test {
 protected:
     fleet_fixture() : m_fleet("e1"), m_dispatcher(m_fleet, 1), m_tasks(m_fleet) {
--- a/unit_tests/entry/hedge_test.cpp
+++ b/unit_tests/entry/hedge_test.cpp
@@ -66,7 +66,7 @@
     const auto elsewhere = m_dispatcher.try_hedge(make_call("a"), "other", m_now);
     ASSERT_TRUE(elsewhere.has_value());
     m_dispatcher.finish(*elsewhere, attempt_result::abandoned, {}, m_now);
-    EXPECT_EQ(m_fleet.get_free_slots("s"), 0); // it may run on there
+    EXPECT_EQ(m_fleet.get_free_slots("s"), 0); // it may still be running there
 }
 
 } // namespace
--- a/unit_tests/entry/request_dispatcher_test.cpp
+++ b/unit_tests/entry/request_dispatcher_test.cpp
@@ -20,8 +20,7 @@
 TEST_F(request_dispatcher_test, new_owner_waits_for_the_complete_list) {
     own();
     EXPECT_EQ(admit_as<refusal>(make_call()).code, "no_target");
-    announce(
-        make_announcement(1, true)); // under the old epoch: says nothing about what the old owner still sends
+    announce(make_announcement(1, true)); // under the old epoch: does not show what the old owner still sends
     EXPECT_EQ(admit_as<refusal>(make_call()).code, "no_target");
     announce(make_announcement(2, false));
     EXPECT_EQ(admit_as<refusal>(make_call()).code, "no_target");
@@ -61,9 +60,11 @@
     m_dispatcher.finish(grant, attempt_result::maybe_running, {}, m_now);
     EXPECT_TRUE(m_dispatcher.serve_waiting(m_now).empty());
     admit_as<wait_decision>(make_call("c"));
-    announce(make_announcement(2, false, {"a", "b"})); // it still runs
+    announce(make_announcement(2, false, {"a", "b"})); // it is still running
     EXPECT_EQ(m_fleet.get_free_slots("s"), 0);
-    announce(make_announcement(2, false, {"b"})); // was under way when the doubt arose? the next one counts
+    announce(make_announcement(
+        2, false,
+        {"b"})); // may have been in transit when the request became doubtful; only the next one counts
     announce(make_announcement(2, false, {"b"}));
     EXPECT_EQ(m_dispatcher.serve_waiting(m_now).size(), 1U);
 }
@@ -108,7 +109,7 @@
     admit_as<request_grant>(make_call("b"));
     EXPECT_EQ(admit_as<refusal>(make_call("c", milliseconds{120})).code, "too_late");
     const auto wait = admit_as<wait_decision>(make_call("d", milliseconds{500}));
-    EXPECT_LT(wait.give_up, m_now + milliseconds{420}); // while there is still time to come back elsewhere
+    EXPECT_LT(wait.give_up, m_now + milliseconds{420}); // while there is still time to retry elsewhere
 }
 
 TEST_F(request_dispatcher_test, refuses_early_when_a_needed_service_is_down) {
@@ -118,13 +119,13 @@
     EXPECT_EQ(admit_as<refusal>(call).code, "dependency_down");
 }
 
-// Found with 65 workers: for half a second after its first announcements an entry took the needed service for
-// down.
+// Found with 65 workers: an entry treated the needed service as down for half a second after its first
+// announcements.
 TEST_F(request_dispatcher_test, needed_service_is_up_with_the_first_announcement) {
     own();
     auto call = make_call();
     call.service = "top";
-    m_fleet.take_announcement(make_announcement(2, true), m_now); // no renewal has come since
+    m_fleet.take_announcement(make_announcement(2, true), m_now); // no renewal since
     EXPECT_NE(admit_as<refusal>(call).code, "dependency_down");
     auto message = make_announcement(2, false);
     message.is_leaving = true;
--- a/unit_tests/entry/task_agent_test.cpp
+++ b/unit_tests/entry/task_agent_test.cpp
@@ -20,7 +20,7 @@
         return m_tasks.on_start_answered(action, answer, m_now, 1);
     }
 
-    /// Has a start refused after one whose answer was lost.
+    /// Has a start refused after an earlier start whose answer was lost.
     void refuse_after_lost_answer(bool is_idempotent = true) {
         auto jobs = make_jobs(wire::job_assigned, 2);
         jobs.mutable_jobs(0)->set_idempotent(is_idempotent);
@@ -80,7 +80,8 @@
     m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     answer_start(start_result::unknown);
-    EXPECT_TRUE(answer_start(start_result::stale_epoch).empty()); // it may run: the new owner finds out
+    EXPECT_TRUE(
+        answer_start(start_result::stale_epoch).empty()); // it may be running; the new owner determines that
 }
 
 TEST_F(task_agent_test, restarted_worker_after_a_lost_answer_is_a_loss) {
@@ -96,7 +97,7 @@
 TEST_F(task_agent_test, refusal_of_a_repeated_start_says_nothing_of_the_first) {
     refuse_after_lost_answer();
     announce(make_announcement(2, true));
-    EXPECT_TRUE(m_events.empty()); // it may yet come
+    EXPECT_TRUE(m_events.empty()); // the first start may still arrive
     EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000);
 }
 
@@ -112,7 +113,7 @@
     refuse_after_lost_answer();
     stop();
     EXPECT_TRUE(task_agent::needs_complete_list(*m_fleet.find("w")));
-    announce(make_announcement(2, true)); // may have been on its way when the stop was answered
+    announce(make_announcement(2, true)); // may have been in transit when the stop was answered
     EXPECT_TRUE(m_events.empty());
     announce(make_announcement(2, true));
     EXPECT_EQ(only_event_kind(), wire::event_refused);
@@ -232,11 +233,11 @@
 
 TEST_F(task_agent_test, adopts_a_running_task_of_the_last_owner) {
     m_tasks.apply_jobs(make_jobs(wire::job_running, 1), m_now);
-    EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000); // counts at once
+    EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000); // charged to the ledger at once
     EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w")));
     announce(make_running_announcement());
     EXPECT_EQ(only_event_kind(), wire::event_started);
-    EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w"))); // not before the log knows
+    EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w"))); // not before its start is committed
     commit(wire::event_started);
     EXPECT_TRUE(m_tasks.may_renew_leases(*m_fleet.find("w")));
 }
@@ -249,7 +250,7 @@
 
 TEST_F(task_agent_test, assigned_task_on_a_restarted_worker_is_lost_not_absent) {
     auto jobs = make_jobs(wire::job_assigned, 1);
-    jobs.mutable_jobs(0)->set_worker_incarnation(76); // the process of the assignment is gone
+    jobs.mutable_jobs(0)->set_worker_incarnation(76); // the process at the assignment has ended
     m_tasks.apply_jobs(jobs, m_now);
     announce(make_announcement(2, true));
     EXPECT_EQ(only_event_kind(), wire::event_lost);
