--- a/unit_tests/entry/call_handler_test.cpp
+++ b/unit_tests/entry/call_handler_test.cpp
@@ -175,7 +175,7 @@
     call_handler m_calls;
 };
 
-TEST_F(call_handler_test, gives_the_targets_whole_answer) {
+TEST_F(call_handler_test, returns_the_complete_answer_of_the_target) {
     const auto response = call();
     EXPECT_EQ(response.status, 200);
     EXPECT_EQ(response.body, "x");
@@ -185,7 +185,7 @@
 
 // Found by scripts/scenarios: the first attempt may still be running and holds its slot, so the retry is
 // forwarded.
-TEST_F(call_handler_test, not_run_of_a_forwarded_retry_says_nothing_of_the_first_attempt) {
+TEST_F(call_handler_test, not_run_of_a_forwarded_retry_does_not_change_the_outcome_of_the_first_attempt) {
     m_worker_omits_request_id = true;
     const auto response = call();
     EXPECT_EQ(m_worker_calls, 1);
@@ -212,7 +212,7 @@
     EXPECT_EQ(m_worker_calls, 1);
 }
 
-TEST_F(call_handler_test, fault_answer_of_a_target_stands_when_its_retry_ran_nowhere) {
+TEST_F(call_handler_test, error_answer_of_a_target_is_kept_when_its_retry_did_not_run) {
     m_worker_status = 500;
     const auto response = call();
     EXPECT_GE(m_worker_calls, 1);
@@ -227,7 +227,7 @@
     return result;
 }
 
-TEST(combine_attempts, attempt_that_ran_nowhere_takes_nothing_back) {
+TEST(combine_attempts, attempt_that_did_not_run_keeps_the_earlier_result) {
     const auto combine = [](call_outcome last, call_outcome next) {
         return combine_attempts(make_result(last, 1), make_result(next, 2)).response.status;
     };
--- a/unit_tests/entry/codecs_test.cpp
+++ b/unit_tests/entry/codecs_test.cpp
@@ -47,7 +47,7 @@
     EXPECT_NE(announcement_error(make("checkpoint", 65537)).find("'checkpoint'"), std::string::npos);
 }
 
-TEST(announcement_codec, refuses_lies_with_a_reason) {
+TEST(announcement_codec, rejects_invalid_announcements_with_a_reason) {
     EXPECT_NE(announcement_error("{"), "");
     EXPECT_NE(announcement_error("[]"), "");
     EXPECT_NE(announcement_error(R"({"id":"w"})").find("address"), std::string::npos);
@@ -67,7 +67,7 @@
         std::string::npos);
 }
 
-RC_GTEST_PROP(announcement_codec, takes_any_text_without_harm, (const std::string& text)) {
+RC_GTEST_PROP(announcement_codec, decodes_any_text_without_crashing, (const std::string& text)) {
     static_cast<void>(decode_announcement(text));
     static_cast<void>(decode_announce_answer(text));
 }
--- a/unit_tests/entry/event_batcher_test.cpp
+++ b/unit_tests/entry/event_batcher_test.cpp
@@ -98,7 +98,7 @@
     EXPECT_FALSE(events.commit(make_events(9, 1)));
 }
 
-TEST(event_batcher, tells_every_group_when_control_is_gone) {
+TEST(event_batcher, reports_the_error_to_every_group_when_control_is_unreachable) {
     fake_control control;
     control.make_unavailable();
     batcher events(control, make_settings(2));
@@ -130,7 +130,7 @@
     EXPECT_EQ(refused, 1);
 }
 
-TEST(event_batcher, caller_waits_no_longer_than_it_was_told) {
+TEST(event_batcher, caller_waits_no_longer_than_commit_wait) {
     absl::Notification gate;
     fake_control control;
     control.gate = &gate;
--- a/unit_tests/entry/hedge_test.cpp
+++ b/unit_tests/entry/hedge_test.cpp
@@ -11,7 +11,7 @@
 namespace poplarpitch {
 namespace {
 
-TEST(hedge_timer, runs_in_order_of_time_and_not_what_was_cancelled) {
+TEST(hedge_timer, runs_in_order_of_due_time_and_skips_cancelled_work) {
     hedge_timer timer(1);
     const auto now = system_clock().now();
     absl::Notification done;
@@ -28,7 +28,7 @@
     EXPECT_EQ(order, (std::vector<int>{1, 2}));
 }
 
-TEST(hedged_call, first_good_answer_wins_and_breaks_the_other_off) {
+TEST(hedged_call, first_good_answer_wins_and_cancels_the_other) {
     hedged_call<int> race;
     ASSERT_TRUE(race.start_second());
     race.finish(2, true, true, race.first);
--- a/unit_tests/entry/load_reporter_test.cpp
+++ b/unit_tests/entry/load_reporter_test.cpp
@@ -14,7 +14,7 @@
     return load;
 }
 
-TEST(load_reporter, sends_what_changed_and_all_now_and_then) {
+TEST(load_reporter, sends_changed_loads_and_all_loads_periodically) {
     load_reporter reporter;
     const time_point start{seconds{100}};
     EXPECT_TRUE(reporter.mark_sent_if_due(make_load(), start));
@@ -36,7 +36,7 @@
     EXPECT_TRUE(reporter.mark_sent_if_due(load, now));
 }
 
-TEST(load_reporter, tells_a_new_leader_everything_and_repeats_what_was_lost) {
+TEST(load_reporter, sends_all_loads_to_a_new_leader_and_repeats_lost_ones) {
     load_reporter reporter;
     const time_point now{seconds{100}};
     reporter.set_term(1);
--- a/unit_tests/entry/request_dispatcher_test.cpp
+++ b/unit_tests/entry/request_dispatcher_test.cpp
@@ -98,7 +98,7 @@
     EXPECT_GT(refused.retry_after.count(), 0);
 }
 
-TEST_F(request_dispatcher_test, refuses_what_cannot_end_in_time) {
+TEST_F(request_dispatcher_test, refuses_requests_that_cannot_finish_in_time) {
     own();
     announce(make_announcement(2, true));
     for (int index = 0; index < 200; ++index) {
@@ -133,7 +133,7 @@
     EXPECT_EQ(admit_as<refusal>(call).code, "dependency_down");
 }
 
-TEST_F(request_dispatcher_test, forwards_once_to_the_entry_with_room) {
+TEST_F(request_dispatcher_test, forwards_once_to_the_entry_with_free_slots) {
     own();
     remote_entry other{"e2", "e2:1", true, {{"s", {3, 8}}}};
     m_dispatcher.set_entries({other});
--- a/unit_tests/entry/task_agent_test.cpp
+++ b/unit_tests/entry/task_agent_test.cpp
@@ -55,7 +55,7 @@
     }
 };
 
-TEST_F(task_agent_test, starts_against_the_ledger_and_tells_the_log) {
+TEST_F(task_agent_test, starts_against_the_ledger_and_raises_the_started_event) {
     m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     const auto actions = m_tasks.get_actions(m_now);
     ASSERT_EQ(actions.size(), 1U);
@@ -76,7 +76,7 @@
     EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000);
 }
 
-TEST_F(task_agent_test, refusal_by_a_newer_epoch_after_a_lost_answer_says_nothing) {
+TEST_F(task_agent_test, refusal_by_a_newer_epoch_after_a_lost_answer_raises_no_event) {
     m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     answer_start(start_result::unknown);
@@ -94,14 +94,14 @@
     EXPECT_TRUE(events[0].event().crashed());
 }
 
-TEST_F(task_agent_test, refusal_of_a_repeated_start_says_nothing_of_the_first) {
+TEST_F(task_agent_test, refusal_of_a_repeated_start_does_not_end_the_first) {
     refuse_after_lost_answer();
     announce(make_announcement(2, true));
     EXPECT_TRUE(m_events.empty()); // the first start may still arrive
     EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000);
 }
 
-TEST_F(task_agent_test, refusal_of_a_repeated_start_says_nothing_of_one_that_has_no_answer_yet) {
+TEST_F(task_agent_test, refusal_of_a_repeated_start_does_not_end_an_unanswered_one) {
     m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     m_now += seconds{1};
@@ -109,7 +109,7 @@
     EXPECT_TRUE(answer_start(start_result::refused).empty());
 }
 
-TEST_F(task_agent_test, gives_back_a_refused_repeat_once_a_list_after_its_stop_is_without_it) {
+TEST_F(task_agent_test, returns_a_refused_repeat_once_a_list_after_its_stop_omits_it) {
     refuse_after_lost_answer();
     stop();
     EXPECT_TRUE(task_agent::needs_complete_list(*m_fleet.find("w")));
@@ -164,7 +164,7 @@
     stop();
 }
 
-TEST_F(task_agent_test, list_of_a_worker_heard_again_says_nothing_of_a_start_without_answer) {
+TEST_F(task_agent_test, list_of_a_worker_heard_again_does_not_decide_about_an_unanswered_start) {
     m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     m_now += seconds{3};
@@ -179,7 +179,7 @@
     EXPECT_EQ(only_event_kind(), wire::event_refused);
 }
 
-TEST_F(task_agent_test, start_without_answer_that_a_worker_heard_again_lists_goes_on) {
+TEST_F(task_agent_test, unanswered_start_that_a_worker_heard_again_lists_continues) {
     m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     m_now += seconds{3};
@@ -213,7 +213,7 @@
     EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w")));
 }
 
-TEST_F(task_agent_test, sends_what_must_run_once_again_instead_of_stopping_it) {
+TEST_F(task_agent_test, repeats_the_start_of_a_non_idempotent_task_instead_of_stopping_it) {
     refuse_after_lost_answer(false);
     EXPECT_TRUE(m_tasks.get_actions(m_now).empty());
     m_now += seconds{1};
@@ -222,7 +222,7 @@
     EXPECT_EQ(actions[0].verb, task_verb::start);
 }
 
-TEST_F(task_agent_test, gives_back_what_the_worker_refused) {
+TEST_F(task_agent_test, returns_a_task_that_the_worker_refused) {
     m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     const auto events = answer_start(start_result::refused);
@@ -242,7 +242,7 @@
     EXPECT_TRUE(m_tasks.may_renew_leases(*m_fleet.find("w")));
 }
 
-TEST_F(task_agent_test, assigned_task_that_was_never_started_goes_back) {
+TEST_F(task_agent_test, assigned_task_that_was_never_started_is_returned) {
     m_tasks.apply_jobs(make_jobs(wire::job_assigned, 1), m_now);
     announce(make_announcement(2, true));
     EXPECT_EQ(only_event_kind(), wire::event_absent);
@@ -282,7 +282,7 @@
     EXPECT_TRUE(m_tasks.may_renew_leases(*m_fleet.find("w")));
 }
 
-TEST_F(task_agent_test, stops_a_run_that_the_log_has_moved_on_from) {
+TEST_F(task_agent_test, stops_a_run_that_the_log_has_superseded) {
     announce(make_running_announcement(7));
     const auto actions = m_tasks.get_actions(m_now);
     ASSERT_EQ(actions.size(), 1U);
