--- a/poplarpitch/entry/call_handler.cpp
+++ b/poplarpitch/entry/call_handler.cpp
@@ -64,7 +64,7 @@
                            const session_lease& lease, metrics_registry& metrics, std::string entry_id,
                            std::string prefix)
     : m_state(state), m_targets(targets), m_control(control), m_lease(lease), m_metrics(metrics),
-      m_entry_id(std::move(entry_id)), m_prefix(std::move(prefix)), m_hedges(hedge_threads) {}
+      m_entry_id(std::move(entry_id)), m_prefix(std::move(prefix)), m_hedge_timer(hedge_threads) {}
 
 http_response call_handler::handle(const http_request& request) {
     const auto started = m_clock.now();
@@ -220,10 +220,10 @@
     outgoing.target = absl::StrCat("/v1/requests/", call.service, call.path_suffix);
     outgoing.body = request.body;
     copy_application_headers(request.headers, outgoing.headers);
-    const auto left = to_milliseconds(call.deadline - m_clock.now());
+    const auto remaining_ms = to_milliseconds(call.deadline - m_clock.now());
     outgoing.headers.add(header_request_id, call.request_id);
     outgoing.headers.add(header_tenant, call.tenant);
-    outgoing.headers.add(header_deadline, absl::StrCat(std::max<std::int64_t>(left, 1)));
+    outgoing.headers.add(header_deadline, absl::StrCat(std::max<std::int64_t>(remaining_ms, 1)));
     outgoing.headers.add(header_epoch, absl::StrCat(grant.epoch));
     outgoing.headers.add(header_idempotent, call.is_idempotent ? "true" : "false");
     return outgoing;
@@ -261,8 +261,8 @@
         return attempt.result.outcome == call_outcome::done && !attempt.may_retry;
     };
     // The first copy waits for a second copy that has begun, so `call` and `request` outlive the second.
-    const auto second =
-        m_hedges.schedule(m_clock.now() + delay, [this, race, second_lost, &call, &request, &grant, is_good] {
+    const auto second = m_hedge_timer.schedule(
+        m_clock.now() + delay, [this, race, second_lost, &call, &request, &grant, is_good] {
             if (!race->start_second()) {
                 return;
             }
@@ -276,7 +276,7 @@
             race->finish(std::move(attempt), is_winner, true, race->first);
         });
     auto own = send_attempt(call, request, grant, false, &race->first);
-    m_hedges.cancel(second);
+    m_hedge_timer.cancel(second);
     if (is_good(own)) {
         race->finish(own, true, false, race->second);
     }
@@ -337,10 +337,10 @@
     outgoing.body = request.body;
     copy_application_headers(request.headers, outgoing.headers);
     const auto now = m_clock.now();
-    const auto left = std::max<std::int64_t>(to_milliseconds(call.deadline - now), 1);
+    const auto remaining_ms = std::max<std::int64_t>(to_milliseconds(call.deadline - now), 1);
     outgoing.headers.add(header_request_id, call.request_id);
     outgoing.headers.add(header_tenant, call.tenant == "default" ? "" : call.tenant);
-    outgoing.headers.add(header_deadline, absl::StrCat(left));
+    outgoing.headers.add(header_deadline, absl::StrCat(remaining_ms));
     outgoing.headers.add(header_idempotent, call.is_idempotent ? "true" : "false");
     outgoing.headers.add(header_forwarded, m_entry_id);
     outgoing.headers.add(header_lost_attempts, absl::StrCat(lost_attempts));
--- a/poplarpitch/entry/call_handler.h
+++ b/poplarpitch/entry/call_handler.h
@@ -85,7 +85,7 @@
     const std::string m_prefix;
     const system_clock m_clock{};
     std::atomic<std::uint64_t> m_next_request{1};
-    hedge_timer m_hedges; ///< declared last because its threads use the members above
+    hedge_timer m_hedge_timer; ///< declared last because its threads use the members above
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/call_reader.cpp
+++ b/poplarpitch/entry/call_reader.cpp
@@ -50,14 +50,13 @@
     }
     call.deadline = now + service->deadline;
     if (request.headers.has(header_deadline)) {
-        std::int64_t milliseconds_left = 0;
+        std::int64_t remaining_ms = 0;
         const auto text = request.headers.get(header_deadline);
-        if (!absl::SimpleAtoi(text, &milliseconds_left) || milliseconds_left <= 0 ||
-            milliseconds_left > max_deadline_ms) {
+        if (!absl::SimpleAtoi(text, &remaining_ms) || remaining_ms <= 0 || remaining_ms > max_deadline_ms) {
             return refuse("bad_deadline",
                           absl::StrCat(header_deadline, " must be from 1 to ", max_deadline_ms));
         }
-        call.deadline = now + milliseconds{milliseconds_left};
+        call.deadline = now + milliseconds{remaining_ms};
     }
     call.is_idempotent = service->idempotent;
     if (request.headers.has(header_idempotent)) {
--- a/poplarpitch/entry/entry_daemon.cpp
+++ b/poplarpitch/entry/entry_daemon.cpp
@@ -61,8 +61,8 @@
                                                              m_settings.id, address);
         m_is_serving = true;
         log_event(log_level::info, "listening").add("entry", m_settings.id).add("http_port", port.value());
-        m_keeper = std::make_unique<session_keeper>(m_state, m_control, m_lease, m_settings.id, address,
-                                                    m_settings.data_centre);
+        m_session_keeper = std::make_unique<session_keeper>(m_state, m_control, m_lease, m_settings.id,
+                                                            address, m_settings.data_centre);
         m_control_thread = std::thread([this] { run_control_thread(); });
         m_signal.wait();
         stop();
@@ -155,7 +155,7 @@
         while (!m_is_control_stopped) {
             const auto now = m_clock.now();
             if (now >= next_renewal) {
-                const bool is_granted = m_keeper->renew();
+                const bool is_granted = m_session_keeper->renew();
                 next_renewal =
                     now + (is_granted ? m_entry_settings.renew_interval : m_entry_settings.tick_interval / 2);
             }
@@ -184,7 +184,7 @@
             .add("in_flight", m_calls_in_flight.load());
         m_is_stopping = true;
         m_signal.reset();
-        m_keeper->drain();
+        m_session_keeper->drain();
         wait_until([this] { return m_state.get_counts().workers == 0; }, m_entry_settings.drain_grace * 4);
         absl::SleepFor(absl::Nanoseconds(m_entry_settings.drain_grace.count()));
         const bool is_drained =
@@ -197,7 +197,7 @@
         m_control_thread.join();
         m_task_threads.finish();
         m_events.finish();
-        m_keeper->close();
+        m_session_keeper->close();
         log_event(log_level::info, "stopped").add("entry", m_settings.id);
     }
 
@@ -232,7 +232,7 @@
     task_caller m_tasks;
     growing_task_queue m_task_threads{m_entry_settings.task_threads};
     std::unique_ptr<announce_handler> m_announcements;
-    std::unique_ptr<session_keeper> m_keeper;
+    std::unique_ptr<session_keeper> m_session_keeper;
     std::thread m_control_thread;
     std::atomic<bool> m_is_serving{false};
     std::atomic<bool> m_is_stopping{false};
--- a/poplarpitch/entry/entry_state.cpp
+++ b/poplarpitch/entry/entry_state.cpp
@@ -65,7 +65,7 @@
     if (answer.owned_changed()) {
         m_fleet.set_owned({answer.owned().begin(), answer.owned().end()}, now);
     }
-    m_loads.set_term(answer.term());
+    m_load_reporter.set_term(answer.term());
     m_tasks.apply_jobs(answer, now);
     m_dispatcher.set_entries(read_entries(answer, m_data_centre));
     m_revision = answer.revision();
@@ -106,7 +106,7 @@
             (*load.mutable_rates())[service] = static_cast<double>(count) / elapsed;
             count = 0;
         }
-        if (m_loads.mark_sent_if_due(load, now)) {
+        if (m_load_reporter.mark_sent_if_due(load, now)) {
             *request.add_loads() = std::move(load);
         }
     }
@@ -132,7 +132,7 @@
 void entry_state::on_renewal_failed(const wire::renew_request& request) {
     const absl::MutexLock lock(&m_mutex);
     for (const auto& load : request.loads()) {
-        m_loads.forget(load.worker());
+        m_load_reporter.forget(load.worker());
     }
     m_tasks.return_usage({request.usage().begin(), request.usage().end()});
 }
@@ -155,11 +155,11 @@
     waiter self;
     m_waiters[wait.ticket.id] = &self;
     while (!self.grant.has_value()) {
-        const auto left = wait.give_up - m_clock.now();
-        if (left.count() <= 0) {
+        const auto remaining = wait.give_up - m_clock.now();
+        if (remaining.count() <= 0) {
             break;
         }
-        self.ready.WaitWithTimeout(&m_mutex, absl::Nanoseconds(left.count()));
+        self.ready.WaitWithTimeout(&m_mutex, absl::Nanoseconds(remaining.count()));
     }
     m_waiters.erase(wait.ticket.id);
     if (self.grant.has_value()) {
--- a/poplarpitch/entry/entry_state.h
+++ b/poplarpitch/entry/entry_state.h
@@ -124,7 +124,7 @@
     std::uint64_t m_revision ABSL_GUARDED_BY(m_mutex) = 0;
     std::map<std::uint64_t, waiter*> m_waiters ABSL_GUARDED_BY(m_mutex); ///< by ticket
     std::map<std::string, std::map<std::string, std::int64_t>> m_request_counts ABSL_GUARDED_BY(m_mutex);
-    load_reporter m_loads ABSL_GUARDED_BY(m_mutex);
+    load_reporter m_load_reporter ABSL_GUARDED_BY(m_mutex);
     time_point m_last_report ABSL_GUARDED_BY(m_mutex){};
 };
 
--- a/poplarpitch/entry/hedge_timer.cpp
+++ b/poplarpitch/entry/hedge_timer.cpp
@@ -56,9 +56,9 @@
             m_changed.Wait(&m_mutex);
             continue;
         }
-        const auto left = m_items.begin()->first - clock.now();
-        if (left.count() > 0) {
-            m_changed.WaitWithTimeout(&m_mutex, absl::Nanoseconds(left.count()));
+        const auto remaining = m_items.begin()->first - clock.now();
+        if (remaining.count() > 0) {
+            m_changed.WaitWithTimeout(&m_mutex, absl::Nanoseconds(remaining.count()));
             continue;
         }
         auto node = m_items.extract(m_items.begin());
--- a/poplarpitch/entry/operator_handler.cpp
+++ b/poplarpitch/entry/operator_handler.cpp
@@ -88,9 +88,9 @@
 http_response operator_handler::get_config(const http_request& request) {
     wire::query_request query;
     query.set_kind(wire::query_config);
-    const auto wanted = request.get_query("version");
+    const auto requested = request.get_query("version");
     std::uint64_t version = 0;
-    if (!wanted.empty() && !absl::SimpleAtoi(wanted, &version)) {
+    if (!requested.empty() && !absl::SimpleAtoi(requested, &version)) {
         return make_error_response(400, "bad_version", "version must be a number");
     }
     query.set_version(version);
@@ -147,15 +147,15 @@
     if (!outcome) {
         return make_control_error(outcome.error());
     }
-    const auto& present = outcome.value().config();
-    json body = {{"version", present.version()},
+    const auto& current = outcome.value().config();
+    json body = {{"version", current.version()},
                  {"change_id", change.change_id()},
                  {"repeated", outcome.value().repeated_change()}};
     if (outcome.value().code() != 0) {
         body["error"] = {{"code", get_code_name(outcome.value())}, {"message", outcome.value().message()}};
     }
     auto response = make_json(body, get_http_status(outcome.value()));
-    response.headers.add("ETag", absl::StrCat("\"", present.version(), "\""));
+    response.headers.add("ETag", absl::StrCat("\"", current.version(), "\""));
     return response;
 }
 
--- a/poplarpitch/entry/owned_fleet.cpp
+++ b/poplarpitch/entry/owned_fleet.cpp
@@ -18,9 +18,9 @@
 /// Returns how many times `need` fits into `free`.
 std::int32_t count_fits(const resources& free, const resources& need) {
     std::int64_t fits = std::numeric_limits<std::int32_t>::max();
-    const auto limit = [&](std::int64_t have, std::int64_t want) {
-        if (want > 0) {
-            fits = std::min(fits, have > 0 ? have / want : 0);
+    const auto limit = [&](std::int64_t available, std::int64_t required) {
+        if (required > 0) {
+            fits = std::min(fits, available > 0 ? available / required : 0);
         }
     };
     limit(free.slots, need.slots);
@@ -278,12 +278,12 @@
         }
         const auto batch = m_models.batches.get(task.batch);
         const double share = static_cast<double>(task.reserved.millicores) / static_cast<double>(capacity);
-        const auto same = std::find_if(runners.begin(), runners.end(),
-                                       [&](const co_runner& runner) { return runner.batch == batch; });
-        if (same == runners.end()) {
+        const auto existing = std::find_if(runners.begin(), runners.end(),
+                                           [&](const co_runner& runner) { return runner.batch == batch; });
+        if (existing == runners.end()) {
             runners.push_back({batch, share});
         } else {
-            same->share += share;
+            existing->share += share;
         }
     }
     return runners;
@@ -318,12 +318,12 @@
 // ---- periodic work
 
 void owned_fleet::tick(time_point now) {
-    const auto fade = [](std::int64_t value) {
+    const auto decay = [](std::int64_t value) {
         return static_cast<std::int64_t>(static_cast<double>(value) * peak_decay_factor);
     };
     for (auto& [id, worker] : m_workers) {
         auto& peak = worker.request_peak;
-        peak = {fade(peak.slots), fade(peak.millicores), fade(peak.memory), fade(peak.accelerators)};
+        peak = {decay(peak.slots), decay(peak.millicores), decay(peak.memory), decay(peak.accelerators)};
         if (worker.outstanding == 0) {
             worker.slowdown += (1 - worker.slowdown) / slowdown_window_requests;
         }
--- a/poplarpitch/entry/request_dispatcher.cpp
+++ b/poplarpitch/entry/request_dispatcher.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 request_dispatcher::request_dispatcher(owned_fleet& fleet, std::uint32_t seed)
-    : m_fleet(fleet), m_forward(seed), m_settings(std::make_shared<const configuration>()),
+    : m_fleet(fleet), m_forward_router(seed), m_settings(std::make_shared<const configuration>()),
       m_dependencies(std::make_unique<dependency_graph>(*m_settings)) {}
 
 void request_dispatcher::set_configuration(std::shared_ptr<const configuration> settings) {
@@ -32,13 +32,13 @@
 }
 
 void request_dispatcher::set_entries(std::vector<remote_entry> entries) {
-    m_forward.set_entries(std::move(entries));
+    m_forward_router.set_entries(std::move(entries));
 }
 
 bool request_dispatcher::can_serve(const std::string& service) const {
     // Reads the current state of the owned workers, because the state at the last renewal may be half a
     // second old.
-    return m_fleet.has_slots(service) || m_forward.has_slots(service);
+    return m_fleet.has_slots(service) || m_forward_router.has_slots(service);
 }
 
 // ---- admission
@@ -58,7 +58,7 @@
     state.retries.add_attempt();
     auto decision = admit_locally(call, state, now);
     if (!std::holds_alternative<refusal>(decision)) {
-        ++m_tenant_load[call.tenant];
+        ++m_tenant_requests[call.tenant];
     }
     return decision;
 }
@@ -66,7 +66,7 @@
 std::optional<refusal> request_dispatcher::check_limits(const call_info& call, service_state& state) {
     const auto* tenant = m_settings->find_tenant(call.tenant);
     const auto limit = tenant == nullptr ? tenant_settings{}.max_in_flight : tenant->max_in_flight;
-    if (m_tenant_load[call.tenant] >= limit) {
+    if (m_tenant_requests[call.tenant] >= limit) {
         return refusal{
             429, "tenant_limit",
             absl::StrCat("tenant '", call.tenant, "' already has ", limit, " requests at this entry"),
@@ -92,14 +92,14 @@
     }
     // 2. A free slot at another entry. A request is forwarded only once, which prevents forwarding loops.
     if (!call.is_forwarded) {
-        if (const auto entry = m_forward.pick(call.service, true)) {
+        if (const auto entry = m_forward_router.pick(call.service, true)) {
             return forward_decision{entry->id, entry->address};
         }
     }
     // 3. The queue, if the request can still finish before its deadline.
     const auto slots = m_fleet.get_total_slots(call.service);
     if (slots == 0) {
-        const auto entry = call.is_forwarded ? std::nullopt : m_forward.pick(call.service, false);
+        const auto entry = call.is_forwarded ? std::nullopt : m_forward_router.pick(call.service, false);
         if (entry.has_value()) {
             return forward_decision{entry->id, entry->address};
         }
@@ -187,14 +187,14 @@
     const auto found = m_services.find(service);
     if (found != m_services.end() && found->second.queue.remove(ticket)) {
         m_waiting_ids.erase(ticket.id);
-        --m_tenant_load[ticket.tenant];
+        --m_tenant_requests[ticket.tenant];
     }
 }
 
 void request_dispatcher::finish(const request_grant& grant, attempt_result ended, duration latency,
                                 time_point now) {
     m_fleet.end_request(grant, ended, latency, now);
-    --m_tenant_load[grant.tenant];
+    --m_tenant_requests[grant.tenant];
     const auto found = m_services.find(grant.service);
     if (found == m_services.end()) {
         return;
@@ -211,7 +211,7 @@
 }
 
 void request_dispatcher::finish_forwarded(const call_info& call) {
-    --m_tenant_load[call.tenant];
+    --m_tenant_requests[call.tenant];
 }
 
 // ---- retries and reports
@@ -232,7 +232,7 @@
     if (!grant.has_value()) {
         return std::nullopt;
     }
-    ++m_tenant_load[call.tenant];
+    ++m_tenant_requests[call.tenant];
     if (grant->worker == first_worker) {
         // The same worker would be as slow as before, and its list of requests cannot distinguish the two
         // copies.
--- a/poplarpitch/entry/request_dispatcher.h
+++ b/poplarpitch/entry/request_dispatcher.h
@@ -105,12 +105,12 @@
                                        const std::string& request_id, time_point now);
 
     owned_fleet& m_fleet;
-    forward_router m_forward;
+    forward_router m_forward_router;
     std::shared_ptr<const configuration> m_settings;
     std::unique_ptr<dependency_graph> m_dependencies;
     std::map<std::string, service_state> m_services;
-    std::map<std::string, std::int64_t> m_tenant_load;  ///< running, waiting and forwarded requests
-    std::map<std::uint64_t, std::string> m_waiting_ids; ///< request id of each ticket
+    std::map<std::string, std::int64_t> m_tenant_requests; ///< running, waiting and forwarded requests
+    std::map<std::uint64_t, std::string> m_waiting_ids;    ///< request id of each ticket
     std::uint64_t m_last_ticket = 0;
 };
 
--- a/poplarpitch/entry/task_agent_events.cpp
+++ b/poplarpitch/entry/task_agent_events.cpp
@@ -6,7 +6,7 @@
 namespace poplarpitch {
 namespace {
 
-wire::usage_sample make_usage(const owned_task& task, const task_report& report) {
+wire::usage_sample make_usage_sample(const owned_task& task, const task_report& report) {
     wire::usage_sample sample;
     sample.set_tenant(task.tenant);
     sample.set_batch(task.batch);
@@ -182,7 +182,7 @@
         event.command.mutable_event()->set_checkpoint(report.checkpoint);
         events.push_back(std::move(event));
         if (kind == wire::event_finished && !task.batch.empty()) {
-            m_usage.push_back(make_usage(task, report));
+            m_usage.push_back(make_usage_sample(task, report));
         }
     }
     if (message.is_complete && message.epoch == worker->epoch) {
@@ -193,22 +193,22 @@
 
 void task_agent::check_unlisted_tasks(owned_worker& worker, const announcement& message, time_point now,
                                       std::int64_t wall_ms, std::vector<reported_event>& events) {
-    const auto lists = [&](const owned_task& task) {
+    const auto is_listed = [&](const owned_task& task) {
         return std::any_of(message.tasks.begin(), message.tasks.end(), [&](const running_task& running) {
             return running.job == task.job && running.attempt == task.attempt;
         });
     };
-    const auto reports = [&](const owned_task& task) {
+    const auto is_reported = [&](const owned_task& task) {
         return std::any_of(message.reports.begin(), message.reports.end(), [&](const task_report& report) {
             return report.job == task.job && report.attempt == task.attempt && report.kind != "checkpointed";
         });
     };
     for (auto& [job, task] : worker.tasks) {
         if (task.phase == task_phase::to_start || task.phase == task_phase::starting ||
-            task.phase == task_phase::ended || reports(task)) {
+            task.phase == task_phase::ended || is_reported(task)) {
             continue;
         }
-        if (lists(task)) {
+        if (is_listed(task)) {
             if (task.phase == task_phase::unconfirmed) {
                 events.push_back({0, make_event(task, message.id, wire::event_started, "", wall_ms)});
             }
