--- a/poplarpitch/entry/call_handler.h
+++ b/poplarpitch/entry/call_handler.h
@@ -42,8 +42,7 @@
     struct call_record {
         duration queue_wait{};
         int attempts = 0;
-        int lost_attempts =
-            0; ///< attempts without an answer from their target, at this entry and the entries before it
+        int lost_attempts = 0; ///< attempts without an answer, at this entry and earlier ones
     };
 
     call_result run(const call_info& call, const http_request& request, call_record& record);
--- a/poplarpitch/entry/event_batcher.h
+++ b/poplarpitch/entry/event_batcher.h
@@ -133,8 +133,7 @@
 
     void send(std::vector<group>& batch) {
         std::vector<wire::command> events;
-        for (auto& item :
-             batch) { // moves the elements, not the vector: the size of each group is needed below
+        for (auto& item : batch) { // keeps each group's size, which is needed below
             std::move(item.events.begin(), item.events.end(), std::back_inserter(events));
         }
         auto answer = m_control.propose_batch(events, m_clock.now() + m_settings.commit_timeout);
@@ -160,7 +159,7 @@
     std::size_t m_count ABSL_GUARDED_BY(m_mutex) = 0;     ///< number of events in all groups
     bool m_is_flush_due ABSL_GUARDED_BY(m_mutex) = false; ///< a queued group must be sent immediately
     bool m_is_finished ABSL_GUARDED_BY(m_mutex) = false;
-    std::thread m_sender; ///< declared last: it starts when all other members are initialized
+    std::thread m_sender; ///< declared last: it starts once all other members are initialized
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/entry/forward_router.h
+++ b/poplarpitch/entry/forward_router.h
@@ -9,8 +9,8 @@
 
 namespace poplarpitch {
 
-/// Picks the entry that a request is forwarded to. The advertised slots are up to one heartbeat old, so it
-/// picks the better of two random entries; if all entries picked the best one, they would overload it
+/// Picks the entry that a request is forwarded to. The advertised slots are one heartbeat old, so it picks
+/// the better of two random entries. If all entries picked the best one, they would overload it
 /// (Mitzenmacher, 2001). Entries of the same data centre are preferred. Thread safety: none, for all methods.
 class forward_router {
 public:
--- a/poplarpitch/entry/job_codec.cpp
+++ b/poplarpitch/entry/job_codec.cpp
@@ -26,7 +26,7 @@
            });
 }
 
-/// Reads integers of a JSON object and keeps the last error.
+/// Reads optional integers of a JSON object and keeps the last error.
 class number_reader {
 public:
     explicit number_reader(const json& object) : m_object(object) {}
--- a/poplarpitch/entry/owned_fleet.cpp
+++ b/poplarpitch/entry/owned_fleet.cpp
@@ -11,9 +11,8 @@
 namespace {
 
 constexpr double slowdown_window_requests = 40; // number of requests over which an old slowdown decays
-constexpr double max_slowdown_sample =
-    10; // limits a sample, so that a single stuck request does not raise the relief step
-constexpr double peak_decay_factor = 0.9; // applied at each tick
+constexpr double max_slowdown_sample = 10;      // one stuck request must not raise the relief step alone
+constexpr double peak_decay_factor = 0.9;       // applied at each tick
 
 /// Returns how many times `need` fits into `free`.
 std::int32_t count_fits(const resources& free, const resources& need) {
--- a/poplarpitch/entry/owned_task.h
+++ b/poplarpitch/entry/owned_task.h
@@ -43,9 +43,8 @@
     bool is_running_in_log = false;    ///< control has recorded its start
     bool has_unanswered_start = false; ///< a start was sent whose answer was lost or is still pending
     bool is_possibly_lost = false;     ///< its worker was silent, so control may count it as lost
-    bool is_stop_answered = false; ///< in phase `withdrawing`: the worker will not execute any earlier start
-    std::uint64_t stop_sequence =
-        0; ///< sequence number of the newest announcement that may be older than that answer
+    bool is_stop_answered = false;     ///< while `withdrawing`: no earlier start is executed any more
+    std::uint64_t stop_sequence = 0;   ///< newest announcement that may predate that answer
     task_phase phase = task_phase::to_start;
     grant_id grant = 0; ///< its reservation in the worker's ledger; 0 for none
     time_point since{}; ///< when the phase began or the last call was made; zero when a call is due at once
--- a/poplarpitch/entry/session_keeper.h
+++ b/poplarpitch/entry/session_keeper.h
@@ -33,8 +33,7 @@
     const std::string m_entry_id;
     const std::string m_address;
     const std::string m_data_centre;
-    const std::uint64_t
-        m_incarnation; ///< start time of this process, so that later processes have larger values
+    const std::uint64_t m_incarnation; ///< start time of the process, which increases with restarts
     const system_clock m_clock{};
     bool m_was_granted = false;
 };
--- a/poplarpitch/entry/task_action.h
+++ b/poplarpitch/entry/task_action.h
@@ -25,7 +25,7 @@
 /// The worker's answer to a start.
 enum class start_result : std::uint8_t {
     started,       ///< the task runs, or has run already
-    refused,       ///< the task does not run there; the call was rejected
+    refused,       ///< the task does not run there, and this call will not start it
     stale_epoch,   ///< another entry owns the worker; it has to determine the outcome of earlier starts
     other_process, ///< the worker was restarted after the assignment
     unknown,       ///< no answer; the call is repeated, and the worker reports when the task already runs
--- a/poplarpitch/entry/task_agent_events.cpp
+++ b/poplarpitch/entry/task_agent_events.cpp
@@ -295,8 +295,7 @@
         if (task.phase != task_phase::to_start) {
             m_fleet.adopt_task(worker, task);
             if (task.phase == task_phase::starting) {
-                task.has_unanswered_start =
-                    true; // the worker's list may be older than the arrival of the start
+                task.has_unanswered_start = true; // the list may be older than the start's arrival
             }
             if (task.phase != task_phase::withdrawing) {
                 task.phase = task_phase::unconfirmed;
@@ -313,8 +312,7 @@
 }
 
 void task_agent::return_usage(const std::vector<wire::usage_sample>& samples) {
-    constexpr std::size_t max_samples =
-        1000; // limits the samples kept during a long loss of control; the newest ones are sufficient
+    constexpr std::size_t max_samples = 1000; // the newest suffice after a long loss of control
     m_usage.insert(m_usage.end(), samples.begin(), samples.end());
     if (m_usage.size() > max_samples) {
         m_usage.erase(m_usage.begin(), m_usage.end() - max_samples);
