--- a/poplarpitch/entry/operator_handler.cpp
+++ b/poplarpitch/entry/operator_handler.cpp
@@ -279,8 +279,7 @@
         }
         wire::command command;
         command.mutable_drain()->set_entry(entry);
-        command.mutable_drain()->set_incarnation(
-            session.incarnation()); // so that a process that was started meanwhile is not affected
+        command.mutable_drain()->set_incarnation(session.incarnation()); // not a later process
         command.mutable_drain()->set_resumed(verb == "resume");
         const auto outcome = m_control.propose(command, m_clock.now() + control_timeout);
         if (!outcome) {
--- a/poplarpitch/entry/task_agent.cpp
+++ b/poplarpitch/entry/task_agent.cpp
@@ -143,8 +143,7 @@
 
 void task_agent::relieve(owned_worker& worker, time_point now) {
     worker.ladder.update(worker.slowdown, now);
-    const bool is_leaving =
-        worker.is_leaving; // the tasks of a leaving worker are moved regardless of its load
+    const bool is_leaving = worker.is_leaving; // its idempotent tasks move regardless of load
     if (!worker.ladder.is_eviction_due(now) && !is_leaving) {
         return;
     }
--- a/unit_tests/entry/request_dispatcher_test.cpp
+++ b/unit_tests/entry/request_dispatcher_test.cpp
@@ -62,9 +62,7 @@
     admit_as<wait_decision>(make_call("c"));
     announce(make_announcement(2, false, {"a", "b"})); // it is still running
     EXPECT_EQ(m_fleet.get_free_slots("s"), 0);
-    announce(make_announcement(
-        2, false,
-        {"b"})); // may have been in transit when the request became doubtful; only the next one counts
+    announce(make_announcement(2, false, {"b"})); // may have been in transit; only the next one counts
     announce(make_announcement(2, false, {"b"}));
     EXPECT_EQ(m_dispatcher.serve_waiting(m_now).size(), 1U);
 }
--- a/unit_tests/entry/task_agent_test.cpp
+++ b/unit_tests/entry/task_agent_test.cpp
@@ -80,8 +80,7 @@
     m_tasks.apply_jobs(make_jobs(wire::job_assigned, 2), m_now);
     m_tasks.get_actions(m_now);
     answer_start(start_result::unknown);
-    EXPECT_TRUE(
-        answer_start(start_result::stale_epoch).empty()); // it may be running; the new owner determines that
+    EXPECT_TRUE(answer_start(start_result::stale_epoch).empty()); // it may run; the new owner checks
 }
 
 TEST_F(task_agent_test, restarted_worker_after_a_lost_answer_is_a_loss) {
