--- a/poplarpitch/entry/job_codec.cpp
+++ b/poplarpitch/entry/job_codec.cpp
@@ -14,18 +14,19 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t max_id = 128;
-constexpr std::size_t max_payload = 64 << 10;
+constexpr std::size_t max_id_length = 128;
+constexpr std::size_t max_payload_bytes = 64 << 10;
 constexpr std::int64_t max_amount = 1LL << 50;
 
 bool is_id(const std::string& text) {
-    return !text.empty() && text.size() <= max_id && std::all_of(text.begin(), text.end(), [](char letter) {
-        return std::isalnum(static_cast<unsigned char>(letter)) != 0 || letter == '-' || letter == '_' ||
-               letter == '.' || letter == ':';
-    });
+    return !text.empty() && text.size() <= max_id_length &&
+           std::all_of(text.begin(), text.end(), [](char letter) {
+               return std::isalnum(static_cast<unsigned char>(letter)) != 0 || letter == '-' ||
+                      letter == '_' || letter == '.' || letter == ':';
+           });
 }
 
-/// Reads whole numbers of `object` into `target` and notes the first mistake.
+/// Reads optional integers of a JSON object and keeps the last error.
 class number_reader {
 public:
     explicit number_reader(const json& object) : m_object(object) {}
@@ -67,7 +68,7 @@
 std::variant<wire::job, codec_error> decode_job(const std::string& text, const configuration& settings) {
     const auto object = json::parse(text, nullptr, false);
     if (object.is_discarded() || !object.is_object()) {
-        return codec_error{"the body is no JSON object"};
+        return codec_error{"the body is not a JSON object"};
     }
     const auto unknown = find_unknown_key(object);
     if (!unknown.empty()) {
@@ -84,15 +85,15 @@
     }
     job.set_tenant(get_text("tenant"));
     if (settings.find_tenant(job.tenant()) == nullptr) {
-        return codec_error{absl::StrCat("no tenant is called '", job.tenant(), "'")};
+        return codec_error{absl::StrCat("unknown tenant '", job.tenant(), "'")};
     }
     job.set_batch(get_text("batch"));
     const auto* batch = settings.find_batch(job.batch());
     if (batch == nullptr) {
-        return codec_error{absl::StrCat("no batch class is called '", job.batch(), "'")};
+        return codec_error{absl::StrCat("unknown batch class '", job.batch(), "'")};
     }
     job.set_payload(get_text("payload"));
-    if (job.payload().size() > max_payload) {
+    if (job.payload().size() > max_payload_bytes) {
         return codec_error{"'payload' is larger than 64 KB"};
     }
     auto need = batch->need;
--- a/poplarpitch/entry/operator_handler.cpp
+++ b/poplarpitch/entry/operator_handler.cpp
@@ -21,10 +21,10 @@
 
 using json = nlohmann::json;
 
-constexpr duration control_wait = seconds{5};
-constexpr std::size_t max_config = 1 << 20;
+constexpr duration control_timeout = seconds{5};
+constexpr std::size_t max_config_bytes = 1 << 20;
 
-/// Reads `"12"`, `12` or `W/"12"`.
+/// Parses a version written as `"12"`, `12` or `W/"12"`. Returns false when it is not a number.
 bool read_version(std::string text, std::uint64_t& version) {
     text = absl::StrReplaceAll(text, {{"W/", ""}, {"\"", ""}});
     return absl::SimpleAtoi(text, &version);
@@ -46,37 +46,37 @@
 http_response operator_handler::handle(const http_request& request) {
     const auto path = request.get_path();
     const std::vector<std::string> parts = absl::StrSplit(path, '/', absl::SkipEmpty());
-    const auto is = [&](const char* method, std::size_t size, const char* kind) {
+    const auto matches = [&](const char* method, std::size_t size, const char* kind) {
         return request.method == method && parts.size() == size && parts[1] == kind;
     };
     if (parts.size() < 2 || parts[0] != "v1") {
         return make_error_response(404, "not_found", "no such path");
     }
-    if (is("GET", 2, "config")) {
+    if (matches("GET", 2, "config")) {
         return get_config(request);
     }
-    if (is("PUT", 2, "config")) {
+    if (matches("PUT", 2, "config")) {
         return put_config(request);
     }
-    if (is("GET", 3, "config") && parts[2] == "history") {
+    if (matches("GET", 3, "config") && parts[2] == "history") {
         return get_history();
     }
     if (parts[1] == "jobs") {
         return m_jobs.handle(request, parts);
     }
-    if (is("GET", 2, "status")) {
+    if (matches("GET", 2, "status")) {
         return get_status();
     }
-    if (is("GET", 2, "workers")) {
+    if (matches("GET", 2, "workers")) {
         return get_workers();
     }
-    if (is("GET", 2, "members")) {
+    if (matches("GET", 2, "members")) {
         return get_members();
     }
-    if (is("POST", 4, "members")) {
+    if (matches("POST", 4, "members")) {
         return change_member(parts[2], parts[3]);
     }
-    if (is("GET", 2, "snapshot")) {
+    if (matches("GET", 2, "snapshot")) {
         return get_snapshot();
     }
     return make_error_response(404, "not_found",
@@ -88,13 +88,13 @@
 http_response operator_handler::get_config(const http_request& request) {
     wire::query_request query;
     query.set_kind(wire::query_config);
-    const auto wanted = request.get_query("version");
+    const auto requested = request.get_query("version");
     std::uint64_t version = 0;
-    if (!wanted.empty() && !absl::SimpleAtoi(wanted, &version)) {
+    if (!requested.empty() && !absl::SimpleAtoi(requested, &version)) {
         return make_error_response(400, "bad_version", "version must be a number");
     }
     query.set_version(version);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -102,7 +102,7 @@
     response.content_type = "text/plain";
     if (!answer.value().found()) {
         if (version != 0) {
-            return make_error_response(404, "unknown_version", "this version is not kept");
+            return make_error_response(404, "unknown_version", "this version is not stored");
         }
         response.headers.add("ETag", "\"0\"");
         return response;
@@ -116,10 +116,10 @@
     std::uint64_t base = 0;
     if (!read_version(request.headers.get("If-Match"), base)) {
         return make_error_response(428, "version_required",
-                                   "If-Match must name the version this change was made for");
+                                   "If-Match must contain the version that this change is based on");
     }
-    if (request.body.size() > max_config) {
-        return make_error_response(413, "body_too_large", "a configuration has at most 1 MB");
+    if (request.body.size() > max_config_bytes) {
+        return make_error_response(413, "body_too_large", "a configuration may have at most 1 MB");
     }
     const auto parsed = parse_configuration(request.body);
     if (!parsed.errors.empty()) {
@@ -143,26 +143,26 @@
     }
     change.set_author(request.headers.get("Poplarpitch-Author"));
     change.set_at_ms(get_wall_ms());
-    const auto outcome = m_control.propose(command, m_clock.now() + control_wait);
+    const auto outcome = m_control.propose(command, m_clock.now() + control_timeout);
     if (!outcome) {
         return make_control_error(outcome.error());
     }
-    const auto& present = outcome.value().config();
-    json body = {{"version", present.version()},
+    const auto& current = outcome.value().config();
+    json body = {{"version", current.version()},
                  {"change_id", change.change_id()},
                  {"repeated", outcome.value().repeated_change()}};
     if (outcome.value().code() != 0) {
         body["error"] = {{"code", get_code_name(outcome.value())}, {"message", outcome.value().message()}};
     }
-    auto response = make_json(body, get_status_of(outcome.value()));
-    response.headers.add("ETag", absl::StrCat("\"", present.version(), "\""));
+    auto response = make_json(body, get_http_status(outcome.value()));
+    response.headers.add("ETag", absl::StrCat("\"", current.version(), "\""));
     return response;
 }
 
 http_response operator_handler::get_history() {
     wire::query_request query;
     query.set_kind(wire::query_history);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -178,12 +178,12 @@
 http_response operator_handler::get_status() {
     wire::query_request query;
     query.set_kind(wire::query_status);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     const auto counts = m_state.get_counts();
     json body = {{"entry", m_entry_id},
                  {"config_version_here", m_state.get_config_version()},
                  {"owned_workers", counts.workers},
-                 {"ready_workers", counts.open_workers},
+                 {"ready_workers", counts.ready_workers},
                  {"waiting_requests", counts.waiting},
                  {"tasks_here", counts.tasks},
                  {"evictions_here", counts.evictions}};
@@ -214,7 +214,7 @@
 http_response operator_handler::get_workers() {
     wire::query_request query;
     query.set_kind(wire::query_workers);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     json body = {{"entry", m_entry_id}, {"owned_here", json::parse(m_state.describe_workers())}};
     if (!answer) {
         body["error"] = answer.error().message();
@@ -237,7 +237,7 @@
 http_response operator_handler::get_members() {
     wire::query_request query;
     query.set_kind(wire::query_members);
-    const auto answer = m_control.query(query, m_clock.now() + control_wait);
+    const auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -265,11 +265,11 @@
 
 http_response operator_handler::change_entry(const std::string& entry, const std::string& verb) {
     if (verb != "drain" && verb != "resume") {
-        return make_error_response(404, "unknown_verb", "an entry takes drain and resume");
+        return make_error_response(404, "unknown_verb", "the actions for an entry are drain and resume");
     }
     wire::query_request query;
     query.set_kind(wire::query_members);
-    const auto members = m_control.query(query, m_clock.now() + control_wait);
+    const auto members = m_control.query(query, m_clock.now() + control_timeout);
     if (!members) {
         return make_control_error(members.error());
     }
@@ -279,17 +279,17 @@
         }
         wire::command command;
         command.mutable_drain()->set_entry(entry);
-        command.mutable_drain()->set_incarnation(session.incarnation()); // not a process that came meanwhile
+        command.mutable_drain()->set_incarnation(session.incarnation()); // not a later process
         command.mutable_drain()->set_resumed(verb == "resume");
-        const auto outcome = m_control.propose(command, m_clock.now() + control_wait);
+        const auto outcome = m_control.propose(command, m_clock.now() + control_timeout);
         if (!outcome) {
             return make_control_error(outcome.error());
         }
         return outcome.value().code() == 0 ? make_json({{"done", true}}) : make_state_error(outcome.value());
     }
-    return make_error_response(
-        404, "unknown_member",
-        absl::StrCat("no entry has a session as '", entry, "'; control instances are named by their number"));
+    return make_error_response(404, "unknown_member",
+                               absl::StrCat("no entry has a session with the id '", entry,
+                                            "'; control instances are identified by their number"));
 }
 
 http_response operator_handler::change_control(std::uint64_t node, const std::string& verb) {
@@ -307,7 +307,7 @@
     } else {
         return make_error_response(404, "unknown_verb", "use add, promote, remove, drain or lead");
     }
-    const auto answer = m_control.change_members(request, m_clock.now() + control_wait);
+    const auto answer = m_control.change_members(request, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
@@ -320,7 +320,7 @@
 http_response operator_handler::get_snapshot() {
     wire::query_request query;
     query.set_kind(wire::query_snapshot);
-    auto answer = m_control.query(query, m_clock.now() + control_wait);
+    auto answer = m_control.query(query, m_clock.now() + control_timeout);
     if (!answer) {
         return make_control_error(answer.error());
     }
--- a/poplarpitch/entry/owned_fleet.cpp
+++ b/poplarpitch/entry/owned_fleet.cpp
@@ -10,16 +10,16 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double slowdown_memory = 40; // requests after which an old slowdown has faded
-constexpr double slowdown_cut = 10;    // one stuck request must not climb the ladder alone
-constexpr double peak_fade = 0.9;      // per tick
+constexpr double slowdown_window_requests = 40; // number of requests over which an old slowdown decays
+constexpr double max_slowdown_sample = 10;      // one stuck request must not raise the relief step alone
+constexpr double peak_decay_factor = 0.9;       // applied at each tick
 
 /// Returns how many times `need` fits into `free`.
 std::int32_t count_fits(const resources& free, const resources& need) {
     std::int64_t fits = std::numeric_limits<std::int32_t>::max();
-    const auto limit = [&](std::int64_t have, std::int64_t want) {
-        if (want > 0) {
-            fits = std::min(fits, have > 0 ? have / want : 0);
+    const auto limit = [&](std::int64_t available, std::int64_t required) {
+        if (required > 0) {
+            fits = std::min(fits, available > 0 ? available / required : 0);
         }
     };
     limit(free.slots, need.slots);
@@ -54,7 +54,7 @@
         names.insert(record.id());
         auto& worker = m_workers[record.id()];
         if (worker.epoch != record.epoch()) {
-            // A new epoch: nothing is known of what runs there until the worker has told it.
+            // After a change of epoch nothing is known of what runs on the worker until it has announced it.
             const auto number = m_models.workers.get(record.id());
             worker = owned_worker{};
             worker.id = record.id();
@@ -139,44 +139,44 @@
 
 // ---- announcements
 
-void owned_fleet::take_announcement(const announcement& told, time_point now) {
-    auto* worker = find(told.id);
+void owned_fleet::take_announcement(const announcement& message, time_point now) {
+    auto* worker = find(message.id);
     if (worker == nullptr) {
         return;
     }
-    if (told.incarnation != worker->incarnation) {
-        // The process that ran the doubtful requests is gone, and its numbers with it.
+    if (message.incarnation != worker->incarnation) {
+        // The process that ran the doubtful requests has ended, and its sequence numbers are no longer valid.
         for (const auto& [grant, doubt] : worker->doubtful) {
             worker->ledger.release(grant);
             --worker->outstanding;
         }
         worker->doubtful.clear();
         worker->ledger.set_open(false);
-    } else if (told.sequence < worker->sequence) {
-        return; // late: a newer one has been taken
+    } else if (message.sequence < worker->sequence) {
+        return; // out of order: a newer announcement was already processed
     }
-    worker->sequence = told.sequence;
+    worker->sequence = message.sequence;
     worker->last_heard = now;
-    worker->incarnation = told.incarnation;
-    worker->is_leaving = told.is_leaving;
-    if (told.epoch == worker->epoch) {
-        worker->ledger.set_capacity(told.capacity);
-        worker->ledger.set_foreign(told.old_work);
-        clear_doubts(*worker, told);
-        // The complete list under this epoch is the proof that nothing unknown runs there. Control must know
-        // the process first: an assignment names it.
-        if (told.is_complete && told.incarnation == worker->logged_incarnation && !worker->is_silent) {
+    worker->incarnation = message.incarnation;
+    worker->is_leaving = message.is_leaving;
+    if (message.epoch == worker->epoch) {
+        worker->ledger.set_capacity(message.capacity);
+        worker->ledger.set_foreign(message.old_work);
+        release_ended_requests(*worker, message);
+        // The complete list under this epoch proves that nothing unknown runs on the worker. Control must
+        // know the process first, because an assignment names its incarnation.
+        if (message.is_complete && message.incarnation == worker->logged_incarnation && !worker->is_silent) {
             worker->ledger.set_open(true);
         }
     }
     refresh(*worker, now);
 }
 
-void owned_fleet::clear_doubts(owned_worker& worker, const announcement& told) {
+void owned_fleet::release_ended_requests(owned_worker& worker, const announcement& message) {
     std::erase_if(worker.doubtful, [&](const auto& item) {
-        const bool is_listed =
-            std::find(told.requests.begin(), told.requests.end(), item.second.request) != told.requests.end();
-        if (is_listed || told.sequence <= item.second.sequence) {
+        const bool is_listed = std::find(message.requests.begin(), message.requests.end(),
+                                         item.second.request) != message.requests.end();
+        if (is_listed || message.sequence <= item.second.sequence) {
             return false;
         }
         worker.ledger.release(item.first);
@@ -201,7 +201,7 @@
     auto& worker = m_workers.at(table.workers[*picked]);
     const auto id = make_grant_id();
     if (!worker.ledger.try_acquire(id, table.need)) {
-        refresh_counts(worker, now); // the row was out of date; the ledger has the last word
+        refresh_counts(worker, now); // the routing row was stale; the ledger is authoritative
         return std::nullopt;
     }
     ++worker.outstanding;
@@ -230,10 +230,11 @@
                               time_point now) {
     auto* worker = find(grant.worker);
     if (worker == nullptr || worker->epoch != grant.epoch || !worker->ledger.has(grant.id)) {
-        return; // given on since: the new owner counts what the worker reports
+        return; // the worker has changed owner since; the new owner counts what the worker reports
     }
     if (ended == attempt_result::maybe_running || ended == attempt_result::abandoned) {
-        // It may run on there. The slot is free again when the worker's own list says so.
+        // The request may still be running there. Its slot is released when the worker's list no longer names
+        // it.
         worker->doubtful[grant.id] = {grant.request_id, worker->sequence + 1};
         if (ended == attempt_result::maybe_running) {
             worker->health.on_failure(now);
@@ -245,14 +246,14 @@
     --worker->outstanding;
     if (ended == attempt_result::answered) {
         worker->health.on_success();
-        learn(*worker, grant, latency);
+        update_models(*worker, grant, latency);
     } else if (ended != attempt_result::refused) {
         worker->health.on_failure(now);
     }
     refresh_counts(*worker, now);
 }
 
-void owned_fleet::learn(owned_worker& worker, const request_grant& grant, duration latency) {
+void owned_fleet::update_models(owned_worker& worker, const request_grant& grant, duration latency) {
     const auto service = m_models.services.get(grant.service);
     const double time_us = to_microseconds(latency);
     const double base_us = m_models.speed.get_base_us(service) * m_models.speed.get_factor(worker.number);
@@ -262,7 +263,7 @@
     }
     const double ratio = time_us / base_us;
     m_models.interference.add(service, get_co_runners(worker), ratio);
-    worker.slowdown += (std::min(ratio, slowdown_cut) - worker.slowdown) / slowdown_memory;
+    worker.slowdown += (std::min(ratio, max_slowdown_sample) - worker.slowdown) / slowdown_window_requests;
 }
 
 // ---- tasks
@@ -276,12 +277,12 @@
         }
         const auto batch = m_models.batches.get(task.batch);
         const double share = static_cast<double>(task.reserved.millicores) / static_cast<double>(capacity);
-        const auto same = std::find_if(runners.begin(), runners.end(),
-                                       [&](const co_runner& runner) { return runner.batch == batch; });
-        if (same == runners.end()) {
+        const auto existing = std::find_if(runners.begin(), runners.end(),
+                                           [&](const co_runner& runner) { return runner.batch == batch; });
+        if (existing == runners.end()) {
             runners.push_back({batch, share});
         } else {
-            same->share += share;
+            existing->share += share;
         }
     }
     return runners;
@@ -313,17 +314,17 @@
     }
 }
 
-// ---- upkeep
+// ---- periodic work
 
 void owned_fleet::tick(time_point now) {
-    const auto fade = [](std::int64_t value) {
-        return static_cast<std::int64_t>(static_cast<double>(value) * peak_fade);
+    const auto decay = [](std::int64_t value) {
+        return static_cast<std::int64_t>(static_cast<double>(value) * peak_decay_factor);
     };
     for (auto& [id, worker] : m_workers) {
         auto& peak = worker.request_peak;
-        peak = {fade(peak.slots), fade(peak.millicores), fade(peak.memory), fade(peak.accelerators)};
+        peak = {decay(peak.slots), decay(peak.millicores), decay(peak.memory), decay(peak.accelerators)};
         if (worker.outstanding == 0) {
-            worker.slowdown += (1 - worker.slowdown) / slowdown_memory;
+            worker.slowdown += (1 - worker.slowdown) / slowdown_window_requests;
         }
         refresh(worker, now);
     }
--- a/poplarpitch/entry/task_agent_events.cpp
+++ b/poplarpitch/entry/task_agent_events.cpp
@@ -1,4 +1,4 @@
-// What happens to tasks, told by workers or by their silence, on its way into the log.
+// The part of task_agent that converts reports of workers, and their silence, into events for the log.
 #include "poplarpitch/entry/task_agent.h"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace poplarpitch {
 namespace {
 
-wire::usage_sample make_usage(const owned_task& task, const task_report& report) {
+wire::usage_sample make_usage_sample(const owned_task& task, const task_report& report) {
     wire::usage_sample sample;
     sample.set_tenant(task.tenant);
     sample.set_batch(task.batch);
@@ -32,8 +32,8 @@
     return command;
 }
 
-wire::command task_agent::make_crash(const owned_task& task, const std::string& worker,
-                                     std::int64_t wall_ms) {
+wire::command task_agent::make_crash_event(const owned_task& task, const std::string& worker,
+                                           std::int64_t wall_ms) {
     auto command = make_event(task, worker, wire::event_lost, "its worker was restarted", wall_ms);
     command.mutable_event()->set_crashed(true);
     return command;
@@ -43,7 +43,7 @@
     std::vector<wire::command> events;
     for (auto& [id, worker] : m_fleet.get_workers()) {
         if (!worker.is_silent && now - worker.last_heard > silence) {
-            // From here on no lease is renewed; only then may anybody count on its end.
+            // From now on no lease is renewed. Only after that may others rely on the leases expiring.
             worker.is_silent = true;
             worker.ledger.set_open(false);
             m_fleet.refresh(worker, now);
@@ -56,11 +56,12 @@
         for (auto& [job, task] : worker.tasks) {
             const bool is_due = now - task.since >= m_settings.resend_after;
             if (task.phase == task_phase::to_start &&
-                (worker.is_leaving || now - task.since > m_settings.room_wait)) {
-                events.push_back(make_event(task, id, wire::event_refused, "no room on the worker", wall_ms));
+                (worker.is_leaving || now - task.since > m_settings.capacity_wait)) {
+                events.push_back(
+                    make_event(task, id, wire::event_refused, "no capacity on the worker", wall_ms));
             } else if (worker.is_silent && task.phase != task_phase::ended && !task.is_lost_in_log &&
                        is_due) {
-                // One that was never sent is not lost; it is given back.
+                // A task whose start was never sent is not lost; it is returned to control as refused.
                 const bool is_unsent = task.phase == task_phase::to_start;
                 events.push_back(make_event(task, id, is_unsent ? wire::event_refused : wire::event_lost,
                                             "its worker is silent", wall_ms));
@@ -83,23 +84,24 @@
     }
     auto& task = found->second;
     if (answer == start_result::unknown) {
-        task.is_maybe_sent = true;
-        return {}; // stays `starting` and is sent again
+        task.has_unanswered_start = true;
+        return {}; // stays in phase `starting` and is sent again
     }
-    if (answer == start_result::stale_epoch && task.is_maybe_sent) {
+    if (answer == start_result::stale_epoch && task.has_unanswered_start) {
         return {};
     }
-    if (answer == start_result::other_process && task.is_maybe_sent) {
-        return {make_crash(task, action.worker, wall_ms)};
+    if (answer == start_result::other_process && task.has_unanswered_start) {
+        return {make_crash_event(task, action.worker, wall_ms)};
     }
-    if (answer == start_result::refused && task.is_maybe_sent) {
+    if (answer == start_result::refused && task.has_unanswered_start) {
         withdraw(task);
         return {};
     }
     if (answer != start_result::started) {
         m_fleet.end_task(*worker, task);
         task.phase = task_phase::ended;
-        return {make_event(task, action.worker, wire::event_refused, "the worker refused it", wall_ms)};
+        return {
+            make_event(task, action.worker, wire::event_refused, "the worker refused the start", wall_ms)};
     }
     if (task.phase == task_phase::starting) {
         task.phase = task_phase::running;
@@ -110,7 +112,8 @@
 
 void task_agent::withdraw(owned_task& task) {
     const bool is_cancelled = task.phase == task_phase::stopping;
-    // What must run at most once may have begun, and a stop would cut it off: it is sent until it is taken.
+    // A task that must run at most once may have begun, and a stop would interrupt it. Its start is therefore
+    // sent again until the worker accepts it.
     const bool may_stop = task.phase == task_phase::starting && task.is_idempotent;
     if (is_cancelled || may_stop) {
         task.phase = task_phase::withdrawing;
@@ -130,23 +133,23 @@
     auto& task = found->second;
     if (task.phase == task_phase::withdrawing && !task.is_stop_answered) {
         task.is_stop_answered = true;
-        task.stop_sequence = worker->sequence + 1; // one announcement may be on its way
+        task.stop_sequence = worker->sequence + 1; // one announcement may already be in transit
     }
 }
 
-std::vector<task_agent::reported_event> task_agent::on_announced(const announcement& told, time_point now,
+std::vector<task_agent::reported_event> task_agent::on_announced(const announcement& message, time_point now,
                                                                  std::int64_t wall_ms) {
     std::vector<reported_event> events;
-    auto* worker = m_fleet.find(told.id);
+    auto* worker = m_fleet.find(message.id);
     if (worker == nullptr) {
         return events;
     }
-    for (const auto& running : told.tasks) {
+    for (const auto& running : message.tasks) {
         const auto found = worker->tasks.find(running.job);
         if (found != worker->tasks.end() && found->second.attempt == running.attempt) {
             found->second.unsaved = running.unsaved;
-        } else if (told.epoch == worker->epoch) {
-            // The log has moved the job on, so nobody waits for this run of it.
+        } else if (message.epoch == worker->epoch) {
+            // The log has superseded this run of the job, so its result is not needed.
             task_action stop;
             stop.verb = task_verb::stop;
             stop.worker = worker->id;
@@ -154,11 +157,11 @@
             stop.epoch = worker->epoch;
             stop.task.job = running.job;
             stop.task.attempt = running.attempt;
-            m_orphans.push_back(std::move(stop));
+            m_orphan_stops.push_back(std::move(stop));
         }
     }
-    for (const auto& report : told.reports) {
-        owned_task task; // the log decides by job and attempt; the task may be unknown here
+    for (const auto& report : message.reports) {
+        owned_task task; // the log identifies the task by job and attempt; it may be unknown here
         task.job = report.job;
         task.attempt = report.attempt;
         const auto found = worker->tasks.find(report.job);
@@ -175,61 +178,62 @@
         } else if (report.kind == "stopped") {
             kind = wire::event_stopped;
         }
-        reported_event event{report.number, make_event(task, told.id, kind, report.detail, wall_ms)};
+        reported_event event{report.number, make_event(task, message.id, kind, report.detail, wall_ms)};
         event.command.mutable_event()->set_checkpoint(report.checkpoint);
         events.push_back(std::move(event));
         if (kind == wire::event_finished && !task.batch.empty()) {
-            m_usage.push_back(make_usage(task, report));
+            m_usage.push_back(make_usage_sample(task, report));
         }
     }
-    if (told.is_complete && told.epoch == worker->epoch) {
-        check_unseen(*worker, told, now, wall_ms, events);
+    if (message.is_complete && message.epoch == worker->epoch) {
+        check_unlisted_tasks(*worker, message, now, wall_ms, events);
     }
     return events;
 }
 
-void task_agent::check_unseen(owned_worker& worker, const announcement& told, time_point now,
-                              std::int64_t wall_ms, std::vector<reported_event>& events) {
-    const auto lists = [&](const owned_task& task) {
-        return std::any_of(told.tasks.begin(), told.tasks.end(), [&](const running_task& running) {
+void task_agent::check_unlisted_tasks(owned_worker& worker, const announcement& message, time_point now,
+                                      std::int64_t wall_ms, std::vector<reported_event>& events) {
+    const auto is_listed = [&](const owned_task& task) {
+        return std::any_of(message.tasks.begin(), message.tasks.end(), [&](const running_task& running) {
             return running.job == task.job && running.attempt == task.attempt;
         });
     };
-    const auto reports = [&](const owned_task& task) {
-        return std::any_of(told.reports.begin(), told.reports.end(), [&](const task_report& report) {
+    const auto is_reported = [&](const owned_task& task) {
+        return std::any_of(message.reports.begin(), message.reports.end(), [&](const task_report& report) {
             return report.job == task.job && report.attempt == task.attempt && report.kind != "checkpointed";
         });
     };
     for (auto& [job, task] : worker.tasks) {
         if (task.phase == task_phase::to_start || task.phase == task_phase::starting ||
-            task.phase == task_phase::ended || reports(task)) {
+            task.phase == task_phase::ended || is_reported(task)) {
             continue;
         }
-        if (lists(task)) {
-            if (task.phase == task_phase::unseen) {
-                events.push_back({0, make_event(task, told.id, wire::event_started, "", wall_ms)});
+        if (is_listed(task)) {
+            if (task.phase == task_phase::unconfirmed) {
+                events.push_back({0, make_event(task, message.id, wire::event_started, "", wall_ms)});
             }
             continue;
         }
-        const bool is_same_process = task.incarnation == told.incarnation;
+        const bool is_same_process = task.incarnation == message.incarnation;
         if (task.phase == task_phase::withdrawing && is_same_process && !task.is_running_in_log) {
-            if (task.is_stop_answered && told.sequence > task.stop_sequence) {
-                events.push_back(
-                    {0, make_event(task, told.id, wire::event_refused, "the worker refused it", wall_ms)});
+            if (task.is_stop_answered && message.sequence > task.stop_sequence) {
+                events.push_back({0, make_event(task, message.id, wire::event_refused,
+                                                "the worker refused the start", wall_ms)});
             }
             continue;
         }
         const bool is_seen_nowhere = !task.is_running_in_log && is_same_process;
-        if (is_seen_nowhere && task.is_maybe_sent && task.phase == task_phase::unseen && task.is_idempotent) {
-            task.phase = task_phase::withdrawing; // its start may yet be carried out
+        if (is_seen_nowhere && task.has_unanswered_start && task.phase == task_phase::unconfirmed &&
+            task.is_idempotent) {
+            task.phase = task_phase::withdrawing; // its start may still be executed
             task.since = {};
-        } else if (is_seen_nowhere && !task.is_maybe_sent) {
-            // Assigned under an older epoch, which the worker refuses by now, and never started there.
-            events.push_back({0, make_event(task, told.id, wire::event_absent, "", wall_ms)});
-        } else if (!is_same_process || now - task.since > m_settings.missing_wait) {
-            events.push_back({0, is_same_process ? make_event(task, told.id, wire::event_lost,
-                                                              "its worker does not know it", wall_ms)
-                                                 : make_crash(task, told.id, wall_ms)});
+        } else if (is_seen_nowhere && !task.has_unanswered_start) {
+            // Assigned under an older epoch, which the worker now refuses, and never started there.
+            events.push_back({0, make_event(task, message.id, wire::event_absent, "", wall_ms)});
+        } else if (!is_same_process || now - task.since > m_settings.missing_task_wait) {
+            events.push_back({0, is_same_process ? make_event(task, message.id, wire::event_lost,
+                                                              "its worker does not list it", wall_ms)
+                                                 : make_crash_event(task, message.id, wall_ms)});
         }
     }
 }
@@ -254,13 +258,13 @@
         owner->tasks.erase(found);
         break;
     case wire::event_lost:
-        // It keeps its place until its lease is over and control takes it off the list.
+        // It keeps its reservation until its lease has expired and control removes it from the list.
         found->second.is_lost_in_log = true;
         break;
     case wire::event_started:
         found->second.is_running_in_log = true;
         found->second.is_lost_in_log = false;
-        if (found->second.phase == task_phase::unseen) {
+        if (found->second.phase == task_phase::unconfirmed) {
             found->second.phase = task_phase::running;
         }
         break;
@@ -269,20 +273,21 @@
     }
 }
 
-bool task_agent::may_renew(const owned_worker& worker) const {
+bool task_agent::may_renew_leases(const owned_worker& worker) const {
     return !worker.is_silent && std::none_of(worker.tasks.begin(), worker.tasks.end(), [](const auto& item) {
         const auto& task = item.second;
-        return task.phase == task_phase::unseen || (task.phase == task_phase::withdrawing && task.is_doubted);
+        return task.phase == task_phase::unconfirmed ||
+               (task.phase == task_phase::withdrawing && task.is_possibly_lost);
     });
 }
 
-bool task_agent::wants_list(const owned_worker& worker) {
+bool task_agent::needs_complete_list(const owned_worker& worker) {
     return std::any_of(worker.tasks.begin(), worker.tasks.end(), [](const auto& item) {
         return item.second.phase == task_phase::withdrawing && item.second.is_stop_answered;
     });
 }
 
-void task_agent::revive(owned_worker& worker, time_point now) {
+void task_agent::end_silence(owned_worker& worker, time_point now) {
     worker.is_silent = false;
     worker.last_heard = now;
     worker.ledger.set_open(false);
@@ -290,12 +295,12 @@
         if (task.phase != task_phase::to_start) {
             m_fleet.adopt_task(worker, task);
             if (task.phase == task_phase::starting) {
-                task.is_maybe_sent = true; // the list may be older than its arrival
+                task.has_unanswered_start = true; // the list may be older than the start's arrival
             }
             if (task.phase != task_phase::withdrawing) {
-                task.phase = task_phase::unseen;
+                task.phase = task_phase::unconfirmed;
             }
-            task.is_doubted = true;
+            task.is_possibly_lost = true;
             task.since = now;
         }
     }
@@ -307,10 +312,10 @@
 }
 
 void task_agent::return_usage(const std::vector<wire::usage_sample>& samples) {
-    constexpr std::size_t most_kept = 1000; // without control for long, the newest say enough
+    constexpr std::size_t max_samples = 1000; // the newest suffice after a long loss of control
     m_usage.insert(m_usage.end(), samples.begin(), samples.end());
-    if (m_usage.size() > most_kept) {
-        m_usage.erase(m_usage.begin(), m_usage.end() - most_kept);
+    if (m_usage.size() > max_samples) {
+        m_usage.erase(m_usage.begin(), m_usage.end() - max_samples);
     }
 }
 
--- a/unit_tests/entry/call_handler_test.cpp
+++ b/unit_tests/entry/call_handler_test.cpp
@@ -23,10 +23,11 @@
 namespace {
 
 constexpr std::size_t max_intents = 100;
-constexpr std::size_t max_answer = 1000; // bytes
+constexpr std::size_t max_answer_bytes = 1000;
 constexpr const char* config_text = "[tenant t]\n[service s]\ndeadline = 20s\nidempotent = true\n";
 
-/// An entry's request side over real HTTP: one worker with one slot, and another entry with room.
+/// The request path of an entry over real HTTP, with one worker of one slot and another entry with free
+/// slots.
 class call_handler_test : public testing::Test {
 protected:
     call_handler_test()
@@ -37,46 +38,46 @@
         m_worker_address = "127.0.0.1:" + std::to_string(m_worker.start().value());
         m_other_address = "127.0.0.1:" + std::to_string(m_other.start().value());
         m_lease.renew(m_clock.now(), seconds{60}, milliseconds{0});
-        take_workers(1);
+        set_worker_count(1);
     }
 
     std::string start_leader() {
         return "127.0.0.1:" + std::to_string(m_leader.start("127.0.0.1", 0).value());
     }
 
-    /// Gives the entry this many workers of one slot each, all of which are the same server.
-    void take_workers(int count) {
-        wire::renew_answer news;
-        news.set_revision(++m_revision);
-        news.mutable_config()->set_version(1);
-        news.mutable_config()->set_text(config_text);
-        news.set_owned_changed(true);
+    /// Gives the entry `count` workers of one slot each, all at the address of the same server.
+    void set_worker_count(int count) {
+        wire::renew_answer answer;
+        answer.set_revision(++m_revision);
+        answer.mutable_config()->set_version(1);
+        answer.mutable_config()->set_text(config_text);
+        answer.set_owned_changed(true);
         for (int number = 1; number <= count; ++number) {
-            auto& record = *news.add_owned();
+            auto& record = *answer.add_owned();
             record.set_id("w" + std::to_string(number));
             record.set_address(m_worker_address);
             record.set_epoch(2);
             record.add_services("s");
             record.mutable_capacity()->set_slots(1);
         }
-        auto& digest = *news.add_entries();
+        auto& digest = *answer.add_entries();
         digest.set_entry("e2");
         digest.set_http_address(m_other_address);
         auto& room = *digest.add_services();
         room.set_service("s");
         room.set_free(8);
         room.set_total(8);
-        m_state.take_renewal(news, m_clock.now());
+        m_state.apply_renewal(answer, m_clock.now());
         for (int number = 1; number <= count; ++number) {
-            announcement told;
-            told.id = "w" + std::to_string(number);
-            told.address = m_worker_address;
-            told.services = {"s"};
-            told.capacity = {1, 0, 0, 0};
-            told.epoch = 2;
-            told.sequence = m_revision;
-            told.is_complete = true;
-            m_state.take_announcement(told, 1);
+            announcement message;
+            message.id = "w" + std::to_string(number);
+            message.address = m_worker_address;
+            message.services = {"s"};
+            message.capacity = {1, 0, 0, 0};
+            message.epoch = 2;
+            message.sequence = m_revision;
+            message.is_complete = true;
+            m_state.take_announcement(message, 1);
         }
     }
 
@@ -87,21 +88,24 @@
         http_response response;
         response.status = m_worker_status;
         response.body = request.body;
-        // Without the request's own id an answer counts as another's: what became of this one is not known.
+        // An answer without the request's own id counts as the answer to another request; the outcome is
+        // unknown.
         response.headers.add(header_request_id,
-                             m_worker_forgets ? "other" : request.headers.get(header_request_id));
+                             m_worker_omits_request_id ? "other" : request.headers.get(header_request_id));
         return response;
     }
 
     http_response answer_as_entry(const http_request& request) {
         ++m_other_calls;
-        auto response = make_error_response(503, "too_late", "it could not end before its deadline");
+        auto response =
+            make_error_response(503, "too_late", "the request could not finish before its deadline");
         response.headers.add(header_outcome, outcome_not_run);
         response.headers.add(header_request_id, request.headers.get(header_request_id));
         return response;
     }
 
-    /// Calls; `lost_before`: the request comes from another entry, at which it had no answer this often.
+    /// Sends a request. With `lost_before` > 0 it comes from another entry, where that many attempts got no
+    /// answer.
     http_response call(int lost_before = 0) {
         http_request request;
         if (lost_before > 0) {
@@ -115,7 +119,7 @@
         return m_calls.handle(request);
     }
 
-    /// Sends a request with a key that must run at most once; always under the same request id.
+    /// Sends a request with a key that must run at most once, always with the same request id.
     http_response call_keyed() {
         http_request request;
         request.method = "POST";
@@ -128,7 +132,7 @@
         return m_calls.handle(request);
     }
 
-    /// Does what control does with the keys of requests.
+    /// Applies a command to the table of keys, as control does.
     wire::propose_answer commit(const wire::command& command) {
         const absl::MutexLock lock(&m_mutex);
         const bool is_begin = command.has_begin();
@@ -150,11 +154,11 @@
     }
 
     absl::Mutex m_mutex;
-    intent_table m_intents ABSL_GUARDED_BY(m_mutex){state_rules{}, max_intents, max_answer};
+    intent_table m_intents ABSL_GUARDED_BY(m_mutex){state_rules{}, max_intents, max_answer_bytes};
     control_server m_leader{"", make_control()};
-    std::function<void()> m_on_first_call; ///< what the worker does before it answers its first call
+    std::function<void()> m_on_first_call; ///< called by the worker before it answers its first call
     std::atomic<int> m_worker_status{200};
-    std::atomic<bool> m_worker_forgets{false};
+    std::atomic<bool> m_worker_omits_request_id{false};
     std::atomic<int> m_worker_calls{0};
     std::atomic<int> m_other_calls{0};
     http_server m_worker;
@@ -171,7 +175,7 @@
     call_handler m_calls;
 };
 
-TEST_F(call_handler_test, gives_the_targets_whole_answer) {
+TEST_F(call_handler_test, returns_the_complete_answer_of_the_target) {
     const auto response = call();
     EXPECT_EQ(response.status, 200);
     EXPECT_EQ(response.body, "x");
@@ -179,9 +183,10 @@
     EXPECT_EQ(m_other_calls, 0);
 }
 
-// Found by scripts/scenarios: the first attempt's slot is held, as it may run on, so the retry is forwarded.
-TEST_F(call_handler_test, not_run_of_a_forwarded_retry_says_nothing_of_the_first_attempt) {
-    m_worker_forgets = true;
+// Found by scripts/scenarios: the first attempt may still be running and holds its slot, so the retry is
+// forwarded.
+TEST_F(call_handler_test, not_run_of_a_forwarded_retry_does_not_change_the_outcome_of_the_first_attempt) {
+    m_worker_omits_request_id = true;
     const auto response = call();
     EXPECT_EQ(m_worker_calls, 1);
     EXPECT_EQ(m_other_calls, 1);
@@ -189,11 +194,11 @@
     EXPECT_EQ(response.status, 504);
 }
 
-// A request that ends its target's process was sent to three targets, and by another entry to three more.
-// Each would have taken along all that ran beside it.
+// Regression: a request that crashes its target's process was sent to three targets, and by another entry to
+// three more. Each crash would have ended everything else that ran on the target.
 TEST_F(call_handler_test, sends_a_request_to_no_third_target_when_two_gave_no_answer) {
-    take_workers(6);
-    m_worker_forgets = true;
+    set_worker_count(6);
+    m_worker_omits_request_id = true;
     const auto response = call();
     EXPECT_EQ(m_worker_calls, 2);
     EXPECT_EQ(m_other_calls, 0);
@@ -201,13 +206,13 @@
 }
 
 TEST_F(call_handler_test, sends_a_forwarded_request_once_that_had_no_answer_from_one_target_before) {
-    take_workers(6);
-    m_worker_forgets = true;
+    set_worker_count(6);
+    m_worker_omits_request_id = true;
     call(1);
     EXPECT_EQ(m_worker_calls, 1);
 }
 
-TEST_F(call_handler_test, fault_answer_of_a_target_stands_when_its_retry_ran_nowhere) {
+TEST_F(call_handler_test, error_answer_of_a_target_is_kept_when_its_retry_did_not_run) {
     m_worker_status = 500;
     const auto response = call();
     EXPECT_GE(m_worker_calls, 1);
@@ -222,7 +227,7 @@
     return result;
 }
 
-TEST(combine_attempts, attempt_that_ran_nowhere_takes_nothing_back) {
+TEST(combine_attempts, attempt_that_did_not_run_keeps_the_earlier_result) {
     const auto combine = [](call_outcome last, call_outcome next) {
         return combine_attempts(make_result(last, 1), make_result(next, 2)).response.status;
     };
@@ -234,7 +239,7 @@
 }
 
 TEST_F(call_handler_test, runs_a_key_once_that_comes_twice_under_one_request_id) {
-    take_workers(2);
+    set_worker_count(2);
     absl::Notification is_running;
     absl::Notification may_end;
     m_on_first_call = [&] {
