--- a/unit_tests/dispatch/crash_property_test.cpp
+++ b/unit_tests/dispatch/crash_property_test.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr duration traffic_time = seconds{25};
-constexpr duration drain_time = seconds{60}; // what is not told by then is never told
-constexpr duration arrival_pause = milliseconds{250};
-constexpr int most_starts_after_three = 2; // the third one would be one too many
-constexpr int fewest_crashes = 2;          // before which nothing may be given up
+constexpr duration completion_time = seconds{60}; // what is not told by then is never told
+constexpr duration arrival_interval = milliseconds{250};
+constexpr int max_starts_after_three = 2; // the third one would be one too many
+constexpr int min_crashes = 2;            // before which nothing may be given up
 
 /// Jobs of all kinds at about half of what the workers hold, and a few whose first task crashes its workers.
 class crash_traffic {
@@ -25,51 +25,51 @@
         : m_world(settings, seed), m_random(seed + 1) {}
 
     void run() {
-        for (duration passed{0}; passed < traffic_time; passed += arrival_pause) {
+        for (duration passed{0}; passed < traffic_time; passed += arrival_interval) {
             submit_one();
-            m_world.run(arrival_pause);
+            m_world.run(arrival_interval);
         }
-        m_world.run(drain_time);
+        m_world.run(completion_time);
     }
 
     /// Checks what must hold whatever befell.
-    void check_promises() {
+    void check_invariants() {
         EXPECT_TRUE(m_world.get_violations().empty()) << m_world.get_violations().front();
-        for (const auto id : m_killers) {
-            EXPECT_LE(m_world.count_starts_after_three(get_killer(id)), most_starts_after_three);
+        for (const auto id : m_crashing_jobs) {
+            EXPECT_LE(m_world.count_starts_after_three(get_crashing_task(id)), max_starts_after_three);
             EXPECT_NE(get_phase(id), job_phase::open) << "job " << id << " was told nothing";
         }
         for (const auto& [id, record] : m_world.get_book().get_jobs()) {
             if (record.phase == job_phase::failed) {
-                EXPECT_GE(m_world.count_most_crashes(id), fewest_crashes)
+                EXPECT_GE(m_world.count_most_crashes(id), min_crashes)
                     << "job " << id << " failed without cause";
             }
         }
     }
 
     /// Returns how many jobs failed that crash nothing.
-    [[nodiscard]] int count_failed_innocents() const {
+    [[nodiscard]] int count_failed_harmless_jobs() const {
         int failed = 0;
-        for (const auto id : m_innocents) {
+        for (const auto id : m_harmless_jobs) {
             failed += get_phase(id) == job_phase::failed ? 1 : 0;
         }
         return failed;
     }
 
     /// Returns how many jobs that crash nothing have not ended.
-    [[nodiscard]] int count_open_innocents() const {
+    [[nodiscard]] int count_open_harmless_jobs() const {
         int open = 0;
-        for (const auto id : m_innocents) {
+        for (const auto id : m_harmless_jobs) {
             open += get_phase(id) == job_phase::open ? 1 : 0;
         }
         return open;
     }
 
     [[nodiscard]] const crash_world& get_world() const { return m_world; }
-    [[nodiscard]] std::size_t count_killers() const { return m_killers.size(); }
+    [[nodiscard]] std::size_t count_crashing_jobs() const { return m_crashing_jobs.size(); }
 
 private:
-    static task_key get_killer(job_id id) { return {{id, 0, 0}, 0}; }
+    static task_key get_crashing_task(job_id id) { return {{id, 0, 0}, 0}; }
 
     std::uint64_t pick(std::uint64_t least, std::uint64_t most) {
         return least + m_random() % (most - least + 1);
@@ -84,13 +84,13 @@
         step.speculative = !step.gang && pick(1, 6) == 1;
         const auto length = milliseconds{pick(200, 3000)};
         step.estimate_ms = to_milliseconds(length);
-        const bool is_killer = pick(1, 12) == 1;
+        const bool crashes_workers = pick(1, 12) == 1;
         const auto id = m_world.submit({step}, length);
-        if (is_killer) {
-            m_world.make_killer(get_killer(id));
-            m_killers.push_back(id);
+        if (crashes_workers) {
+            m_world.make_killer(get_crashing_task(id));
+            m_crashing_jobs.push_back(id);
         } else {
-            m_innocents.push_back(id);
+            m_harmless_jobs.push_back(id);
         }
     }
 
@@ -98,18 +98,18 @@
 
     crash_world m_world;
     std::mt19937_64 m_random;
-    std::vector<job_id> m_killers;
-    std::vector<job_id> m_innocents;
+    std::vector<job_id> m_crashing_jobs;
+    std::vector<job_id> m_harmless_jobs;
 };
 
-void play(const crash_world_settings& settings, std::uint64_t seed, bool may_fail_innocents) {
+void run_seed(const crash_world_settings& settings, std::uint64_t seed, bool may_fail_harmless_jobs) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     crash_traffic traffic(settings, seed);
     traffic.run();
-    traffic.check_promises();
-    EXPECT_EQ(traffic.count_open_innocents(), 0);
-    if (!may_fail_innocents) {
-        EXPECT_EQ(traffic.count_failed_innocents(), 0);
+    traffic.check_invariants();
+    EXPECT_EQ(traffic.count_open_harmless_jobs(), 0);
+    if (!may_fail_harmless_jobs) {
+        EXPECT_EQ(traffic.count_failed_harmless_jobs(), 0);
     }
 }
 
@@ -118,7 +118,7 @@
         crash_world_settings settings;
         const std::array<int, 3> after_ms = {5, 150, 900};
         settings.crash_after = milliseconds{after_ms[seed % after_ms.size()]};
-        play(settings, seed, false);
+        run_seed(settings, seed, false);
     }
 }
 
@@ -127,11 +127,11 @@
         crash_world_settings settings;
         settings.crash_after = milliseconds{10};
         settings.worker_crashes = 0.2;
-        settings.worker_cuts = 0.2;
+        settings.worker_partitions = 0.2;
         settings.leader_losses = 0.1;
         settings.lost_answers = 0.03;
         settings.restart_time = milliseconds{1000 + static_cast<int>(seed % 5) * 1000};
-        play(settings, seed, true);
+        run_seed(settings, seed, true);
     }
 }
 
@@ -141,13 +141,13 @@
 TEST(crash_property, starts_nothing_beyond_the_room_that_a_worker_has_told) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         crash_world_settings settings;
-        settings.guards_room = false;
-        settings.room_changes = 2;
+        settings.enforces_capacity = false;
+        settings.capacity_changes = 2;
         settings.crash_after = milliseconds{10};
-        settings.worker_cuts = 0.3;
+        settings.worker_partitions = 0.3;
         settings.leader_losses = 0.05;
         settings.lost_answers = 0.1;
-        play(settings, seed, true);
+        run_seed(settings, seed, true);
     }
 }
 
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -16,94 +16,95 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::uint64_t usual_seeds = 30; // a few seconds in all
+constexpr std::uint64_t default_seed_count = 30; // a few seconds in all
 constexpr duration tick = milliseconds{10};
-constexpr duration beat_interval = milliseconds{1100};
+constexpr duration heartbeat_interval = milliseconds{1100};
 constexpr duration network_delay = milliseconds{2};
-constexpr duration contact_time = seconds{3};       // after which a leader's faults are its own
-constexpr duration room_slack = milliseconds{4100}; // shrunk room counts 3 s and one beat later
-constexpr std::int64_t longest_lease_ms = 10'000;   // a worker shortens a longer one
-constexpr std::int64_t longest_step_ms = 60'000;
+constexpr duration takeover_time = seconds{3}; // after which a leader's faults are its own
+constexpr duration capacity_report_delay =
+    milliseconds{4100};                       // shrunk capacity counts 3 s and one heartbeat later
+constexpr std::int64_t max_lease_ms = 10'000; // a worker shortens a longer one
+constexpr std::int64_t max_clock_step_ms = 60'000;
 constexpr std::int64_t first_clock_ms = 1;
-constexpr duration late_beat = seconds{4}; // a heartbeat that was held up comes within this
-constexpr duration shortest_cut = seconds{1};
-constexpr duration longest_mute = seconds{10};
-constexpr duration longest_illness = seconds{3};
-constexpr duration longest_stray = seconds{5};
-constexpr duration longest_stall = seconds{5};
-constexpr duration longest_relay_start = seconds{1};
-constexpr duration shortest_outage = milliseconds{200};
-constexpr duration longest_outage = seconds{3};
+constexpr duration max_heartbeat_delay = seconds{4}; // a heartbeat that was held up comes within this
+constexpr duration min_fault_time = seconds{1};
+constexpr duration max_one_way_partition = seconds{10};
+constexpr duration max_unhealthy_time = seconds{3};
+constexpr duration max_expired_order_delay = seconds{5};
+constexpr duration max_stall = seconds{5};
+constexpr duration max_relay_start = seconds{1};
+constexpr duration min_outage = milliseconds{200};
+constexpr duration max_outage = seconds{3};
 constexpr duration drain_time = seconds{2};
-constexpr duration longest_leave = seconds{2}; // after the goodbye, while it refuses connections
-constexpr duration beat_patience = seconds{1}; // then a worker calls another instance
-constexpr duration alone_patience = seconds{5};
-constexpr duration gang_patience = milliseconds{50};
-constexpr duration after_loss = seconds{2};
+constexpr duration max_refusal_time = seconds{2}; // after the goodbye, while it refuses connections
+constexpr duration relay_timeout = seconds{1};    // then a worker calls another instance
+constexpr duration gang_timeout = seconds{5};
+constexpr duration gang_break_delay = milliseconds{50};
+constexpr duration power_loss_failure_time = seconds{2};
 constexpr const char* pool = "mill";
 
-struct pretended_run {
+struct simulated_run {
     std::shared_ptr<const step_job> job;
     time_point started{};
     bool is_stopping = false;
 };
 
-struct told_room {
+struct reported_capacity {
     time_point since{};
-    worker_amounts room;
+    worker_amounts capacity;
 };
 
 } // namespace
 
 std::uint64_t get_seed_count() {
     const char* text = std::getenv("POPLARPITCH_SEEDS");
-    return text == nullptr ? usual_seeds : std::strtoull(text, nullptr, 10);
+    return text == nullptr ? default_seed_count : std::strtoull(text, nullptr, 10);
 }
 
 /// One machine and the life that it is at.
 struct crash_world::worker {
     std::string address;
     std::string id;
-    int life = 0;                  ///< of all lives in the world
-    std::int64_t born_ms = 0;      ///< what this life takes for the time of its start
-    std::set<std::int64_t> births; ///< start times of all its lives
-    time_point clock_start{};      ///< the worker's clock counts from its start
-    std::int64_t stepped_ms = 0;   ///< by how much its time of day is off
+    int life = 0;                       ///< of all lives in the world
+    std::int64_t born_ms = 0;           ///< what this life takes for the time of its start
+    std::set<std::int64_t> start_times; ///< start times of all its lives
+    time_point clock_start{};           ///< the worker's clock counts from its start
+    std::int64_t clock_offset_ms = 0;   ///< by how much its time of day is off
     bool is_up = false;
-    time_point cut_until{};
-    time_point next_beat{};
+    time_point partitioned_until{};
+    time_point next_heartbeat{};
     std::uint64_t sequence = 0;
     std::uint64_t fence = 0;
-    std::uint64_t next_number = 1;
+    std::uint64_t next_end_number = 1;
     std::uint64_t acknowledged = 0; ///< ends up to this number are forgotten, also those that come later
     std::int64_t lease_ms = 0;
-    std::map<run_key, pretended_run> running;
-    std::map<task_key, std::uint32_t> highest; ///< runs up to this are refused
+    std::map<run_key, simulated_run> running;
+    std::map<task_key, std::uint32_t> highest_runs; ///< runs up to this are refused
     std::vector<end_row> ended;
     std::set<std::uint64_t>
-        lapsed; ///< numbers of ends after which its lease ran out: their outcome may be unknown
+        lapsed_ends; ///< numbers of ends after which its lease ran out: their outcome may be unknown
     std::optional<hold_order> hold;
-    sent_order_ptr hold_sent;
+    sent_order_ptr sent_hold;
     std::uint64_t hold_number = 0; ///< of the hold that waits, so that its time does not end a later one
-    std::vector<told_room> rooms;  ///< that it had, the newest last
+    std::vector<reported_capacity> capacities; ///< that it had, the newest last
     std::string data_centre;
     double clock_rate = 1;
     bool is_leaving = false;
     bool is_refusing = false; ///< connections; what runs goes on
     time_point leaves_at{};
     time_point unhealthy_until{};
-    time_point mute_until{};
-    bool has_held_beat = false;
+    time_point one_way_partition_until{};
+    bool has_delayed_heartbeat = false;
 
-    [[nodiscard]] const worker_amounts& get_room() const { return rooms.back().room; }
+    [[nodiscard]] const worker_amounts& get_capacity() const { return capacities.back().capacity; }
 };
 
 /// A control instance that relays for the workers of its data centre.
 struct crash_world::relay {
     relay_place place;
     std::unique_ptr<relay_agent> agent; ///< null while the process is gone
-    std::uint64_t founded = 0;          ///< number of its process
-    time_point still_until{};
+    std::uint64_t process_number = 0;   ///< number of its process
+    time_point stalled_until{};
 };
 
 crash_world::crash_world(const crash_world_settings& settings, std::uint64_t seed)
@@ -111,10 +112,10 @@
       m_hub(relay_settings{}) {
     configure();
     for (int number = 1; number <= settings.data_centres; ++number) {
-        auto place = std::make_unique<relay>();
-        place->place = {static_cast<std::uint32_t>(number), "dc" + std::to_string(number)};
-        m_relays.push_back(std::move(place));
-        found_relay(*m_relays.back());
+        auto node = std::make_unique<relay>();
+        node->place = {static_cast<std::uint32_t>(number), "dc" + std::to_string(number)};
+        m_relays.push_back(std::move(node));
+        start_relay(*m_relays.back());
     }
     lead();
     for (int number = 1; number <= settings.workers; ++number) {
@@ -124,7 +125,7 @@
             target->data_centre = "dc" + std::to_string(number % settings.data_centres + 1);
         }
         m_workers.push_back(std::move(target));
-        revive(*m_workers.back());
+        start_life(*m_workers.back());
     }
     run(seconds{1});
 }
@@ -138,15 +139,15 @@
 void crash_world::configure() {
     job_configuration configuration;
     configuration.version = 1;
-    configuration.pools.push_back({pool, m_settings.guards_room, false, 64});
+    configuration.pools.push_back({pool, m_settings.enforces_capacity, false, 64});
     job_wire::job_command command;
     encode(configuration, *command.mutable_config());
     std::vector<book_event> events;
     m_book.apply(command, events);
 }
 
-void crash_world::call_after(duration wait, std::function<void()> call) {
-    m_calls.push({m_now + wait, m_next_call++, std::move(call)});
+void crash_world::schedule_call(duration wait, std::function<void()> call) {
+    m_scheduled_calls.push({m_now + wait, m_next_call++, std::move(call)});
 }
 
 job_id crash_world::submit(const std::vector<step_spec>& steps, duration length) {
@@ -191,34 +192,34 @@
 void crash_world::step() {
     m_now += tick;
     m_wall_ms += to_milliseconds(tick);
-    befall();
-    while (!m_calls.empty() && m_calls.top().when <= m_now) {
-        const auto call = m_calls.top().call;
-        m_calls.pop();
+    inject_faults();
+    while (!m_scheduled_calls.empty() && m_scheduled_calls.top().when <= m_now) {
+        const auto call = m_scheduled_calls.top().call;
+        m_scheduled_calls.pop();
         call();
-        settle();
+        tick_leader();
     }
     for (auto& target : m_workers) {
-        if (target->is_up && m_now >= target->next_beat) {
-            target->next_beat = m_now + beat_interval;
-            beat(*target);
+        if (target->is_up && m_now >= target->next_heartbeat) {
+            target->next_heartbeat = m_now + heartbeat_interval;
+            send_heartbeat(*target);
         }
         if (target->is_up && get_clock(*target) > target->lease_ms) {
             lapse(*target);
         }
     }
-    settle();
+    tick_leader();
 }
 
-void crash_world::befall() {
+void crash_world::inject_faults() {
     if (happens(m_settings.worker_crashes)) {
         crash(*m_workers[pick(m_workers.size())]);
     }
-    if (happens(m_settings.worker_cuts)) {
+    if (happens(m_settings.worker_partitions)) {
         auto& target = *m_workers[pick(m_workers.size())];
-        target.cut_until = m_now + pick_time(shortest_cut, m_settings.longest_cut);
-        if (m_settings.cuts_refuse && target.hold.has_value()) {
-            close(target.hold_sent, {order_failure::unanswered, {}});
+        target.partitioned_until = m_now + pick_time(min_fault_time, m_settings.max_partition);
+        if (m_settings.partitions_refuse_calls && target.hold.has_value()) {
+            complete(target.sent_hold, {order_failure::unanswered, {}});
             target.hold.reset();
         }
     }
@@ -226,75 +227,76 @@
         lead();
     }
     if (happens(m_settings.clock_steps)) {
-        m_workers[pick(m_workers.size())]->stepped_ms -= static_cast<std::int64_t>(pick(longest_step_ms));
+        m_workers[pick(m_workers.size())]->clock_offset_ms -=
+            static_cast<std::int64_t>(pick(max_clock_step_ms));
     }
     if (happens(m_settings.failures)) {
-        fail_some_run();
+        fail_random_run();
     }
-    if (happens(m_settings.room_changes)) {
-        change_room(*m_workers[pick(m_workers.size())]);
+    if (happens(m_settings.capacity_changes)) {
+        change_capacity(*m_workers[pick(m_workers.size())]);
     }
-    befall_control();
-    befall_contacts();
+    inject_control_faults();
+    inject_worker_faults();
 }
 
-void crash_world::befall_control() {
-    if (m_settings.power_losses > 0 && happens(m_settings.power_losses) && m_is_led) {
+void crash_world::inject_control_faults() {
+    if (m_settings.power_losses > 0 && happens(m_settings.power_losses) && m_has_leader) {
         lose_power();
     }
     if (m_settings.relay_stalls > 0 && happens(m_settings.relay_stalls)) {
-        m_relays[pick(m_relays.size())]->still_until = m_now + pick_time(milliseconds{1}, longest_stall);
+        m_relays[pick(m_relays.size())]->stalled_until = m_now + pick_time(milliseconds{1}, max_stall);
     }
     if (m_settings.relay_losses > 0 && happens(m_settings.relay_losses)) {
         lose_relay(*m_relays[pick(m_relays.size())]);
     }
 }
 
-void crash_world::befall_contacts() {
-    if (m_settings.leaves > 0 && happens(m_settings.leaves)) {
+void crash_world::inject_worker_faults() {
+    if (m_settings.departures > 0 && happens(m_settings.departures)) {
         leave(*m_workers[pick(m_workers.size())]);
     }
-    if (m_settings.unhealthy_times > 0 && happens(m_settings.unhealthy_times)) {
+    if (m_settings.unhealthy_periods > 0 && happens(m_settings.unhealthy_periods)) {
         auto& target = *m_workers[pick(m_workers.size())];
-        target.unhealthy_until = m_now + pick_time(shortest_cut, longest_illness);
+        target.unhealthy_until = m_now + pick_time(min_fault_time, max_unhealthy_time);
     }
-    if (m_settings.mutes > 0 && happens(m_settings.mutes)) {
+    if (m_settings.one_way_partitions > 0 && happens(m_settings.one_way_partitions)) {
         auto& target = *m_workers[pick(m_workers.size())];
-        target.mute_until = m_now + pick_time(shortest_cut, longest_mute);
+        target.one_way_partition_until = m_now + pick_time(min_fault_time, max_one_way_partition);
     }
 }
 
 void crash_world::lose_power() {
-    m_is_led = false;
+    m_has_leader = false;
     m_scheduler.retire();
     m_hub.retire();
-    lose_commands();
-    for (auto& place : m_relays) {
-        lose_relay(*place);
+    drop_uncommitted_commands();
+    for (auto& node : m_relays) {
+        lose_relay(*node);
     }
     for (auto& target : m_workers) {
-        if (m_settings.restarts_at_loss > 0 && is_chosen(m_settings.restarts_at_loss)) {
-            call_after(pick_time(milliseconds{1}, seconds{1}), [this, &target] { crash(*target); });
+        if (m_settings.restarts_after_power_loss > 0 && is_chosen(m_settings.restarts_after_power_loss)) {
+            schedule_call(pick_time(milliseconds{1}, seconds{1}), [this, &target] { crash(*target); });
         }
     }
-    fail_at_loss();
-    call_after(pick_time(shortest_outage, longest_outage), [this] {
-        if (!m_is_led) {
+    fail_runs_after_power_loss();
+    schedule_call(pick_time(min_outage, max_outage), [this] {
+        if (!m_has_leader) {
             lead();
         }
     });
 }
 
-void crash_world::fail_at_loss() {
+void crash_world::fail_runs_after_power_loss() {
     for (auto& target : m_workers) {
         for (const auto& [key, run] : target->running) {
-            if (m_settings.failures_at_loss > 0 && is_chosen(m_settings.failures_at_loss)) {
-                call_after(pick_time(milliseconds{1}, after_loss),
-                           [this, &target, key = key, life = target->life] {
-                               if (target->life == life && target->running.contains(key)) {
-                                   end(*target, key, run_end::failed);
-                               }
-                           });
+            if (m_settings.failures_after_power_loss > 0 && is_chosen(m_settings.failures_after_power_loss)) {
+                schedule_call(pick_time(milliseconds{1}, power_loss_failure_time),
+                              [this, &target, key = key, life = target->life] {
+                                  if (target->life == life && target->running.contains(key)) {
+                                      end_run(*target, key, run_end::failed);
+                                  }
+                              });
             }
         }
     }
@@ -307,15 +309,15 @@
     target.is_leaving = true;
     target.leaves_at = m_now + drain_time;
     const auto life = target.life;
-    call_after(drain_time, [this, &target, life] {
+    schedule_call(drain_time, [this, &target, life] {
         if (target.life != life || !target.is_up) {
             return;
         }
         target.is_refusing = true;
-        if (m_is_led && m_now >= target.cut_until && m_now >= target.mute_until) {
+        if (m_has_leader && m_now >= target.partitioned_until && m_now >= target.one_way_partition_until) {
             m_scheduler.on_goodbye({target.id, target.born_ms}, m_now);
         }
-        call_after(pick_time(milliseconds{1}, longest_leave), [this, &target, life] {
+        schedule_call(pick_time(milliseconds{1}, max_refusal_time), [this, &target, life] {
             if (target.life == life && target.is_up) {
                 end_life(target);
             }
@@ -326,19 +328,19 @@
 // ---- control instances
 
 /// Of the commands on their way a new leader finds those that a majority has, and those are the first ones.
-void crash_world::lose_commands() {
-    m_gathered.clear();
-    if (!m_committing.empty() && is_chosen(0.5)) {
+void crash_world::drop_uncommitted_commands() {
+    m_queued_commands.clear();
+    if (!m_committing_commands.empty() && is_chosen(0.5)) {
         std::vector<book_event> events;
-        for (const auto& command : m_committing) {
+        for (const auto& command : m_committing_commands) {
             m_book.apply(command, events);
         }
     }
-    m_committing.clear();
+    m_committing_commands.clear();
 }
 
 void crash_world::commit() {
-    const auto batch = std::exchange(m_committing, {});
+    const auto batch = std::exchange(m_committing_commands, {});
     std::vector<book_event> events;
     for (const auto& command : batch) {
         m_book.apply(command, events);
@@ -348,22 +350,22 @@
     }
 }
 
-void crash_world::found_relay(relay& place) {
-    ++place.founded;
-    place.agent = std::make_unique<relay_agent>(
-        relay_settings{}, place.place,
-        [this, &place](const worker_order& order, const relay_agent::outcome_handler& on_outcome) {
-            const auto founded = place.founded;
-            call(order, [this, &place, founded, on_outcome](const hold_outcome& outcome) {
-                if (place.founded != founded || place.agent == nullptr) {
+void crash_world::start_relay(relay& node) {
+    ++node.process_number;
+    node.agent = std::make_unique<relay_agent>(
+        relay_settings{}, node.place,
+        [this, &node](const worker_order& order, const relay_agent::outcome_handler& on_outcome) {
+            const auto process_number = node.process_number;
+            send_to_worker(order, [this, &node, process_number, on_outcome](const hold_outcome& outcome) {
+                if (node.process_number != process_number || node.agent == nullptr) {
                     return;
                 }
-                if (m_now >= place.still_until) {
+                if (m_now >= node.stalled_until) {
                     on_outcome(outcome);
                     return;
                 }
-                call_after(place.still_until - m_now, [&place, founded, on_outcome, outcome] {
-                    if (place.founded == founded && place.agent != nullptr) {
+                schedule_call(node.stalled_until - m_now, [&node, process_number, on_outcome, outcome] {
+                    if (node.process_number == process_number && node.agent != nullptr) {
                         on_outcome(outcome);
                     }
                 });
@@ -371,51 +373,52 @@
         });
 }
 
-void crash_world::lose_relay(relay& place) {
-    if (place.agent == nullptr) {
+void crash_world::lose_relay(relay& node) {
+    if (node.agent == nullptr) {
         return;
     }
-    place.agent = nullptr;
-    place.still_until = {};
-    call_after(pick_time(milliseconds{1}, longest_relay_start), [this, &place] { found_relay(place); });
+    node.agent = nullptr;
+    node.stalled_until = {};
+    schedule_call(pick_time(milliseconds{1}, max_relay_start), [this, &node] { start_relay(node); });
 }
 
 void crash_world::send_frames() {
     std::vector<std::uint32_t> addresses;
-    for (const auto& place : m_relays) {
-        addresses.push_back(place->place.ip);
+    for (const auto& node : m_relays) {
+        addresses.push_back(node->place.ip);
     }
     for (const auto& frame : m_hub.take_frames(addresses, m_now)) {
-        auto& place = *m_relays[frame.ip - 1];
-        if (place.agent == nullptr) {
+        auto& node = *m_relays[frame.ip - 1];
+        if (node.agent == nullptr) {
             for (const auto& outcome : m_hub.on_not_sent(frame.ip, *frame.orders)) {
                 deliver(outcome);
             }
             continue;
         }
-        call_after(network_delay, [this, &place, founded = place.founded, orders = frame.orders] {
-            take_frame(place, founded, orders);
-        });
+        schedule_call(network_delay,
+                      [this, &node, process_number = node.process_number, orders = frame.orders] {
+                          receive_orders(node, process_number, orders);
+                      });
     }
 }
 
-void crash_world::take_frame(relay& place, std::uint64_t founded,
-                             const std::shared_ptr<job_wire::relay_orders>& frame) {
-    if (place.agent == nullptr || place.founded != founded) {
+void crash_world::receive_orders(relay& node, std::uint64_t process_number,
+                                 const std::shared_ptr<job_wire::relay_orders>& frame) {
+    if (node.agent == nullptr || node.process_number != process_number) {
         return; // it died with the process
     }
-    if (m_now < place.still_until) {
-        call_after(place.still_until - m_now,
-                   [this, &place, founded, frame] { take_frame(place, founded, frame); });
+    if (m_now < node.stalled_until) {
+        schedule_call(node.stalled_until - m_now,
+                      [this, &node, process_number, frame] { receive_orders(node, process_number, frame); });
         return;
     }
-    if (const auto refusal = place.agent->on_orders(*frame, m_now); refusal.has_value()) {
-        take_answers(*refusal);
+    if (const auto refusal = node.agent->on_orders(*frame, m_now); refusal.has_value()) {
+        receive_answers(*refusal);
     }
 }
 
-void crash_world::take_answers(const job_wire::relay_answers& frame) {
-    if (!m_is_led) {
+void crash_world::receive_answers(const job_wire::relay_answers& frame) {
+    if (!m_has_leader) {
         return;
     }
     for (const auto& outcome : m_hub.on_answers(frame, m_now)) {
@@ -430,47 +433,47 @@
     }
 }
 
-void crash_world::let_relays_tell() {
-    for (auto& place : m_relays) {
-        if (place->agent == nullptr || m_now < place->still_until) {
+void crash_world::send_relay_answers() {
+    for (auto& node : m_relays) {
+        if (node->agent == nullptr || m_now < node->stalled_until) {
             continue;
         }
-        if (const auto answers = place->agent->take_answers(m_now); answers.has_value()) {
-            call_after(network_delay, [this, frame = *answers] { take_answers(frame); });
+        if (const auto answers = node->agent->take_answers(m_now); answers.has_value()) {
+            schedule_call(network_delay, [this, frame = *answers] { receive_answers(frame); });
         }
     }
 }
 
 void crash_world::lead() {
-    lose_commands();
+    drop_uncommitted_commands();
     // What the book holds goes through a snapshot: a new leader may have been restored from one.
     const auto snapshot = m_book.save();
     EXPECT_TRUE(m_book.load(snapshot));
     EXPECT_EQ(m_book.save(), snapshot);
-    m_led_at = m_now;
-    m_is_led = true;
+    m_leader_since = m_now;
+    m_has_leader = true;
     m_scheduler.lead(++m_term, m_now, m_wall_ms);
     m_hub.lead(m_term);
 }
 
-void crash_world::settle() {
-    if (!m_is_led) {
+void crash_world::tick_leader() {
+    if (!m_has_leader) {
         return;
     }
     for (const auto& lost : m_hub.take_lost(m_now)) {
         deliver(lost);
     }
-    m_scheduler.tick(m_now, m_wall_ms, m_committing.empty());
+    m_scheduler.tick(m_now, m_wall_ms, m_committing_commands.empty());
     auto commands = m_scheduler.take_commands();
     if (m_settings.commit_time == duration{0}) {
-        m_committing = std::move(commands);
+        m_committing_commands = std::move(commands);
         commit();
     } else {
-        m_gathered.insert(m_gathered.end(), commands.begin(), commands.end());
-        if (m_committing.empty() && !m_gathered.empty()) {
-            m_committing = std::exchange(m_gathered, {});
-            call_after(pick_time(milliseconds{1}, m_settings.commit_time), [this, term = m_term] {
-                if (m_is_led && term == m_term) {
+        m_queued_commands.insert(m_queued_commands.end(), commands.begin(), commands.end());
+        if (m_committing_commands.empty() && !m_queued_commands.empty()) {
+            m_committing_commands = std::exchange(m_queued_commands, {});
+            schedule_call(pick_time(milliseconds{1}, m_settings.commit_time), [this, term = m_term] {
+                if (m_has_leader && term == m_term) {
                     commit();
                 }
             });
@@ -480,15 +483,17 @@
         send(order);
     }
     send_frames();
-    let_relays_tell();
+    send_relay_answers();
 }
 
 // ---- workers
 
-void crash_world::beat(worker& target) {
-    const bool is_held = m_settings.holds_beats && m_now < target.cut_until && !target.has_held_beat;
-    const bool is_unheard = m_now < target.cut_until || m_now < target.mute_until || target.is_refusing;
-    if (is_unheard && !is_held) {
+void crash_world::send_heartbeat(worker& target) {
+    const bool is_delayed =
+        m_settings.delays_heartbeats && m_now < target.partitioned_until && !target.has_delayed_heartbeat;
+    const bool is_unreachable =
+        m_now < target.partitioned_until || m_now < target.one_way_partition_until || target.is_refusing;
+    if (is_unreachable && !is_delayed) {
         return;
     }
     worker_report report;
@@ -499,46 +504,48 @@
     report.data_centre = target.data_centre;
     report.is_leaving = target.is_leaving;
     report.remaining_ms = target.is_leaving ? to_milliseconds(target.leaves_at - m_now) : 0;
-    report.capacity = target.get_room();
+    report.capacity = target.get_capacity();
     report.sequence = ++target.sequence;
     report.clock_ms = get_clock(target);
-    if (is_held) {
-        target.has_held_beat = true;
-        call_after(target.cut_until - m_now, [this, &target, report] {
-            target.has_held_beat = false;
+    if (is_delayed) {
+        target.has_delayed_heartbeat = true;
+        schedule_call(target.partitioned_until - m_now, [this, &target, report] {
+            target.has_delayed_heartbeat = false;
             m_scheduler.on_heartbeat(report, m_now);
         });
         return;
     }
-    if (is_chosen(m_settings.late_beats)) {
-        call_after(milliseconds{pick(static_cast<std::size_t>(to_milliseconds(late_beat)))},
-                   [this, report] { m_scheduler.on_heartbeat(report, m_now); });
+    if (is_chosen(m_settings.late_heartbeats)) {
+        schedule_call(milliseconds{pick(static_cast<std::size_t>(to_milliseconds(max_heartbeat_delay)))},
+                      [this, report] { m_scheduler.on_heartbeat(report, m_now); });
         return;
     }
-    tell(report);
+    send_report(report);
 }
 
 /// A worker calls its relay, and where that doesn't answer in time, the leader.
-void crash_world::tell(const worker_report& report) {
-    const auto found = std::find_if(m_relays.begin(), m_relays.end(), [&](const auto& place) {
-        return place->place.data_centre == report.data_centre;
+void crash_world::send_report(const worker_report& report) {
+    const auto found = std::find_if(m_relays.begin(), m_relays.end(), [&](const auto& node) {
+        return node->place.data_centre == report.data_centre;
     });
     if (found == m_relays.end() || report.is_leaving || (*found)->agent == nullptr) {
         m_scheduler.on_heartbeat(report, m_now);
         return;
     }
-    auto& place = **found;
-    if (m_now < place.still_until) {
-        call_after(place.still_until - m_now, [this, &place, founded = place.founded, report] {
-            if (place.agent != nullptr && place.founded == founded && place.agent->is_serving(m_now)) {
-                place.agent->on_report(report, m_now);
-            }
-        });
-        call_after(beat_patience, [this, report] { m_scheduler.on_heartbeat(report, m_now); });
+    auto& node = **found;
+    if (m_now < node.stalled_until) {
+        schedule_call(node.stalled_until - m_now,
+                      [this, &node, process_number = node.process_number, report] {
+                          if (node.agent != nullptr && node.process_number == process_number &&
+                              node.agent->is_serving(m_now)) {
+                              node.agent->on_report(report, m_now);
+                          }
+                      });
+        schedule_call(relay_timeout, [this, report] { m_scheduler.on_heartbeat(report, m_now); });
         return;
     }
-    if (place.agent->is_serving(m_now)) {
-        place.agent->on_report(report, m_now);
+    if (node.agent->is_serving(m_now)) {
+        node.agent->on_report(report, m_now);
     } else {
         m_scheduler.on_heartbeat(report, m_now);
     }
@@ -550,25 +557,25 @@
 }
 
 void crash_world::lapse(worker& target) {
-    m_lapsed += static_cast<int>(target.running.size());
+    m_lapsed_runs += static_cast<int>(target.running.size());
     while (!target.running.empty()) {
-        end(target, target.running.begin()->first, run_end::lapsed);
+        end_run(target, target.running.begin()->first, run_end::lapsed);
     }
     for (const auto& row : target.ended) {
-        target.lapsed.insert(row.number);
+        target.lapsed_ends.insert(row.number);
     }
 }
 
-void crash_world::fail_some_run() {
+void crash_world::fail_random_run() {
     auto& target = *m_workers[pick(m_workers.size())];
     if (!target.running.empty()) {
         auto chosen = target.running.begin();
         std::advance(chosen, pick(target.running.size()));
-        end(target, chosen->first, run_end::failed);
+        end_run(target, chosen->first, run_end::failed);
     }
 }
 
-void crash_world::crash_some(double share) {
+void crash_world::crash_random_workers(double share) {
     for (auto& target : m_workers) {
         if (is_chosen(share)) {
             crash(*target);
@@ -576,27 +583,27 @@
     }
 }
 
-void crash_world::cut_some(double share, duration length) {
+void crash_world::partition_random_workers(double share, duration length) {
     for (auto& target : m_workers) {
         if (is_chosen(share)) {
-            target->cut_until = m_now + length;
+            target->partitioned_until = m_now + length;
         }
     }
 }
 
-void crash_world::calm_down() {
+void crash_world::stop_faults() {
     const auto before = m_settings;
     m_settings = {};
     m_settings.workers = before.workers;
     m_settings.capacity = before.capacity;
-    m_settings.guards_room = before.guards_room;
+    m_settings.enforces_capacity = before.enforces_capacity;
     m_settings.restart_time = before.restart_time;
     m_settings.keeps_ids = before.keeps_ids;
     m_settings.data_centres = before.data_centres;
     m_settings.commit_time = before.commit_time;
     m_settings.clock_drift = before.clock_drift;
     m_settings.stop_time = before.stop_time;
-    m_settings.waits_for_gangs = before.waits_for_gangs;
+    m_settings.gangs_wait_for_members = before.gangs_wait_for_members;
     m_settings.shuffles_ends = before.shuffles_ends;
 }
 
@@ -606,7 +613,7 @@
     }
     ++m_crashed;
     for (const auto& [key, run] : target.running) {
-        ++m_stories[key.task].crashes;
+        ++m_histories[key.task].crashes;
     }
     end_life(target);
 }
@@ -614,31 +621,31 @@
 void crash_world::end_life(worker& target) {
     target.is_up = false;
     for (const auto& [key, run] : target.running) {
-        --m_stories[key.task].running;
+        --m_histories[key.task].running;
         break_gang(key);
     }
     for (const auto& row : target.ended) {
-        m_stories[row.run.task].is_done = false; // nobody will learn of it
+        m_histories[row.run.task].is_done = false; // nobody will learn of it
     }
     target.running.clear();
     target.ended.clear();
-    target.lapsed.clear();
+    target.lapsed_ends.clear();
     if (target.hold.has_value()) { // the connection ends with the process
-        close(target.hold_sent, {order_failure::unanswered, {}});
+        complete(target.sent_hold, {order_failure::unanswered, {}});
         target.hold.reset();
     }
     const auto spread = static_cast<std::size_t>(to_milliseconds(m_settings.restart_spread));
-    call_after(m_settings.restart_time + milliseconds{spread == 0 ? 0 : pick(spread)},
-               [this, &target] { revive(target); });
+    schedule_call(m_settings.restart_time + milliseconds{spread == 0 ? 0 : pick(spread)},
+                  [this, &target] { start_life(target); });
 }
 
-void crash_world::revive(worker& target) {
-    target.life = ++m_lives;
+void crash_world::start_life(worker& target) {
+    target.life = ++m_life_count;
     if (target.id.empty() || !m_settings.keeps_ids) {
-        target.id = "w" + std::to_string(m_lives);
+        target.id = "w" + std::to_string(m_life_count);
     }
-    target.born_ms = m_settings.keeps_ids ? m_wall_ms + target.stepped_ms : 0;
-    while (m_settings.keeps_ids && !target.births.insert(target.born_ms).second) {
+    target.born_ms = m_settings.keeps_ids ? m_wall_ms + target.clock_offset_ms : 0;
+    while (m_settings.keeps_ids && !target.start_times.insert(target.born_ms).second) {
         ++target.born_ms; // equal times mean the same life
     }
     target.clock_start = m_now;
@@ -650,38 +657,38 @@
     }
     target.sequence = 0;
     target.fence = 0;
-    target.next_number = 1;
+    target.next_end_number = 1;
     target.acknowledged = 0;
     target.lease_ms = 0;
-    target.highest.clear();
-    target.next_beat = m_now;
-    target.rooms = {{m_now, m_settings.capacity}};
+    target.highest_runs.clear();
+    target.next_heartbeat = m_now;
+    target.capacities = {{m_now, m_settings.capacity}};
 }
 
-void crash_world::change_room(worker& target) {
+void crash_world::change_capacity(worker& target) {
     const auto part = static_cast<std::int64_t>(pick(8)); // eighths; of a shrunk one all of it again
-    const bool is_whole = target.get_room() == m_settings.capacity;
-    auto room = m_settings.capacity;
-    if (is_whole) {
-        room.millicores = room.millicores * part / 8;
-        room.memory_mb = room.memory_mb * part / 8;
+    const bool is_full = target.get_capacity() == m_settings.capacity;
+    auto capacity = m_settings.capacity;
+    if (is_full) {
+        capacity.millicores = capacity.millicores * part / 8;
+        capacity.memory_mb = capacity.memory_mb * part / 8;
     }
-    target.rooms.push_back({m_now, room});
+    target.capacities.push_back({m_now, capacity});
 }
 
-void crash_world::check_room(const worker& target) {
+void crash_world::check_capacity(const worker& target) {
     worker_amounts used;
     for (const auto& [key, run] : target.running) {
         used += get_need(run.job->steps[key.task.step.step]);
     }
-    for (std::size_t number = 0; number < target.rooms.size(); ++number) {
-        const bool is_last = number + 1 == target.rooms.size();
-        const bool counts = is_last || target.rooms[number + 1].since + room_slack > m_now;
-        if (counts && target.rooms[number].room.holds(used)) {
+    for (std::size_t number = 0; number < target.capacities.size(); ++number) {
+        const bool is_last = number + 1 == target.capacities.size();
+        const bool counts = is_last || target.capacities[number + 1].since + capacity_report_delay > m_now;
+        if (counts && target.capacities[number].capacity.holds(used)) {
             return;
         }
     }
-    m_violations.push_back("a start brought " + target.id + " over its room");
+    m_violations.push_back("a start brought " + target.id + " over its capacity");
 }
 
 // ---- orders
@@ -696,8 +703,8 @@
         m_hub.add(order, state->report.data_centre, state->spread, m_now)) {
         return;
     }
-    call(order, [this, name = *name, term = m_term](const hold_outcome& outcome) {
-        if (m_is_led && term == m_term) {
+    send_to_worker(order, [this, name = *name, term = m_term](const hold_outcome& outcome) {
+        if (m_has_leader && term == m_term) {
             deliver({name, outcome});
         }
     });
@@ -715,7 +722,8 @@
     }
 }
 
-void crash_world::call(const worker_order& order, const std::function<void(hold_outcome)>& on_outcome) {
+void crash_world::send_to_worker(const worker_order& order,
+                                 const std::function<void(hold_outcome)>& on_outcome) {
     std::visit(
         [&](const auto& item) {
             using order_type = std::decay_t<decltype(item)>;
@@ -729,48 +737,48 @@
                 auto& target = **found;
                 auto delay = network_delay;
                 if (is_chosen(m_settings.late_orders)) {
-                    delay +=
-                        milliseconds{pick(static_cast<std::size_t>(to_milliseconds(m_settings.lateness)))};
+                    delay += milliseconds{
+                        pick(static_cast<std::size_t>(to_milliseconds(m_settings.max_order_delay)))};
                 }
-                if (m_settings.stray_orders > 0 && is_chosen(m_settings.stray_orders)) {
-                    delay += pick_time(item.target.timeout, longest_stray);
+                if (m_settings.expired_orders > 0 && is_chosen(m_settings.expired_orders)) {
+                    delay += pick_time(item.target.timeout, max_expired_order_delay);
                 }
                 auto sent = std::make_shared<sent_order>();
                 sent->on_outcome = on_outcome;
-                call_after(delay, [this, item, sent, &target] { arrive(item, target, sent); });
-                if (m_settings.stray_orders > 0 || m_settings.slow_answers > 0 || m_settings.mutes > 0 ||
-                    m_now < target.mute_until) {
-                    close_after(item.target.timeout, sent);
+                schedule_call(delay, [this, item, sent, &target] { receive_order(item, target, sent); });
+                if (m_settings.expired_orders > 0 || m_settings.delayed_answers > 0 ||
+                    m_settings.one_way_partitions > 0 || m_now < target.one_way_partition_until) {
+                    time_out_after(item.target.timeout, sent);
                 }
             }
         },
         order);
 }
 
-void crash_world::close(const sent_order_ptr& sent, const hold_outcome& outcome) {
-    if (!std::exchange(sent->is_closed, true)) {
+void crash_world::complete(const sent_order_ptr& sent, const hold_outcome& outcome) {
+    if (!std::exchange(sent->is_completed, true)) {
         sent->on_outcome(outcome);
     }
 }
 
-void crash_world::close_after(duration wait, const sent_order_ptr& sent) {
-    call_after(wait, [sent] { close(sent, {order_failure::unanswered, {}}); });
+void crash_world::time_out_after(duration wait, const sent_order_ptr& sent) {
+    schedule_call(wait, [sent] { complete(sent, {order_failure::unanswered, {}}); });
 }
 
-void crash_world::answer(worker& target, const sent_order_ptr& sent, const hold_outcome& outcome) {
-    if (m_now < target.mute_until) {
+void crash_world::send_answer(worker& target, const sent_order_ptr& sent, const hold_outcome& outcome) {
+    if (m_now < target.one_way_partition_until) {
         return; // its time closes it
     }
-    if (m_settings.broken_calls > 0 && is_chosen(m_settings.broken_calls)) {
-        close(sent, {order_failure::unanswered, {}});
+    if (m_settings.broken_connections > 0 && is_chosen(m_settings.broken_connections)) {
+        complete(sent, {order_failure::unanswered, {}});
         return;
     }
-    if (m_settings.slow_answers > 0 && is_chosen(m_settings.slow_answers)) {
-        call_after(pick_time(milliseconds{1}, m_settings.answer_lateness),
-                   [sent, outcome] { close(sent, outcome); });
+    if (m_settings.delayed_answers > 0 && is_chosen(m_settings.delayed_answers)) {
+        schedule_call(pick_time(milliseconds{1}, m_settings.max_answer_delay),
+                      [sent, outcome] { complete(sent, outcome); });
         return;
     }
-    close(sent, outcome);
+    complete(sent, outcome);
 }
 
 hold_outcome crash_world::make_outcome(const worker& target, std::optional<order_failure> failure) const {
@@ -782,27 +790,27 @@
 }
 
 template <class Order>
-void crash_world::arrive(const Order& order, worker& target, const sent_order_ptr& sent) {
-    const bool is_cut = m_now < target.cut_until;
-    if (is_cut && !m_settings.cuts_refuse) {
-        close_after(order.target.timeout, sent);
-    } else if (is_cut || !target.is_up || target.is_refusing) {
-        close(sent, {order_failure::unreachable, {}});
+void crash_world::receive_order(const Order& order, worker& target, const sent_order_ptr& sent) {
+    const bool is_partitioned = m_now < target.partitioned_until;
+    if (is_partitioned && !m_settings.partitions_refuse_calls) {
+        time_out_after(order.target.timeout, sent);
+    } else if (is_partitioned || !target.is_up || target.is_refusing) {
+        complete(sent, {order_failure::unreachable, {}});
     } else if (target.id != order.target.worker.id) {
-        answer(target, sent, {order_failure::other_life, {}});
+        send_answer(target, sent, {order_failure::other_life, {}});
     } else if (m_now < target.unhealthy_until) {
-        answer(target, sent, {order_failure::unhealthy, {}});
+        send_answer(target, sent, {order_failure::unhealthy, {}});
     } else if (order.target.fence < target.fence) {
-        answer(target, sent, {order_failure::lower_fence, {}});
+        send_answer(target, sent, {order_failure::lower_fence, {}});
     } else {
         target.fence = order.target.fence;
-        carry_out(order, target, sent);
+        execute(order, target, sent);
     }
 }
 
-void crash_world::carry_out(const hold_order& order, worker& target, const sent_order_ptr& sent) {
+void crash_world::execute(const hold_order& order, worker& target, const sent_order_ptr& sent) {
     target.lease_ms =
-        std::max(target.lease_ms, std::min(order.until_ms.value_or(0), get_clock(target) + longest_lease_ms));
+        std::max(target.lease_ms, std::min(order.until_ms.value_or(0), get_clock(target) + max_lease_ms));
     if (order.target.worker.born_ms == target.born_ms) { // the link lets no other life hear of it
         acknowledge(target, order.acknowledged);
     }
@@ -810,13 +818,13 @@
         answer_hold(target); // each call has its answer
     }
     target.hold = order;
-    target.hold_sent = sent;
+    target.sent_hold = sent;
     const auto number = ++target.hold_number;
     if (!target.ended.empty() || order.wait == duration{0}) {
         answer_hold(target);
         return;
     }
-    call_after(order.wait, [this, &target, number] {
+    schedule_call(order.wait, [this, &target, number] {
         if (target.hold.has_value() && target.hold_number == number) {
             answer_hold(target);
         }
@@ -826,12 +834,12 @@
 void crash_world::acknowledge(worker& target, std::uint64_t number) {
     target.acknowledged = std::max(target.acknowledged, number);
     for (const auto& row : target.ended) {
-        if (row.number > number || row.end != run_end::done || target.lapsed.contains(row.number)) {
+        if (row.number > number || row.end != run_end::done || target.lapsed_ends.contains(row.number)) {
             continue;
         }
-        auto& story = m_stories[row.run.task];
-        story.is_acknowledged = true;
-        if (story.is_started_since) {
+        auto& history = m_histories[row.run.task];
+        history.is_acknowledged = true;
+        if (history.is_started_since) {
             m_violations.push_back("an end on " + target.id +
                                    " was acknowledged after its task was started again");
         }
@@ -841,16 +849,16 @@
 
 void crash_world::answer_hold(worker& target) {
     const auto order = *target.hold;
-    const auto sent = target.hold_sent;
+    const auto sent = target.sent_hold;
     target.hold.reset();
-    if (m_now < target.cut_until) {
-        close_after(order.target.timeout, sent);
+    if (m_now < target.partitioned_until) {
+        time_out_after(order.target.timeout, sent);
         return;
     }
-    answer(target, sent, {std::nullopt, list(target)});
+    send_answer(target, sent, {std::nullopt, make_list(target)});
 }
 
-hold_answer crash_world::list(const worker& target) {
+hold_answer crash_world::make_list(const worker& target) {
     hold_answer answer;
     answer.clock_ms = get_clock(target);
     answer.born_ms = target.born_ms;
@@ -864,35 +872,34 @@
     return answer;
 }
 
-void crash_world::carry_out(const start_order& order, worker& target, const sent_order_ptr& sent) {
-    const auto failure = start(order, target);
+void crash_world::execute(const start_order& order, worker& target, const sent_order_ptr& sent) {
+    const auto failure = start_run(order, target);
     if (is_chosen(m_settings.lost_answers)) {
-        close_after(order.target.timeout, sent);
+        time_out_after(order.target.timeout, sent);
         return;
     }
-    answer(target, sent, make_outcome(target, failure));
+    send_answer(target, sent, make_outcome(target, failure));
 }
 
-std::optional<order_failure> crash_world::start(const start_order& order, worker& target) {
+std::optional<order_failure> crash_world::start_run(const start_order& order, worker& target) {
     const auto& key = order.run;
     if (order.until_ms < get_clock(target)) {
         ++m_late_leases;
         return order_failure::late_lease;
     }
-    target.lease_ms =
-        std::max(target.lease_ms, std::min(order.until_ms, get_clock(target) + longest_lease_ms));
+    target.lease_ms = std::max(target.lease_ms, std::min(order.until_ms, get_clock(target) + max_lease_ms));
     if (target.running.contains(key)) {
         return std::nullopt;
     }
     const auto other = std::find_if(target.running.begin(), target.running.end(),
                                     [&](const auto& item) { return item.first.task == key.task; });
-    if (key.run <= target.highest[key.task] || other != target.running.end()) {
+    if (key.run <= target.highest_runs[key.task] || other != target.running.end()) {
         return order_failure::old_run;
     }
     const auto& job = m_jobs.at(key.task.step.job);
     const auto& spec = job->steps[key.task.step.step];
-    if (m_settings.guards_room) {
-        auto free = target.get_room();
+    if (m_settings.enforces_capacity) {
+        auto free = target.get_capacity();
         for (const auto& [running, run] : target.running) {
             free -= get_need(run.job->steps[running.task.step.step]);
         }
@@ -900,59 +907,59 @@
             return order_failure::no_room;
         }
     }
-    auto& story = m_stories[key.task];
-    story.starts_after_three += story.crashes >= 3 && m_now - m_led_at >= contact_time ? 1 : 0;
-    if (story.running++ > 0 && !spec.speculative) {
+    auto& history = m_histories[key.task];
+    history.starts_after_three += history.crashes >= 3 && m_now - m_leader_since >= takeover_time ? 1 : 0;
+    if (history.running++ > 0 && !spec.speculative) {
         m_violations.push_back("two runs of a task at a time, the second on " + target.id);
     }
     if (!spec.speculative) {
-        note_start(key.task, target);
+        record_start(key.task, target);
     }
     target.running[key] = {job, m_now, false};
-    if (!m_settings.guards_room) {
-        check_room(target);
+    if (!m_settings.enforces_capacity) {
+        check_capacity(target);
     }
     const auto life = target.life;
-    if (m_killers.contains(key.task)) {
-        call_after(m_settings.crash_after, [this, &target, key, life] {
+    if (m_crashing_tasks.contains(key.task)) {
+        schedule_call(m_settings.crash_after, [this, &target, key, life] {
             if (target.life == life && target.running.contains(key)) {
                 crash(target);
             }
         });
         return std::nullopt;
     }
-    if (spec.gang && m_settings.waits_for_gangs) {
-        begin_gang(key);
+    if (spec.gang && m_settings.gangs_wait_for_members) {
+        start_gang(key);
         return std::nullopt;
     }
     if (!spec.long_running) {
-        call_after(m_lengths.at(key.task.step.job), [this, &target, key, life] {
+        schedule_call(m_lengths.at(key.task.step.job), [this, &target, key, life] {
             if (target.life == life && target.running.contains(key)) {
-                end(target, key, run_end::done);
+                end_run(target, key, run_end::done);
             }
         });
     }
     return std::nullopt;
 }
 
-void crash_world::begin_gang(const run_key& member) {
+void crash_world::start_gang(const run_key& member) {
     const auto& job = m_jobs.at(member.task.step.job);
     const auto count = job->steps[member.task.step.step].count;
     if (find_members(member).size() < count) {
-        call_after(alone_patience, [this, member, count] {
+        schedule_call(gang_timeout, [this, member, count] {
             for (const auto& [host, key] : find_members(member)) {
                 if (key == member && find_members(member).size() < count) {
-                    end(*host, key, run_end::alone);
+                    end_run(*host, key, run_end::alone);
                 }
             }
         });
         return;
     }
-    call_after(m_lengths.at(member.task.step.job), [this, member, count] {
+    schedule_call(m_lengths.at(member.task.step.job), [this, member, count] {
         const auto members = find_members(member);
         for (const auto& [host, key] : members) {
             if (members.size() == count) {
-                end(*host, key, run_end::done);
+                end_run(*host, key, run_end::done);
             }
         }
     });
@@ -972,20 +979,20 @@
 
 void crash_world::break_gang(const run_key& member) {
     const auto& spec = m_jobs.at(member.task.step.job)->steps[member.task.step.step];
-    if (!m_settings.waits_for_gangs || !spec.gang) {
+    if (!m_settings.gangs_wait_for_members || !spec.gang) {
         return;
     }
-    call_after(gang_patience, [this, member] {
+    schedule_call(gang_break_delay, [this, member] {
         for (const auto& [host, key] : find_members(member)) {
-            end(*host, key, run_end::broken);
+            end_run(*host, key, run_end::broken);
         }
     });
 }
 
-void crash_world::note_start(const task_key& task, const worker& target) {
-    auto& story = m_stories[task];
-    story.is_started_since = story.is_done;
-    if (story.is_acknowledged) {
+void crash_world::record_start(const task_key& task, const worker& target) {
+    auto& history = m_histories[task];
+    history.is_started_since = history.is_done;
+    if (history.is_acknowledged) {
         m_violations.push_back("a start on " + target.id + " after an end that was acknowledged as done");
     }
     const auto* record = m_book.find_task(task);
@@ -994,37 +1001,37 @@
     }
 }
 
-void crash_world::carry_out(const stop_order& order, worker& target, const sent_order_ptr& sent) {
-    auto& highest = target.highest[order.run.task];
-    highest = std::max(highest, order.run.run);
+void crash_world::execute(const stop_order& order, worker& target, const sent_order_ptr& sent) {
+    auto& highest_runs = target.highest_runs[order.run.task];
+    highest_runs = std::max(highest_runs, order.run.run);
     const auto life = target.life;
     if (const auto found = target.running.find(order.run);
         found != target.running.end() && !found->second.is_stopping) {
         found->second.is_stopping = true;
-        call_after(m_settings.stop_time, [this, &target, key = order.run, life] {
+        schedule_call(m_settings.stop_time, [this, &target, key = order.run, life] {
             if (target.life == life && target.running.contains(key)) {
-                end(target, key, run_end::stopped);
+                end_run(target, key, run_end::stopped);
             }
         });
     }
-    answer(target, sent, make_outcome(target, std::nullopt));
+    send_answer(target, sent, make_outcome(target, std::nullopt));
 }
 
-void crash_world::end(worker& target, const run_key& key, run_end how) {
+void crash_world::end_run(worker& target, const run_key& key, run_end how) {
     const auto ended = key;
     target.running.erase(ended);
-    --m_stories[ended.task].running;
+    --m_histories[ended.task].running;
     if (how == run_end::done) {
-        ++m_done;
-        m_stories[ended.task].is_done = true;
-        m_stories[ended.task].is_started_since = false;
+        ++m_done_runs;
+        m_histories[ended.task].is_done = true;
+        m_histories[ended.task].is_started_since = false;
     }
     if (how != run_end::done && how != run_end::broken) {
         break_gang(ended);
     }
-    auto& highest = target.highest[ended.task];
-    highest = std::max(highest, ended.run);
-    target.ended.push_back({target.next_number++, ended, how, ""});
+    auto& highest_runs = target.highest_runs[ended.task];
+    highest_runs = std::max(highest_runs, ended.run);
+    target.ended.push_back({target.next_end_number++, ended, how, ""});
     if (target.ended.back().number <= target.acknowledged) {
         acknowledge(target, target.acknowledged);
     } else if (target.hold.has_value()) {
@@ -1045,21 +1052,21 @@
 }
 
 int crash_world::count_crashes(const task_key& task) const {
-    const auto found = m_stories.find(task);
-    return found == m_stories.end() ? 0 : found->second.crashes;
+    const auto found = m_histories.find(task);
+    return found == m_histories.end() ? 0 : found->second.crashes;
 }
 
 int crash_world::count_most_crashes(job_id id) const {
     int most = 0;
-    for (const auto& [task, story] : m_stories) {
-        most = std::max(most, task.step.job == id ? story.crashes : 0);
+    for (const auto& [task, history] : m_histories) {
+        most = std::max(most, task.step.job == id ? history.crashes : 0);
     }
     return most;
 }
 
 int crash_world::count_starts_after_three(const task_key& task) const {
-    const auto found = m_stories.find(task);
-    return found == m_stories.end() ? 0 : found->second.starts_after_three;
+    const auto found = m_histories.find(task);
+    return found == m_histories.end() ? 0 : found->second.starts_after_three;
 }
 
 } // namespace poplarpitch
--- a/unit_tests/dispatch/crash_world.h
+++ b/unit_tests/dispatch/crash_world.h
@@ -25,42 +25,45 @@
 struct crash_world_settings {
     int workers = 20;
     worker_amounts capacity{16000, 64000, 0};
-    bool guards_room = true; ///< a worker refuses what does not fit
-    duration crash_after{};  ///< of tasks that crash their workers, after their start
+    bool enforces_capacity = true; ///< a worker refuses what does not fit
+    duration crash_after{};        ///< of tasks that crash their workers, after their start
     duration restart_time = seconds{3};
-    double worker_crashes = 0; ///< of any worker, whatever runs there
-    double worker_cuts = 0;    ///< a worker out of reach for 1 to 10 s, which runs on
-    double leader_losses = 0;  ///< a new leader that knows the book alone
-    double room_changes = 0;   ///< a worker's room shrinks to a part of it, or is whole again
-    double lost_answers = 0;   ///< share of orders that are carried out without an answer
-    bool keeps_ids = false;    ///< a worker starts again under the id that it had
-    duration restart_spread{}; ///< up to this is added to `restart_time`
-    double clock_steps = 0;    ///< the time of day at a worker jumps back by up to a minute
-    double late_orders = 0; ///< share of orders that come up to `lateness` late, for whichever life is there
-    double late_beats = 0;  ///< the same of heartbeats
-    duration lateness = milliseconds{800}; ///< less than an order's time
-    double failures = 0;                   ///< of any run, so that tasks which last end too
-
-    double slow_answers = 0; ///< share of answers that come up to `answer_lateness` after they were written
-    duration answer_lateness = milliseconds{400};
-    double broken_calls = 0; ///< share of orders that are carried out and whose connection ends then
-    double stray_orders = 0; ///< share of orders that are carried out seconds after their time is over
+    double worker_crashes = 0;    ///< of any worker, whatever runs there
+    double worker_partitions = 0; ///< a worker out of reach for 1 to 10 s, which runs on
+    double leader_losses = 0;     ///< a new leader that knows the book alone
+    double capacity_changes = 0;  ///< a worker's room shrinks to a part of it, or is whole again
+    double lost_answers = 0;      ///< share of orders that are carried out without an answer
+    bool keeps_ids = false;       ///< a worker starts again under the id that it had
+    duration restart_spread{};    ///< up to this is added to `restart_time`
+    double clock_steps = 0;       ///< the time of day at a worker jumps back by up to a minute
+    double late_orders =
+        0; ///< share of orders that come up to `max_order_delay` late, for whichever life is there
+    double late_heartbeats = 0;                   ///< the same of heartbeats
+    duration max_order_delay = milliseconds{800}; ///< less than an order's time
+    double failures = 0;                          ///< of any run, so that tasks which last end too
+
+    double delayed_answers =
+        0; ///< share of answers that come up to `max_answer_delay` after they were written
+    duration max_answer_delay = milliseconds{400};
+    double broken_connections = 0; ///< share of orders that are carried out and whose connection ends then
+    double expired_orders = 0;     ///< share of orders that are carried out seconds after their time is over
     int data_centres = 0;    ///< each with a relay for the workers there; 0: the leader calls them itself
     double relay_stalls = 0; ///< a relay stands still for up to 5 s and then goes on with what came meanwhile
     double relay_losses = 0; ///< a relay is lost with what it holds and is back, empty, within a second
     duration commit_time{};  ///< up to this passes until a command is committed; what is not is lost
     double power_losses = 0; ///< leader and relays are gone at one moment; a new leader within 0.2 to 3 s
-    double restarts_at_loss = 0;        ///< share of workers that start again within a second of that
-    double failures_at_loss = 0;        ///< share of runs that fail within two seconds of that
-    double leaves = 0;                  ///< a worker drains, refuses connections, and ends a little later
-    double unhealthy_times = 0;         ///< a worker answers all orders with 503 for 1 to 3 s
-    double mutes = 0;                   ///< a worker hears all and nobody hears it, for 1 to 10 s
-    duration longest_cut = seconds{10}; ///< of `worker_cuts`, which last 1 s at least
-    bool cuts_refuse = false; ///< calls to a worker that is cut off end at once, as without a route to it
-    double clock_drift = 0;   ///< workers' clocks are up to this share slower
-    bool holds_beats = false; ///< the first heartbeat of a cut comes at its end
+    double restarts_after_power_loss = 0; ///< share of workers that start again within a second of that
+    double failures_after_power_loss = 0; ///< share of runs that fail within two seconds of that
+    double departures = 0;                ///< a worker drains, refuses connections, and ends a little later
+    double unhealthy_periods = 0;         ///< a worker answers all orders with 503 for 1 to 3 s
+    double one_way_partitions = 0;        ///< a worker hears all and nobody hears it, for 1 to 10 s
+    duration max_partition = seconds{10}; ///< of `worker_partitions`, which last 1 s at least
+    bool partitions_refuse_calls =
+        false;              ///< calls to a worker that is cut off end at once, as without a route to it
+    double clock_drift = 0; ///< workers' clocks are up to this share slower
+    bool delays_heartbeats = false;         ///< the first heartbeat of a cut comes at its end
     duration stop_time = milliseconds{100}; ///< from a stop to the end of its run
-    bool waits_for_gangs = false;           ///< members work once all are there and end as done together
+    bool gangs_wait_for_members = false;    ///< members work once all are there and end as done together
     bool shuffles_ends = false;             ///< a list has its ends in any order
 
     friend bool operator==(const crash_world_settings&, const crash_world_settings&) = default;
@@ -82,7 +85,7 @@
     /// Cancels a job.
     void cancel(job_id id);
     /// Makes a task crash each worker that starts it.
-    void make_killer(const task_key& task) { m_killers.insert(task); }
+    void make_killer(const task_key& task) { m_crashing_tasks.insert(task); }
     /// Lets time pass.
     void run(duration length);
 
@@ -100,15 +103,15 @@
     /// Returns the tasks that the dispatcher knows to stand still.
     [[nodiscard]] std::vector<stuck_task> find_stuck() const { return m_scheduler.find_stuck(m_now); }
     /// Lets a share of the workers crash at one moment.
-    void crash_some(double share);
+    void crash_random_workers(double share);
     /// Cuts a share of the workers off for `length`.
-    void cut_some(double share, duration length);
+    void partition_random_workers(double share, duration length);
     /// Lets nothing befall the world any more.
-    void calm_down();
+    void stop_faults();
     /// Returns how many runs of tasks ended as done.
-    [[nodiscard]] int get_done() const { return m_done; }
+    [[nodiscard]] int get_done_runs() const { return m_done_runs; }
     /// Returns how many runs lost their lease at their workers.
-    [[nodiscard]] int get_lapsed() const { return m_lapsed; }
+    [[nodiscard]] int get_lapsed_runs() const { return m_lapsed_runs; }
     /// Returns how many starts came to a worker with a lease that had run out.
     [[nodiscard]] int get_late_leases() const { return m_late_leases; }
     /// Returns how many workers crashed.
@@ -123,10 +126,10 @@
     /// An order that its sender waits for.
     struct sent_order {
         std::function<void(hold_outcome)> on_outcome;
-        bool is_closed = false;
+        bool is_completed = false;
     };
     using sent_order_ptr = std::shared_ptr<sent_order>;
-    struct task_story {
+    struct task_history {
         int crashes = 0;
         int starts_after_three = 0;
         int running = 0;
@@ -135,12 +138,12 @@
         bool is_acknowledged =
             false; ///< the worker was told to forget that end, and its lease held till then
     };
-    struct due_call {
+    struct scheduled_call {
         time_point when{};
         std::uint64_t number = 0; ///< calls of one moment come in the order in which they were made
         std::function<void()> call;
 
-        friend bool operator>(const due_call& left, const due_call& right) {
+        friend bool operator>(const scheduled_call& left, const scheduled_call& right) {
             return std::tie(left.when, left.number) > std::tie(right.when, right.number);
         }
     };
@@ -154,63 +157,63 @@
     [[nodiscard]] duration pick_time(duration least, duration most) {
         return least + milliseconds{pick(static_cast<std::size_t>(to_milliseconds(most - least)))};
     }
-    void call_after(duration wait, std::function<void()> call);
+    void schedule_call(duration wait, std::function<void()> call);
     void configure();
-    void settle();
+    void tick_leader();
     void lead();
     void step();
-    void befall();
-    void beat(worker& target);
+    void inject_faults();
+    void send_heartbeat(worker& target);
     void crash(worker& target);
-    void revive(worker& target);
-    void change_room(worker& target);
-    void tell(const worker_report& report);
+    void start_life(worker& target);
+    void change_capacity(worker& target);
+    void send_report(const worker_report& report);
     void send(const worker_order& order);
-    void call(const worker_order& order, const std::function<void(hold_outcome)>& on_outcome);
+    void send_to_worker(const worker_order& order, const std::function<void(hold_outcome)>& on_outcome);
     void deliver(const relayed_outcome& item);
     template <class Order>
-    void arrive(const Order& order, worker& target, const sent_order_ptr& sent);
+    void receive_order(const Order& order, worker& target, const sent_order_ptr& sent);
     [[nodiscard]] std::int64_t get_clock(const worker& target) const;
     void acknowledge(worker& target, std::uint64_t number);
-    void fail_some_run();
+    void fail_random_run();
     void lapse(worker& target);
-    void note_start(const task_key& task, const worker& target);
-    void carry_out(const hold_order& order, worker& target, const sent_order_ptr& sent);
-    void carry_out(const start_order& order, worker& target, const sent_order_ptr& sent);
-    void carry_out(const stop_order& order, worker& target, const sent_order_ptr& sent);
-    [[nodiscard]] std::optional<order_failure> start(const start_order& order, worker& target);
-    void end(worker& target, const run_key& key, run_end how);
+    void record_start(const task_key& task, const worker& target);
+    void execute(const hold_order& order, worker& target, const sent_order_ptr& sent);
+    void execute(const start_order& order, worker& target, const sent_order_ptr& sent);
+    void execute(const stop_order& order, worker& target, const sent_order_ptr& sent);
+    [[nodiscard]] std::optional<order_failure> start_run(const start_order& order, worker& target);
+    void end_run(worker& target, const run_key& key, run_end how);
     /// Lets a gang's run work where all of its members are there now, and its member end that waits too long.
-    void begin_gang(const run_key& member);
+    void start_gang(const run_key& member);
     /// Returns where the members of a gang's run are.
     [[nodiscard]] std::vector<std::pair<worker*, run_key>> find_members(const run_key& member) const;
     void break_gang(const run_key& member);
     void answer_hold(worker& target);
-    [[nodiscard]] hold_answer list(const worker& target);
-    void check_room(const worker& target);
+    [[nodiscard]] hold_answer make_list(const worker& target);
+    void check_capacity(const worker& target);
     /// Gives an order's sender its outcome, once.
-    static void close(const sent_order_ptr& sent, const hold_outcome& outcome);
+    static void complete(const sent_order_ptr& sent, const hold_outcome& outcome);
     /// Lets a worker's answer, which is written now, go to its sender.
-    void answer(worker& target, const sent_order_ptr& sent, const hold_outcome& outcome);
-    void close_after(duration wait, const sent_order_ptr& sent);
+    void send_answer(worker& target, const sent_order_ptr& sent, const hold_outcome& outcome);
+    void time_out_after(duration wait, const sent_order_ptr& sent);
     /// Returns the answer to a start or stop: with the worker's clock where there are relays.
     [[nodiscard]] hold_outcome make_outcome(const worker& target, std::optional<order_failure> failure) const;
 
-    void befall_control();
-    void befall_contacts();
+    void inject_control_faults();
+    void inject_worker_faults();
     void lose_power();
-    void fail_at_loss();
+    void fail_runs_after_power_loss();
     void leave(worker& target);
     void end_life(worker& target);
     void commit();
-    void lose_commands();
-    void found_relay(relay& place);
-    void lose_relay(relay& place);
+    void drop_uncommitted_commands();
+    void start_relay(relay& node);
+    void lose_relay(relay& node);
     void send_frames();
-    void take_frame(relay& place, std::uint64_t founded,
-                    const std::shared_ptr<job_wire::relay_orders>& frame);
-    void take_answers(const job_wire::relay_answers& frame);
-    void let_relays_tell();
+    void receive_orders(relay& node, std::uint64_t process_number,
+                        const std::shared_ptr<job_wire::relay_orders>& frame);
+    void receive_answers(const job_wire::relay_answers& frame);
+    void send_relay_answers();
 
     crash_world_settings m_settings;
     std::mt19937_64 m_random;
@@ -219,26 +222,26 @@
     time_point m_now{seconds{1000}};
     std::int64_t m_wall_ms = 1'700'000'000'000;
     log_term m_term = 0;
-    time_point m_led_at{};
-    bool m_is_led = false;
+    time_point m_leader_since{};
+    bool m_has_leader = false;
     relay_hub m_hub;
     std::vector<std::unique_ptr<relay>> m_relays;
-    std::vector<job_wire::job_command> m_gathered;
-    std::vector<job_wire::job_command> m_committing;
+    std::vector<job_wire::job_command> m_queued_commands;
+    std::vector<job_wire::job_command> m_committing_commands;
     std::vector<std::unique_ptr<worker>> m_workers;
-    std::priority_queue<due_call, std::vector<due_call>, std::greater<>> m_calls;
+    std::priority_queue<scheduled_call, std::vector<scheduled_call>, std::greater<>> m_scheduled_calls;
     std::uint64_t m_next_call = 0;
     std::map<job_id, duration> m_lengths;
     std::map<job_id, std::shared_ptr<const step_job>> m_jobs; ///< a relayed order has only the payload
-    std::set<task_key> m_killers;
-    std::map<task_key, task_story> m_stories;
+    std::set<task_key> m_crashing_tasks;
+    std::map<task_key, task_history> m_histories;
     std::vector<std::string> m_violations;
     job_id m_next_job = 1;
-    int m_done = 0;
+    int m_done_runs = 0;
     int m_crashed = 0;
-    int m_lapsed = 0;
+    int m_lapsed_runs = 0;
     int m_late_leases = 0;
-    int m_lives = 0;
+    int m_life_count = 0;
 };
 
 } // namespace poplarpitch
--- a/unit_tests/dispatch/overlap_property_test.cpp
+++ b/unit_tests/dispatch/overlap_property_test.cpp
@@ -17,23 +17,24 @@
 namespace {
 
 constexpr duration traffic_time = seconds{25};
-constexpr duration calm_time = seconds{45}; // what does not end by then never does
-constexpr duration long_calm = seconds{90};
-constexpr duration arrival_pause = milliseconds{250};
-constexpr duration longest_task = seconds{4};
-constexpr duration longer_than_leases = seconds{15};
-constexpr duration cut_pause = seconds{12};
-constexpr duration long_cut =
+constexpr duration recovery_time = seconds{45}; // what does not end by then never does
+constexpr duration long_recovery_time = seconds{90};
+constexpr duration arrival_interval = milliseconds{250};
+constexpr duration max_task_time = seconds{4};
+constexpr duration longer_than_lease = seconds{15};
+constexpr duration partition_interval = seconds{12};
+constexpr duration long_partition =
     milliseconds{9700}; // longer than a lease: only workers without work may be cut off
-constexpr duration short_cut = milliseconds{3500}; // a lease holds this long after the last list at least
+constexpr duration short_partition =
+    milliseconds{3500}; // a lease holds this long after the last list at least
 constexpr duration idle_time = seconds{60};
-constexpr duration late_time = seconds{10}; // of traffic after an idle time
+constexpr duration traffic_time_after_idle = seconds{10}; // of traffic after an idle time
 
 struct traffic_settings {
-    duration longest = longest_task;
+    duration max_length = max_task_time;
     std::uint64_t jobs_per_gang = 12;
     bool has_lasting = true;
-    duration calm = calm_time;
+    duration recovery = recovery_time;
 };
 
 /// Jobs that end, jobs that last and jobs that are cancelled, at about half of what the workers hold.
@@ -44,9 +45,9 @@
         : m_world(settings, seed), m_random(seed + 1), m_traffic(traffic) {}
 
     void run(duration length) {
-        for (duration passed{0}; passed < length; passed += arrival_pause) {
+        for (duration passed{0}; passed < length; passed += arrival_interval) {
             submit_one();
-            m_world.run(arrival_pause);
+            m_world.run(arrival_interval);
             cancel_one();
         }
     }
@@ -54,14 +55,14 @@
     void idle(duration length) { m_world.run(length); }
 
     /// Cuts half of the workers off for `length`.
-    void cut(duration length) { m_world.cut_some(0.5, length); }
+    void partition(duration length) { m_world.partition_random_workers(0.5, length); }
 
-    void calm_down() {
-        m_world.calm_down();
-        m_world.run(m_traffic.calm);
+    void stop_faults() {
+        m_world.stop_faults();
+        m_world.run(m_traffic.recovery);
     }
 
-    void check_promises() const {
+    void check_invariants() const {
         EXPECT_TRUE(m_world.get_violations().empty()) << m_world.get_violations().front();
         EXPECT_TRUE(m_world.find_stuck().empty())
             << m_world.find_stuck().size()
@@ -92,7 +93,7 @@
         step.gang = !step.long_running && pick(1, m_traffic.jobs_per_gang) == 1;
         step.checkpointing = pick(1, 4) == 1;
         const auto length =
-            milliseconds{pick(30, static_cast<std::uint64_t>(to_milliseconds(m_traffic.longest)))};
+            milliseconds{pick(30, static_cast<std::uint64_t>(to_milliseconds(m_traffic.max_length)))};
         step.estimate_ms = to_milliseconds(length);
         const auto id = m_world.submit({step}, length);
         if (step.long_running) {
@@ -116,22 +117,22 @@
     std::map<job_id, int> m_lasting; ///< and how many tasks each has
 };
 
-void play_all(const crash_world_settings& settings, const traffic_settings& chosen = {}) {
+void run_all_seeds(const crash_world_settings& settings, const traffic_settings& traffic_options = {}) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        overlap_traffic traffic(settings, seed, chosen);
+        overlap_traffic traffic(settings, seed, traffic_options);
         traffic.run(traffic_time);
-        traffic.calm_down();
-        traffic.check_promises();
+        traffic.stop_faults();
+        traffic.check_invariants();
     }
 }
 
 crash_world_settings make_settings() {
     crash_world_settings settings;
     settings.commit_time = milliseconds{30};
-    settings.slow_answers = 0.2;
+    settings.delayed_answers = 0.2;
     settings.failures = 0.5;
-    settings.waits_for_gangs = true;
+    settings.gangs_wait_for_members = true;
     return settings;
 }
 
@@ -142,35 +143,35 @@
 }
 
 TEST(overlap_property, takes_no_list_for_newer_than_answers_that_overtook_it) {
-    play_all(make_settings());
+    run_all_seeds(make_settings());
 }
 
 TEST(overlap_property, holds_where_calls_break_off_or_are_carried_out_late) {
     auto settings = make_settings();
-    settings.broken_calls = 0.03;
-    settings.stray_orders = 0.03;
+    settings.broken_connections = 0.03;
+    settings.expired_orders = 0.03;
     settings.lost_answers = 0.02;
     settings.worker_crashes = 0.3;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 TEST(overlap_property, holds_where_relays_stand_still_and_are_lost) {
     auto settings = make_relayed();
     settings.relay_stalls = 0.3;
     settings.relay_losses = 0.15;
-    settings.broken_calls = 0.01;
+    settings.broken_connections = 0.01;
     settings.leader_losses = 0.1;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 TEST(overlap_property, holds_where_all_control_instances_lose_their_power) {
     auto settings = make_relayed();
     settings.power_losses = 0.15;
-    settings.restarts_at_loss = 0.2;
-    settings.failures_at_loss = 0.3;
-    settings.stray_orders = 0.02;
-    settings.broken_calls = 0.02;
-    play_all(settings);
+    settings.restarts_after_power_loss = 0.2;
+    settings.failures_after_power_loss = 0.3;
+    settings.expired_orders = 0.02;
+    settings.broken_connections = 0.02;
+    run_all_seeds(settings);
 }
 
 TEST(overlap_property, holds_where_workers_keep_their_ids_when_the_power_is_lost) {
@@ -179,51 +180,51 @@
     settings.restart_time = milliseconds{100};
     settings.restart_spread = seconds{1};
     settings.power_losses = 0.15;
-    settings.restarts_at_loss = 0.3;
-    settings.failures_at_loss = 0.3;
-    play_all(settings);
+    settings.restarts_after_power_loss = 0.3;
+    settings.failures_after_power_loss = 0.3;
+    run_all_seeds(settings);
 }
 
 TEST(overlap_property, holds_where_workers_leave_and_refuse) {
     auto settings = make_relayed();
-    settings.leaves = 0.3;
-    settings.unhealthy_times = 0.3;
-    settings.worker_cuts = 0.2;
-    settings.mutes = 0.2;
-    settings.stray_orders = 0.02;
+    settings.departures = 0.3;
+    settings.unhealthy_periods = 0.3;
+    settings.worker_partitions = 0.2;
+    settings.one_way_partitions = 0.2;
+    settings.expired_orders = 0.02;
     settings.leader_losses = 0.05;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 TEST(overlap_property, holds_where_a_list_has_its_ends_in_any_order) {
     auto settings = make_settings();
     settings.shuffles_ends = true;
     settings.leader_losses = 0.1;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 TEST(overlap_property, holds_beside_all_of_these) {
     auto settings = make_relayed();
-    settings.broken_calls = 0.02;
-    settings.stray_orders = 0.02;
+    settings.broken_connections = 0.02;
+    settings.expired_orders = 0.02;
     settings.late_orders = 0.05;
-    settings.late_beats = 0.05;
+    settings.late_heartbeats = 0.05;
     settings.lost_answers = 0.01;
     settings.worker_crashes = 0.2;
-    settings.worker_cuts = 0.2;
-    settings.longest_cut = seconds{15};
-    settings.mutes = 0.1;
-    settings.leaves = 0.1;
-    settings.unhealthy_times = 0.1;
+    settings.worker_partitions = 0.2;
+    settings.max_partition = seconds{15};
+    settings.one_way_partitions = 0.1;
+    settings.departures = 0.1;
+    settings.unhealthy_periods = 0.1;
     settings.relay_stalls = 0.1;
     settings.relay_losses = 0.05;
     settings.leader_losses = 0.05;
     settings.power_losses = 0.05;
-    settings.restarts_at_loss = 0.1;
-    settings.failures_at_loss = 0.1;
+    settings.restarts_after_power_loss = 0.1;
+    settings.failures_after_power_loss = 0.1;
     settings.clock_drift = 0.02;
     settings.shuffles_ends = true;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 /// Returns settings of which each is on in about a third of all seeds, and then weak or strong.
@@ -234,29 +235,29 @@
         return strong * shares[random() % shares.size()];
     };
     crash_world_settings settings;
-    settings.waits_for_gangs = true;
+    settings.gangs_wait_for_members = true;
     settings.data_centres = static_cast<int>(random() % 4);
     settings.commit_time = milliseconds{10 + random() % 100};
     settings.stop_time = milliseconds{50 + random() % 850};
-    settings.answer_lateness = milliseconds{50 + random() % 800};
+    settings.max_answer_delay = milliseconds{50 + random() % 800};
     settings.shuffles_ends = random() % 3 == 0;
-    settings.cuts_refuse = random() % 3 == 0;
-    settings.holds_beats = random() % 3 == 0;
+    settings.partitions_refuse_calls = random() % 3 == 0;
+    settings.delays_heartbeats = random() % 3 == 0;
     settings.clock_drift = random() % 2 == 0 ? 0.02 : 0;
-    settings.longest_cut = seconds{2 + random() % 20};
-    settings.slow_answers = draw(0.5);
-    settings.broken_calls = draw(0.1);
+    settings.max_partition = seconds{2 + random() % 20};
+    settings.delayed_answers = draw(0.5);
+    settings.broken_connections = draw(0.1);
     settings.lost_answers = draw(0.1);
-    settings.late_beats = draw(0.2);
+    settings.late_heartbeats = draw(0.2);
     settings.failures = draw(3);
     settings.worker_crashes = draw(1);
-    settings.worker_cuts = draw(1);
-    settings.mutes = draw(0.5);
-    settings.unhealthy_times = draw(1);
+    settings.worker_partitions = draw(1);
+    settings.one_way_partitions = draw(0.5);
+    settings.unhealthy_periods = draw(1);
     settings.leader_losses = draw(0.3);
     settings.power_losses = draw(0.2);
-    settings.restarts_at_loss = draw(0.5);
-    settings.failures_at_loss = draw(0.5);
+    settings.restarts_after_power_loss = draw(0.5);
+    settings.failures_after_power_loss = draw(0.5);
     settings.keeps_ids = random() % 4 == 0;
     settings.restart_time = milliseconds{settings.keeps_ids ? 20 + random() % 1000 : 3000};
     settings.restart_spread = seconds{1};
@@ -265,9 +266,9 @@
         settings.relay_losses = draw(0.3);
     }
     if (!settings.keeps_ids) { // a next life refuses what was for the one before it
-        settings.stray_orders = draw(0.1);
+        settings.expired_orders = draw(0.1);
         settings.late_orders = draw(0.2);
-        settings.leaves = draw(0.5);
+        settings.departures = draw(0.5);
     }
     return settings;
 }
@@ -275,17 +276,17 @@
 TEST(overlap_property, holds_whatever_befalls) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        traffic_settings chosen;
-        chosen.jobs_per_gang = 6;
+        traffic_settings traffic_options;
+        traffic_options.jobs_per_gang = 6;
         if (seed % 3 == 0) {
-            chosen.longest = longer_than_leases;
-            chosen.calm = long_calm; // they ask for more than there is
-            chosen.has_lasting = false;
+            traffic_options.max_length = longer_than_lease;
+            traffic_options.recovery = long_recovery_time; // they ask for more than there is
+            traffic_options.has_lasting = false;
         }
-        overlap_traffic traffic(draw_settings(seed), seed, chosen);
+        overlap_traffic traffic(draw_settings(seed), seed, traffic_options);
         traffic.run(traffic_time);
-        traffic.calm_down();
-        traffic.check_promises();
+        traffic.stop_faults();
+        traffic.check_invariants();
     }
 }
 
@@ -296,7 +297,7 @@
     settings.restart_spread = seconds{1};
     settings.worker_crashes = 3;
     settings.relay_stalls = 0.5;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 TEST(overlap_property, outlives_the_lease_that_a_former_life_of_the_worker_was_granted) {
@@ -307,10 +308,10 @@
     settings.restart_time = milliseconds{20};
     settings.restart_spread = seconds{1};
     settings.worker_crashes = 2;
-    settings.mutes = 2;
-    settings.late_beats = 0.2;
+    settings.one_way_partitions = 2;
+    settings.late_heartbeats = 0.2;
     settings.leader_losses = 0.1;
-    play_all(settings, {longer_than_leases, 12, true, long_calm});
+    run_all_seeds(settings, {longer_than_lease, 12, true, long_recovery_time});
 }
 
 TEST(overlap_property, outlives_the_lease_of_a_worker_whose_clock_is_slow) {
@@ -320,14 +321,14 @@
         settings.failures = 0;
         settings.clock_drift = 0.02;
         settings.workers = 60;
-        settings.worker_cuts = 2;
-        settings.longest_cut = seconds{20};
-        settings.cuts_refuse = true;
-        overlap_traffic traffic(settings, seed, {longer_than_leases});
+        settings.worker_partitions = 2;
+        settings.max_partition = seconds{20};
+        settings.partitions_refuse_calls = true;
+        overlap_traffic traffic(settings, seed, {longer_than_lease});
         traffic.idle(idle_time);
-        traffic.run(late_time);
-        traffic.calm_down();
-        traffic.check_promises();
+        traffic.run(traffic_time_after_idle);
+        traffic.stop_faults();
+        traffic.check_invariants();
     }
 }
 
@@ -336,15 +337,15 @@
         SCOPED_TRACE("seed " + std::to_string(seed));
         auto settings = make_settings();
         settings.clock_drift = 0.02;
-        settings.late_beats = 0.3;
+        settings.late_heartbeats = 0.3;
         overlap_traffic traffic(settings, seed);
-        for (duration passed{0}; passed < traffic_time; passed += cut_pause) {
-            traffic.run(cut_pause);
-            traffic.cut(short_cut);
+        for (duration passed{0}; passed < traffic_time; passed += partition_interval) {
+            traffic.run(partition_interval);
+            traffic.partition(short_partition);
         }
-        traffic.calm_down();
-        traffic.check_promises();
-        EXPECT_EQ(traffic.get_world().get_lapsed(), 0);
+        traffic.stop_faults();
+        traffic.check_invariants();
+        EXPECT_EQ(traffic.get_world().get_lapsed_runs(), 0);
         EXPECT_EQ(traffic.get_world().get_late_leases(), 0);
     }
 }
@@ -354,29 +355,29 @@
         SCOPED_TRACE("seed " + std::to_string(seed));
         auto settings = make_settings();
         settings.clock_drift = 0.02;
-        settings.holds_beats = true;
+        settings.delays_heartbeats = true;
         overlap_traffic traffic(settings, seed, {seconds{1}, 12, false});
-        for (duration passed{0}; passed < traffic_time; passed += long_cut) {
-            traffic.cut(long_cut);
-            traffic.idle(long_cut);
+        for (duration passed{0}; passed < traffic_time; passed += long_partition) {
+            traffic.partition(long_partition);
+            traffic.idle(long_partition);
             traffic.run(seconds{2});
-            traffic.idle(long_cut);
+            traffic.idle(long_partition);
         }
-        traffic.calm_down();
-        traffic.check_promises();
-        EXPECT_EQ(traffic.get_world().get_lapsed(), 0);
+        traffic.stop_faults();
+        traffic.check_invariants();
+        EXPECT_EQ(traffic.get_world().get_lapsed_runs(), 0);
         EXPECT_EQ(traffic.get_world().get_late_leases(), 0);
     }
 }
 
 TEST(overlap_property, takes_no_list_for_newer_than_a_stop_that_overtook_it) {
     auto settings = make_settings();
-    settings.slow_answers = 0.5;
-    settings.answer_lateness = milliseconds{800};
+    settings.delayed_answers = 0.5;
+    settings.max_answer_delay = milliseconds{800};
     settings.stop_time = milliseconds{900};
-    settings.unhealthy_times = 2;
-    settings.leaves = 0.3;
-    play_all(settings, {longest_task, 3});
+    settings.unhealthy_periods = 2;
+    settings.departures = 0.3;
+    run_all_seeds(settings, {max_task_time, 3});
 }
 
 } // namespace
--- a/unit_tests/dispatch/restart_property_test.cpp
+++ b/unit_tests/dispatch/restart_property_test.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr duration traffic_time = seconds{25};
-constexpr duration calm_time = seconds{45}; // what does not end by then never does
-constexpr duration arrival_pause = milliseconds{250};
-constexpr duration wave_pause = seconds{5};
-constexpr int fewest_crashes = 2; // before which no job may fail
+constexpr duration recovery_time = seconds{45}; // what does not end by then never does
+constexpr duration arrival_interval = milliseconds{250};
+constexpr duration wave_interval = seconds{5};
+constexpr int min_crashes = 2; // before which no job may fail
 
 /// Jobs that end and jobs that last, at about half of what the workers hold.
 class restart_traffic {
@@ -24,20 +24,20 @@
     restart_traffic(const crash_world_settings& settings, std::uint64_t seed)
         : m_world(settings, seed), m_random(seed + 1) {}
 
-    /// `wave`: share of the workers that crash at one moment, each `wave_pause`.
+    /// `wave`: share of the workers that crash at one moment, each `wave_interval`.
     void run(double wave = 0) {
-        for (duration passed{0}; passed < traffic_time; passed += arrival_pause) {
-            if (passed % wave_pause == duration{0}) {
-                m_world.crash_some(wave);
+        for (duration passed{0}; passed < traffic_time; passed += arrival_interval) {
+            if (passed % wave_interval == duration{0}) {
+                m_world.crash_random_workers(wave);
             }
             submit_one();
-            m_world.run(arrival_pause);
+            m_world.run(arrival_interval);
         }
-        m_world.calm_down();
-        m_world.run(calm_time);
+        m_world.stop_faults();
+        m_world.run(recovery_time);
     }
 
-    void check_promises() const {
+    void check_invariants() const {
         EXPECT_TRUE(m_world.get_violations().empty()) << m_world.get_violations().front();
         EXPECT_TRUE(m_world.find_stuck().empty())
             << m_world.find_stuck().size()
@@ -51,7 +51,7 @@
             EXPECT_TRUE(record.phase != job_phase::open || m_lasting.contains(id))
                 << "job " << id << " never ended";
             if (record.phase == job_phase::failed) {
-                EXPECT_GE(m_world.count_most_crashes(id), fewest_crashes)
+                EXPECT_GE(m_world.count_most_crashes(id), min_crashes)
                     << "job " << id << " failed without cause";
             }
         }
@@ -93,62 +93,62 @@
     return settings;
 }
 
-void play_all(const crash_world_settings& settings, double wave = 0) {
+void run_all_seeds(const crash_world_settings& settings, double wave = 0) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         restart_traffic traffic(settings, seed);
         traffic.run(wave);
-        traffic.check_promises();
+        traffic.check_invariants();
     }
 }
 
 TEST(restart_property, acknowledges_to_a_new_life_no_end_that_it_has_not_listed) {
-    play_all(make_settings());
+    run_all_seeds(make_settings());
 }
 
 TEST(restart_property, keeps_no_task_for_running_whose_end_a_new_life_has_listed) {
     auto settings = make_settings();
     settings.failures = 0.5;
     settings.worker_crashes = 0.5;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 TEST(restart_property, holds_where_workers_start_again_at_once) {
     auto settings = make_settings();
     settings.restart_time = milliseconds{10};
     settings.restart_spread = milliseconds{50};
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 TEST(restart_property, holds_where_a_third_of_all_workers_start_again_at_one_moment) {
     auto settings = make_settings();
     settings.worker_crashes = 0;
     settings.failures = 0.3;
-    play_all(settings, 0.35);
+    run_all_seeds(settings, 0.35);
 }
 
 TEST(restart_property, holds_through_cuts_and_new_leaders) {
     auto settings = make_settings();
-    settings.worker_cuts = 0.2;
+    settings.worker_partitions = 0.2;
     settings.leader_losses = 0.1;
     settings.lost_answers = 0.03;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 TEST(restart_property, holds_beside_late_orders_and_late_heartbeats) {
     auto settings = make_settings();
     settings.late_orders = 0.05;
-    settings.late_beats = 0.1;
+    settings.late_heartbeats = 0.1;
     settings.lost_answers = 0.02;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 TEST(restart_property, holds_where_clocks_step_back) {
     auto settings = make_settings();
     settings.clock_steps = 1;
-    settings.late_beats = 0.1;
+    settings.late_heartbeats = 0.1;
     settings.leader_losses = 0.05;
-    play_all(settings);
+    run_all_seeds(settings);
 }
 
 } // namespace
