--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -8,7 +8,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int max_turns = 50;
+constexpr int max_rounds = 50;
 constexpr duration step = milliseconds{20};
 
 } // namespace
@@ -27,11 +27,11 @@
     ++term;
     scheduler.lead(term, now, wall_ms);
     m_orders.clear();
-    settle();
+    run_until_idle();
 }
 
-void dispatch_world::settle() {
-    for (int turn = 0; turn < max_turns; ++turn) {
+void dispatch_world::run_until_idle() {
+    for (int round = 0; round < max_rounds; ++round) {
         scheduler.tick(now, wall_ms);
         const auto commands = scheduler.take_commands();
         if (commands.empty()) {
@@ -51,7 +51,7 @@
 void dispatch_world::advance(duration length) {
     now += length;
     wall_ms += to_milliseconds(length);
-    settle();
+    run_until_idle();
 }
 
 void dispatch_world::add_worker(const std::string& id, const worker_amounts& capacity,
@@ -63,30 +63,30 @@
     report.labels = {"a", rack};
     report.rack = rack;
     report.capacity = capacity;
-    introduce(std::move(report));
+    register_worker(std::move(report));
 }
 
-void dispatch_world::introduce(worker_report report) {
+void dispatch_world::register_worker(worker_report report) {
     const auto id = report.life.id;
     m_reports[id] = std::move(report);
-    beat(id);
+    send_heartbeat(id);
     wait_for_hold(id);
-    answer_hold(id, make_list());
+    answer_hold(id, make_empty_list());
 }
 
-void dispatch_world::restart_worker(const std::string& id, const std::string& next_id) {
+void dispatch_world::restart_with_new_id(const std::string& id, const std::string& next_id) {
     end_process(id);
     auto report = m_reports.at(id);
     report.life.id = next_id;
     report.sequence = 0;
-    introduce(std::move(report));
+    register_worker(std::move(report));
     if (find_worker(id) != nullptr) {
         wait_for_hold(id);
         fail_hold(id, order_failure::other_life);
     }
 }
 
-void dispatch_world::beat(const std::string& id, bool is_leaving, std::int64_t remaining_ms) {
+void dispatch_world::send_heartbeat(const std::string& id, bool is_leaving, std::int64_t remaining_ms) {
     auto& report = m_reports[id];
     ++report.sequence;
     report.clock_ms = to_milliseconds(now.time_since_epoch());
@@ -102,7 +102,7 @@
             scheduler.on_event(event, now, wall_ms);
         }
     }
-    settle();
+    run_until_idle();
 }
 
 job_id dispatch_world::submit(const std::vector<step_spec>& steps, std::uint32_t max_attempts, int priority) {
@@ -144,7 +144,7 @@
     for (const auto& event : events) {
         scheduler.on_event(event, now, wall_ms);
     }
-    settle();
+    run_until_idle();
     return job.id;
 }
 
@@ -156,7 +156,7 @@
     for (const auto& event : events) {
         scheduler.on_event(event, now, wall_ms);
     }
-    settle();
+    run_until_idle();
 }
 
 start_order dispatch_world::start_one() {
@@ -168,29 +168,29 @@
 
 void dispatch_world::answer(const start_order& order, std::optional<order_failure> failure) {
     scheduler.on_start(order.run, {failure, 0}, now);
-    settle();
+    run_until_idle();
 }
 
 void dispatch_world::answer(const stop_order& order, std::optional<order_failure> failure) {
     scheduler.on_stop(order.run, order.target.worker, {failure, 0}, now);
-    settle();
+    run_until_idle();
 }
 
 void dispatch_world::answer_hold(const std::string& worker, const hold_answer& answer) {
-    auto told = answer;
-    told.clock_ms = to_milliseconds(now.time_since_epoch());
-    told.born_ms = get_life(worker).born_ms;
-    scheduler.on_hold(get_life(worker), {std::nullopt, told}, now);
-    settle();
+    auto stamped_answer = answer;
+    stamped_answer.clock_ms = to_milliseconds(now.time_since_epoch());
+    stamped_answer.born_ms = get_life(worker).born_ms;
+    scheduler.on_hold(get_life(worker), {std::nullopt, stamped_answer}, now);
+    run_until_idle();
 }
 
 void dispatch_world::fail_hold(const std::string& worker, order_failure failure) {
     scheduler.on_hold(get_life(worker), {failure, {}}, now);
-    settle();
+    run_until_idle();
 }
 
 void dispatch_world::wait_for_hold(const std::string& worker) {
-    for (int turn = 0; turn < max_turns; ++turn) {
+    for (int round = 0; round < max_rounds; ++round) {
         const auto* state = find_worker(worker);
         if (state != nullptr && state->is_hold_pending) {
             return;
@@ -207,12 +207,12 @@
     }
 }
 
-void dispatch_world::start_again(const std::string& id, std::int64_t born_ms) {
+void dispatch_world::restart_with_same_id(const std::string& id, std::int64_t born_ms) {
     end_process(id);
     auto& report = m_reports.at(id);
     report.life.born_ms = born_ms;
     report.sequence = 0;
-    beat(id);
+    send_heartbeat(id);
 }
 
 worker_life dispatch_world::get_life(const std::string& id) const {
@@ -224,7 +224,7 @@
     return scheduler.find_worker_state(get_life(id));
 }
 
-hold_answer dispatch_world::make_list() {
+hold_answer dispatch_world::make_empty_list() {
     return {};
 }
 
--- a/unit_tests/dispatch/dispatch_world.h
+++ b/unit_tests/dispatch/dispatch_world.h
@@ -20,7 +20,7 @@
     /// Lets time pass in one step, then ticks and commits.
     void advance(duration step);
     /// Commits all commands and ticks until there are none.
-    void settle();
+    void run_until_idle();
     /// Leads in the next term with all soft state forgotten.
     void lead();
     /// Makes a worker known: heartbeat, and the first hold answered with an empty list.
@@ -28,16 +28,16 @@
                     const std::string& rack = "r1");
     /// Lets a worker's process end without a word and its machine come back as a new life at the same
     /// address, which runs nothing: its heartbeat, its list, and the answer that the old life is gone.
-    void restart_worker(const std::string& id, const std::string& next_id);
+    void restart_with_new_id(const std::string& id, const std::string& next_id);
     /// Lets a worker's process end without a word and start again under the same id, at `born_ms` by its own
     /// clock. Only its first heartbeat is sent.
-    void start_again(const std::string& id, std::int64_t born_ms);
+    void restart_with_same_id(const std::string& id, std::int64_t born_ms);
     /// Returns the life that the worker is at.
     [[nodiscard]] worker_life get_life(const std::string& id) const;
     /// Returns what the dispatcher knows of that life, or null.
     [[nodiscard]] const worker_state* find_worker(const std::string& id) const;
     /// Sends a heartbeat of a worker that was added.
-    void beat(const std::string& id, bool is_leaving = false, std::int64_t remaining_ms = 0);
+    void send_heartbeat(const std::string& id, bool is_leaving = false, std::int64_t remaining_ms = 0);
     /// Submits a job of steps to a queue with these attempts. Returns its id.
     job_id submit(const std::vector<step_spec>& steps, std::uint32_t max_attempts = 3, int priority = 0);
     /// Submits a job to a queue whose policy needs advice; tickets hold for 3 s.
@@ -77,7 +77,7 @@
     /// Takes up the hold at a worker, letting time pass until there is one.
     void wait_for_hold(const std::string& worker);
     /// Returns the list of a worker that runs nothing.
-    [[nodiscard]] static hold_answer make_list();
+    [[nodiscard]] static hold_answer make_empty_list();
 
     job_book book;
     dispatcher scheduler;
@@ -87,7 +87,7 @@
 
 private:
     job_id submit_job(step_job job);
-    void introduce(worker_report report);
+    void register_worker(worker_report report);
     void end_process(const std::string& id);
     void collect();
 
--- a/unit_tests/dispatch/dispatcher_admission_test.cpp
+++ b/unit_tests/dispatch/dispatcher_admission_test.cpp
@@ -37,17 +37,17 @@
 TEST(dispatcher_admission, keeps_room_for_short_tasks_when_jobs_that_last_ask_for_more_than_there_is) {
     dispatch_world world;
     add_workers(world);
-    std::int64_t taken = 0;
+    std::int64_t admitted_millicores = 0;
     for (job_id id = 100; id < 107; ++id) { // 109% of the pool
         const auto job = make_lasting(id, 6);
         if (world.scheduler.admit(job, world.now).is_taken()) {
-            taken += job.get_lasting_millicores();
+            admitted_millicores += job.get_lasting_millicores();
             world.submit(job.steps);
             world.scheduler.on_not_accepted(id); // counted under the number that the world gave it
         }
     }
-    EXPECT_LE(taken, workers * worker_millicores * 8 / 10);
-    EXPECT_GE(taken, workers * worker_millicores * 6 / 10);
+    EXPECT_LE(admitted_millicores, workers * worker_millicores * 8 / 10);
+    EXPECT_GE(admitted_millicores, workers * worker_millicores * 6 / 10);
     world.advance(seconds{2});
     world.take<start_order>();
     world.submit({make_step(16)}); // short tasks
@@ -69,11 +69,11 @@
     std::set<duration> waits;
     for (job_id id = 300; id < 400; ++id) {
         job.id = id;
-        const auto decided = world.scheduler.admit(job, world.now);
-        EXPECT_EQ(decided.what, admission::verdict::overloaded);
-        EXPECT_EQ(decided.lag, milliseconds{600});
-        EXPECT_GE(decided.retry_after, seconds{1});
-        waits.insert(decided.retry_after);
+        const auto decision = world.scheduler.admit(job, world.now);
+        EXPECT_EQ(decision.what, admission::verdict::overloaded);
+        EXPECT_EQ(decision.lag, milliseconds{600});
+        EXPECT_GE(decision.retry_after, seconds{1});
+        waits.insert(decision.retry_after);
     }
     EXPECT_GT(waits.size(), 50U);
     world.scheduler.on_load({0.4, milliseconds{2}});
@@ -83,11 +83,11 @@
 TEST(dispatcher_admission, tells_a_refused_job_what_it_was_refused_for_and_when_to_come_back) {
     dispatch_world world;
     add_workers(world);
-    const auto decided = world.scheduler.admit(make_lasting(100, 40), world.now);
-    EXPECT_EQ(decided.what, admission::verdict::lasting_quota);
-    EXPECT_EQ(decided.wanted, 256'000);
-    EXPECT_EQ(decided.allowed, 204'800);
-    EXPECT_GE(decided.retry_after, seconds{5});
+    const auto decision = world.scheduler.admit(make_lasting(100, 40), world.now);
+    EXPECT_EQ(decision.what, admission::verdict::lasting_quota);
+    EXPECT_EQ(decision.wanted, 256'000);
+    EXPECT_EQ(decision.allowed, 204'800);
+    EXPECT_GE(decision.retry_after, seconds{5});
     EXPECT_EQ(world.scheduler.get_counts().refused_jobs, 1U);
 }
 
@@ -107,7 +107,7 @@
     world.submit(make_lasting(0, 30).steps);
     world.lead();
     for (int number = 0; number < workers; ++number) {
-        world.beat("w" + std::to_string(number));
+        world.send_heartbeat("w" + std::to_string(number));
     }
     world.advance(seconds{4});
     EXPECT_FALSE(world.scheduler.admit(make_lasting(101, 30), world.now).is_taken());
--- a/unit_tests/dispatch/dispatcher_advice_test.cpp
+++ b/unit_tests/dispatch/dispatcher_advice_test.cpp
@@ -13,11 +13,11 @@
     world.add_worker("w2");
     world.submit_advised({make_step(2)});
     EXPECT_TRUE(world.take<start_order>().empty());
-    const auto asked = world.take<advise_order>();
-    ASSERT_EQ(asked.size(), 1U);
-    EXPECT_EQ(asked[0].workers.size(), 2U);
-    world.scheduler.on_advice(asked[0], {true, {{"w2", "ticket"}}}, world.now);
-    world.settle();
+    const auto requests = world.take<advise_order>();
+    ASSERT_EQ(requests.size(), 1U);
+    EXPECT_EQ(requests[0].workers.size(), 2U);
+    world.scheduler.on_advice(requests[0], {true, {{"w2", "ticket"}}}, world.now);
+    world.run_until_idle();
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 2U);
     for (const auto& start : starts) {
@@ -30,9 +30,9 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit_advised({make_step()});
-    const auto asked = world.take<advise_order>();
-    ASSERT_EQ(asked.size(), 1U);
-    world.scheduler.on_advice(asked[0], {true, {}}, world.now);
+    const auto requests = world.take<advise_order>();
+    ASSERT_EQ(requests.size(), 1U);
+    world.scheduler.on_advice(requests[0], {true, {}}, world.now);
     world.advance(seconds{2});
     EXPECT_TRUE(world.take<advise_order>().empty());
     world.add_worker("w2");
@@ -53,7 +53,7 @@
     const auto second = world.take<advise_order>();
     ASSERT_EQ(second.size(), 1U);
     world.scheduler.on_advice(second[0], {true, {{"w1", "old"}}}, world.now);
-    world.settle();
+    world.run_until_idle();
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U);
     world.answer(starts[0], order_failure::no_ticket);
@@ -61,7 +61,7 @@
     const auto third = world.take<advise_order>();
     ASSERT_EQ(third.size(), 1U);
     world.scheduler.on_advice(third[0], {true, {{"w1", "new"}}}, world.now);
-    world.settle();
+    world.run_until_idle();
     const auto last = world.take<start_order>();
     ASSERT_EQ(last.size(), 1U);
     EXPECT_EQ(last[0].ticket, "new");
@@ -72,15 +72,15 @@
     dispatch_world world;
     world.add_worker("w1", {1000, 256000, 0});
     world.submit_advised({make_step(2)});
-    const auto asked = world.take<advise_order>();
-    ASSERT_EQ(asked.size(), 1U);
-    world.scheduler.on_advice(asked[0], {true, {{"w1", "first"}}}, world.now);
-    world.settle();
+    const auto requests = world.take<advise_order>();
+    ASSERT_EQ(requests.size(), 1U);
+    world.scheduler.on_advice(requests[0], {true, {{"w1", "first"}}}, world.now);
+    world.run_until_idle();
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U); // room for one
     world.answer(starts[0]);
     world.advance(seconds{10}); // valid for 3 s
-    world.beat("w1");
+    world.send_heartbeat("w1");
     world.wait_for_hold("w1");
     hold_answer list;
     list.ended.push_back({1, starts[0].run, run_end::done, ""});
--- a/unit_tests/dispatch/dispatcher_copy_test.cpp
+++ b/unit_tests/dispatch/dispatcher_copy_test.cpp
@@ -20,7 +20,7 @@
 /// Two workers, and a task that runs on one of them and is far from done after three times its estimate.
 class slow_task {
 public:
-    explicit slow_task(const step_spec& step, bool do_others_wait = false) {
+    explicit slow_task(const step_spec& step, bool has_waiting_tasks = false) {
         constexpr std::int64_t percent = 10;
         world.add_worker("w1");
         world.add_worker("w2");
@@ -29,24 +29,24 @@
         EXPECT_EQ(starts.size(), 1U);
         first = starts.at(0);
         world.answer(first);
-        tell(percent);
-        if (do_others_wait) {
+        report_progress(percent);
+        if (has_waiting_tasks) {
             auto large = make_step();
             large.millicores = 1'000'000; // no worker holds it
             world.submit({large});
         }
         world.advance(milliseconds{3 * estimate_ms});
-        tell(percent);
+        report_progress(percent);
     }
 
-    void tell(std::int64_t percent) {
+    void report_progress(std::int64_t percent) {
         world.wait_for_hold(first.target.worker.id);
         hold_answer list;
         list.running.push_back({first.run, "", percent, 0});
         world.answer_hold(first.target.worker.id, list);
     }
 
-    void end_first() {
+    void end_first_run() {
         world.wait_for_hold(first.target.worker.id);
         hold_answer list;
         list.ended.push_back({1, first.run, run_end::done, ""});
@@ -84,7 +84,7 @@
 TEST(dispatcher_copy, takes_the_first_end_and_stops_the_other_run) {
     slow_task slow(make_copied_step());
     ASSERT_NO_FATAL_FAILURE(slow.start_copy());
-    slow.end_first();
+    slow.end_first_run();
     EXPECT_EQ(slow.world.book.find_job(slow.job)->phase, job_phase::completed);
     const auto stops = slow.world.take<stop_order>();
     ASSERT_EQ(stops.size(), 1U);
@@ -111,7 +111,7 @@
     list.ended.push_back({1, slow.copy.run, run_end::failed, ""});
     slow.world.answer_hold(slow.copy.target.worker.id, list);
     EXPECT_EQ(slow.world.book.find_job(slow.job)->phase, job_phase::open);
-    slow.end_first();
+    slow.end_first_run();
     EXPECT_EQ(slow.world.book.find_job(slow.job)->phase, job_phase::completed);
 }
 
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -24,8 +24,8 @@
 namespace {
 
 // After three crashes a task may be started twice more: the third start would be one too many.
-constexpr int most_starts = 5;
-constexpr int many_rounds = 12;
+constexpr int max_starts = 5;
+constexpr int round_count = 12;
 constexpr duration restart_time = seconds{3};
 
 void add_workers(dispatch_world& world, int count) {
@@ -35,16 +35,16 @@
 }
 
 /// Lets each start of the job end its worker, which comes back as a new life. Returns how many there were.
-int crash_at_each_start(dispatch_world& world, job_id killer, int rounds) {
+int crash_at_each_start(dispatch_world& world, job_id crashing_job, int rounds) {
     int starts = 0;
     for (int round = 0; round < rounds; ++round) {
         for (const auto& order : world.take<start_order>()) {
             world.answer(order);
-            if (order.run.task.step.job == killer) {
+            if (order.run.task.step.job == crashing_job) {
                 ++starts;
                 world.advance(milliseconds{10});
                 const auto& worker = order.target.worker.id;
-                world.restart_worker(worker, worker + "+");
+                world.restart_with_new_id(worker, worker + "+");
             }
         }
         world.advance(restart_time);
@@ -55,29 +55,29 @@
 TEST(dispatcher_crash, gives_up_a_task_that_crashes_every_worker_that_starts_it) {
     dispatch_world world;
     add_workers(world, 4);
-    const auto killer = world.submit({make_step()});
-    EXPECT_LE(crash_at_each_start(world, killer, many_rounds), most_starts);
-    EXPECT_EQ(world.book.find_job(killer)->phase, job_phase::failed);
+    const auto crashing_job = world.submit({make_step()});
+    EXPECT_LE(crash_at_each_start(world, crashing_job, round_count), max_starts);
+    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 TEST(dispatcher_crash, counts_on_under_a_new_leader) {
     dispatch_world world;
     add_workers(world, 4);
-    const auto killer = world.submit({make_step()});
+    const auto crashing_job = world.submit({make_step()});
     int starts = 0;
-    for (int leader = 0; leader < many_rounds; ++leader) {
-        starts += crash_at_each_start(world, killer, 1);
+    for (int leader = 0; leader < round_count; ++leader) {
+        starts += crash_at_each_start(world, crashing_job, 1);
         world.lead();
         for (const auto& [life, worker] : std::map(world.scheduler.get_workers())) {
-            world.beat(life.id);
+            world.send_heartbeat(life.id);
         }
         for (const auto& [life, worker] : std::map(world.scheduler.get_workers())) {
             world.wait_for_hold(life.id);
-            world.answer_hold(life.id, dispatch_world::make_list());
+            world.answer_hold(life.id, dispatch_world::make_empty_list());
         }
     }
-    EXPECT_LE(starts, most_starts);
-    EXPECT_EQ(world.book.find_job(killer)->phase, job_phase::failed);
+    EXPECT_LE(starts, max_starts);
+    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 /// Takes all starts and lets the workers confirm them.
@@ -102,8 +102,8 @@
 }
 
 /// Lets a worker list what it runs for this long.
-void run_in_peace(dispatch_world& world, const std::string& worker, const std::vector<start_order>& starts,
-                  duration length) {
+void run_without_crash(dispatch_world& world, const std::string& worker,
+                       const std::vector<start_order>& starts, duration length) {
     const auto end = world.now + length;
     while (world.now < end) {
         list_runs(world, worker, starts);
@@ -111,7 +111,7 @@
 }
 
 /// Lets all holds at a worker fail for this long.
-void cut_off(dispatch_world& world, const std::string& worker, duration length) {
+void fail_holds(dispatch_world& world, const std::string& worker, duration length) {
     const auto end = world.now + length;
     while (world.now < end) {
         const auto* state = world.find_worker(worker);
@@ -130,7 +130,7 @@
     ASSERT_EQ(confirm_starts(world).size(), 4U);
     add_workers(world, 5);
     world.advance(milliseconds{10});
-    world.restart_worker("first", "first+");
+    world.restart_with_new_id("first", "first+");
     const auto again = confirm_starts(world);
     ASSERT_EQ(again.size(), 4U);
     std::set<std::string> workers;
@@ -150,7 +150,7 @@
     for (int crash = 1; crash <= 2; ++crash) {
         ASSERT_EQ(confirm_starts(world).size(), 11U);
         world.advance(milliseconds{300});
-        world.restart_worker(worker, worker + "+");
+        world.restart_with_new_id(worker, worker + "+");
         worker += "+";
     }
     world.cancel(neighbour);
@@ -177,14 +177,14 @@
     const task_key task{{job, 0, 0}, 0};
     ASSERT_EQ(confirm_starts(world).size(), 1U);
     world.advance(seconds{1});
-    world.restart_worker("w1", "w1+");
+    world.restart_with_new_id("w1", "w1+");
     const auto again = confirm_starts(world);
     ASSERT_EQ(again.size(), 1U);
     EXPECT_EQ(world.scheduler.count_suspects(), 1U);
-    run_in_peace(world, "w1+", again, seconds{6});
+    run_without_crash(world, "w1+", again, seconds{6});
     EXPECT_EQ(world.scheduler.count_suspects(), 0U);
     EXPECT_EQ(world.find_worker("w1+")->suspects, 0U);
-    world.restart_worker("w1+", "w1++");
+    world.restart_with_new_id("w1+", "w1++");
     EXPECT_EQ(world.book.find_task(task)->crash.crashes, 1U) << "the first one was refuted";
 }
 
@@ -198,8 +198,8 @@
     for (int crash = 1; crash <= 6; ++crash) {
         const auto starts = confirm_starts(world);
         ASSERT_EQ(starts.size(), 1U);
-        run_in_peace(world, worker, starts, seconds{70});
-        world.restart_worker(worker, worker + "+");
+        run_without_crash(world, worker, starts, seconds{70});
+        world.restart_with_new_id(worker, worker + "+");
         worker += "+";
         world.advance(milliseconds{20});
     }
@@ -216,13 +216,13 @@
         ASSERT_EQ(starts.size(), 1U);
         world.advance(milliseconds{900});
         world.lead();
-        world.beat(worker);
+        world.send_heartbeat(worker);
         world.wait_for_hold(worker);
         hold_answer list;
         list.running.push_back({starts[0].run, "", 90, 0});
         world.answer_hold(worker, list);
         world.advance(milliseconds{40});
-        world.restart_worker(worker, worker + "+");
+        world.restart_with_new_id(worker, worker + "+");
         worker += "+";
         world.advance(seconds{1});
     }
@@ -237,8 +237,8 @@
     const auto starts = confirm_starts(world);
     ASSERT_EQ(starts.size(), 1U);
     const auto& worker = starts[0].target.worker.id;
-    world.beat(worker, true, 2000);
-    world.restart_worker(worker, worker + "+");
+    world.send_heartbeat(worker, true, 2000);
+    world.restart_with_new_id(worker, worker + "+");
     EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
 }
 
@@ -249,7 +249,7 @@
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U);
     world.answer(starts[0], order_failure::unreachable);
-    world.restart_worker("w1", "w1+");
+    world.restart_with_new_id("w1", "w1+");
     EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
 }
 
@@ -260,10 +260,10 @@
     const auto starts = confirm_starts(world);
     ASSERT_EQ(starts.size(), 1U);
     const auto& worker = starts[0].target.worker.id;
-    cut_off(world, worker, seconds{15});
+    fail_holds(world, worker, seconds{15});
     ASSERT_EQ(confirm_starts(world).size(), 1U) << "the lease was over";
     EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U) << "it may only be out of reach";
-    world.restart_worker(worker, worker + "+");
+    world.restart_with_new_id(worker, worker + "+");
     EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 1U);
 }
 
@@ -274,12 +274,12 @@
     const auto starts = confirm_starts(world);
     ASSERT_EQ(starts.size(), 1U);
     const auto& worker = starts[0].target.worker.id;
-    cut_off(world, worker, seconds{10});
+    fail_holds(world, worker, seconds{10});
     while (!world.find_worker(worker)->is_hold_pending) {
         world.advance(milliseconds{50});
     }
     EXPECT_FALSE(world.find_worker(worker)->lapsed.empty());
-    world.answer_hold(worker, dispatch_world::make_list());
+    world.answer_hold(worker, dispatch_world::make_empty_list());
     EXPECT_TRUE(world.find_worker(worker)->lapsed.empty());
     EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
 }
@@ -311,24 +311,24 @@
     gang.gang = true;
     const auto job = world.submit({gang});
     int crashes = 0;
-    for (int turn = 0; turn < 20 * many_rounds; ++turn) {
+    for (int turn = 0; turn < 20 * round_count; ++turn) {
         for (const auto& order : confirm_starts(world)) {
             if (order.run.task.index == 0) {
                 ++crashes;
                 world.advance(milliseconds{10});
-                world.restart_worker(order.target.worker.id, order.target.worker.id + "+");
+                world.restart_with_new_id(order.target.worker.id, order.target.worker.id + "+");
             }
         }
         for (const auto& stop : world.take<stop_order>()) {
             world.answer(stop);
         }
         for (const auto& hold : world.take<hold_order>()) {
-            world.answer_hold(hold.target.worker.id, dispatch_world::make_list());
+            world.answer_hold(hold.target.worker.id, dispatch_world::make_empty_list());
         }
         world.advance(milliseconds{100});
     }
     EXPECT_EQ(world.book.find_job(job)->phase, job_phase::failed);
-    EXPECT_LE(crashes, most_starts);
+    EXPECT_LE(crashes, max_starts);
 }
 
 TEST(dispatcher_crash, gives_up_a_lasting_task_alike) {
@@ -336,17 +336,17 @@
     add_workers(world, 4);
     auto lasting = make_step();
     lasting.long_running = true;
-    const auto killer = world.submit({lasting});
-    EXPECT_LE(crash_at_each_start(world, killer, many_rounds), most_starts);
-    EXPECT_EQ(world.book.find_job(killer)->phase, job_phase::failed);
+    const auto crashing_job = world.submit({lasting});
+    EXPECT_LE(crash_at_each_start(world, crashing_job, round_count), max_starts);
+    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 TEST(dispatcher_crash, gives_up_a_timed_job_for_a_task_of_one_occurrence) {
     dispatch_world world;
     add_workers(world, 4);
-    const auto killer = world.submit_timed({make_step()}, {3, world.wall_ms, 60'000});
-    EXPECT_LE(crash_at_each_start(world, killer, many_rounds), most_starts);
-    EXPECT_EQ(world.book.find_job(killer)->phase, job_phase::failed);
+    const auto crashing_job = world.submit_timed({make_step()}, {3, world.wall_ms, 60'000});
+    EXPECT_LE(crash_at_each_start(world, crashing_job, round_count), max_starts);
+    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 TEST(dispatcher_crash, holds_no_checkpoint_for_a_proof_of_innocence) {
@@ -354,9 +354,9 @@
     add_workers(world, 4);
     auto step = make_step();
     step.checkpointing = true;
-    const auto killer = world.submit({step});
-    EXPECT_LE(crash_at_each_start(world, killer, many_rounds), most_starts);
-    EXPECT_EQ(world.book.find_job(killer)->phase, job_phase::failed);
+    const auto crashing_job = world.submit({step});
+    EXPECT_LE(crash_at_each_start(world, crashing_job, round_count), max_starts);
+    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 } // namespace
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -9,30 +9,30 @@
 
 constexpr std::int64_t first_life = 1'700'000'000'000;
 constexpr std::int64_t second_life = first_life + 5000;
-constexpr std::int64_t stepped_back_ms = 900; // a late heartbeat's clock behind the newest one
+constexpr std::int64_t clock_lag_ms = 900; // a late heartbeat's clock behind the newest one
 
 /// Adds a worker that tells when it started.
-void add_worker_with_life(dispatch_world& world) {
+void add_worker_with_start_time(dispatch_world& world) {
     world.add_worker("w1");
-    world.start_again("w1", first_life);
-    for (int asked = 0; asked < 2; ++asked) { // who it is, and again under its own fence
+    world.restart_with_same_id("w1", first_life);
+    for (int round = 0; round < 2; ++round) { // who it is, and again under its own fence
         world.wait_for_hold("w1");
-        world.answer_hold("w1", dispatch_world::make_list());
+        world.answer_hold("w1", dispatch_world::make_empty_list());
     }
     static_cast<void>(world.take<hold_order>());
 }
 
 /// Returns the only start that was given since the last were taken.
-start_order take_start(dispatch_world& world) {
+start_order take_only_start(dispatch_world& world) {
     const auto starts = world.take<start_order>();
     EXPECT_EQ(starts.size(), 1U);
     return starts.at(0);
 }
 
 /// Returns the first stop that is given, which may wait for the worker's back-off.
-stop_order take_stop(dispatch_world& world) {
-    constexpr int most_turns = 50;
-    for (int turn = 0; turn < most_turns; ++turn) {
+stop_order wait_for_stop(dispatch_world& world) {
+    constexpr int max_rounds = 50;
+    for (int round = 0; round < max_rounds; ++round) {
         if (const auto stops = world.take<stop_order>(); !stops.empty()) {
             return stops[0];
         }
@@ -49,7 +49,7 @@
 }
 
 /// Lets holds fail until `end`; nothing may be started elsewhere until then.
-void stay_cut_off_until(dispatch_world& world, time_point end) {
+void fail_holds_until(dispatch_world& world, time_point end) {
     while (world.now < end) {
         if (world.find_worker("w1")->is_hold_pending) {
             world.fail_hold("w1");
@@ -68,11 +68,12 @@
     world.start_one();
     world.wait_for_hold("w1"); // its list is written now and comes late
     world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.advance(milliseconds{10});
     world.answer(order);
-    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, dispatch_world::make_list()}, world.now);
-    world.settle();
+    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, dispatch_world::make_empty_list()},
+                            world.now);
+    world.run_until_idle();
     const auto* track = world.scheduler.find_track(order.run);
     ASSERT_NE(track, nullptr);
     EXPECT_FALSE(track->is_ending);
@@ -87,10 +88,10 @@
     const auto first = world.start_one();
     world.wait_for_hold("w1"); // its list is written now and comes late
     const auto job = world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.answer(order, order_failure::unanswered); // carried out after the list was written
     world.cancel(job);
-    const auto stop = take_stop(world);
+    const auto stop = wait_for_stop(world);
     world.advance(milliseconds{10});
     world.answer(stop);
     world.answer_hold("w1", make_list_of(first.run));
@@ -103,14 +104,14 @@
     dispatch_world world;
     world.add_worker("w1");
     const auto job = world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.answer(order, order_failure::unanswered);
     world.cancel(job);
-    world.answer(take_stop(world));
-    for (int asked = 0; asked < 2; ++asked) { // the first may have been asked for before
+    world.answer(wait_for_stop(world));
+    for (int round = 0; round < 2; ++round) { // the first may have been asked for before
         world.advance(milliseconds{20});
         world.wait_for_hold("w1");
-        world.answer_hold("w1", dispatch_world::make_list());
+        world.answer_hold("w1", dispatch_world::make_empty_list());
     }
     EXPECT_EQ(world.scheduler.find_track(order.run), nullptr);
 }
@@ -138,11 +139,11 @@
     world.submit({make_step()});
     world.start_one();
     world.wait_for_hold("w1");
-    world.answer_hold("w1", dispatch_world::make_list());
+    world.answer_hold("w1", dispatch_world::make_empty_list());
     const auto before = world.find_worker("w1")->estimate_clock(world.now, dispatch_settings{}.clock_drift);
     auto late = world.find_worker("w1")->report;
     ++late.sequence;
-    late.clock_ms = before - stepped_back_ms;
+    late.clock_ms = before - clock_lag_ms;
     world.scheduler.on_heartbeat(late, world.now);
     EXPECT_GE(world.find_worker("w1")->estimate_clock(world.now, dispatch_settings{}.clock_drift), before);
     const sign_of_life sign{late.life, late.sequence + 1, late.sequence, late.clock_ms};
@@ -156,7 +157,7 @@
     world.submit({make_step()});
     const auto order = world.start_one();
     world.scheduler.on_goodbye(world.get_life("w1"), world.now);
-    world.settle();
+    world.run_until_idle();
     ASSERT_NE(world.scheduler.find_track(order.run), nullptr);
     EXPECT_FALSE(world.scheduler.find_track(order.run)->is_ending);
 }
@@ -165,7 +166,7 @@
     dispatch_world world;
     world.add_worker("w1");
     const auto job = world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.answer(order, order_failure::old_run);
     ASSERT_NE(world.scheduler.find_track(order.run), nullptr);
     EXPECT_FALSE(world.scheduler.find_track(order.run)->is_ending);
@@ -180,22 +181,22 @@
 TEST(dispatcher_ending, stops_a_run_that_is_not_to_be_there_until_a_list_lacks_it) {
     dispatch_world world;
     world.add_worker("w1");
-    world.beat("w1");
+    world.send_heartbeat("w1");
     const run_key stray{{{77, 0, 0}, 0}, 1};
     world.lead(); // one that knows neither the run nor its job
-    world.beat("w1");
-    for (int asked = 0; asked < 3; ++asked) { // the first stops are lost on their way
+    world.send_heartbeat("w1");
+    for (int round = 0; round < 3; ++round) { // the first stops are lost on their way
         world.wait_for_hold("w1");
         const auto holds = world.take<hold_order>();
         ASSERT_EQ(holds.size(), 1U);
-        EXPECT_EQ(holds[0].until_ms.has_value(), asked == 0) << "nothing prolongs what is not to be there";
+        EXPECT_EQ(holds[0].until_ms.has_value(), round == 0) << "nothing prolongs what is not to be there";
         world.answer_hold("w1", make_list_of(stray));
         const auto stops = world.take<stop_order>();
         ASSERT_EQ(stops.size(), 1U);
         EXPECT_EQ(stops[0].run, stray);
     }
     world.wait_for_hold("w1");
-    world.answer_hold("w1", dispatch_world::make_list());
+    world.answer_hold("w1", dispatch_world::make_empty_list());
     static_cast<void>(world.take<hold_order>());
     world.advance(seconds{1});
     EXPECT_TRUE(world.take<hold_order>().empty()) << "a worker that runs nothing is not asked";
@@ -220,7 +221,7 @@
         for (const auto& hold : world.take<hold_order>()) {
             granted = hold.until_ms.has_value() && hold.target.worker.id == "w1" ? world.now : granted;
         }
-        world.beat("w2");
+        world.send_heartbeat("w2");
         again = world.take<start_order>();
     }
     ASSERT_EQ(again.size(), 1U);
@@ -232,24 +233,24 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.answer(order, order_failure::late_lease);
     world.advance(milliseconds{100});
-    const auto again = take_start(world);
+    const auto again = take_only_start(world);
     EXPECT_EQ(again.run, order.run);
     EXPECT_GT(again.until_ms, order.until_ms);
 }
 
 TEST(dispatcher_ending, takes_a_list_that_hides_its_life_for_no_word_of_another_one) {
     dispatch_world world;
-    add_worker_with_life(world);
+    add_worker_with_start_time(world);
     world.submit({make_step()});
     const auto order = world.start_one();
     world.wait_for_hold("w1");
     hold_answer list;
     list.clock_ms = to_milliseconds(world.now.time_since_epoch());
     world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
-    world.settle();
+    world.run_until_idle();
     const auto* track = world.scheduler.find_track(order.run);
     ASSERT_NE(track, nullptr);
     EXPECT_FALSE(track->is_ending);
@@ -262,7 +263,7 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.answer(order, GetParam());
     EXPECT_EQ(world.scheduler.find_track(order.run), nullptr);
     EXPECT_TRUE(world.take<stop_order>().empty());
@@ -272,11 +273,11 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.answer(order, order_failure::unanswered);
     world.add_worker("w2");
     world.advance(milliseconds{200});
-    world.answer(take_start(world), GetParam());
+    world.answer(take_only_start(world), GetParam());
     ASSERT_NE(world.scheduler.find_track(order.run), nullptr);
     EXPECT_FALSE(world.scheduler.find_track(order.run)->is_ending);
     EXPECT_EQ(world.take<stop_order>().size(), 1U);
@@ -291,41 +292,41 @@
 
 TEST(dispatcher_ending, stops_at_the_next_life_what_the_former_one_had_stopped_before_its_start_came) {
     dispatch_world world;
-    add_worker_with_life(world);
+    add_worker_with_start_time(world);
     const auto job = world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.answer(order, order_failure::unanswered);
     world.cancel(job);
-    world.answer(take_stop(world));
-    world.start_again("w1", second_life);
-    for (int asked = 0; asked < 2; ++asked) {
+    world.answer(wait_for_stop(world));
+    world.restart_with_same_id("w1", second_life);
+    for (int round = 0; round < 2; ++round) {
         world.wait_for_hold("w1");
         world.answer_hold("w1", make_list_of(order.run));
     }
     world.advance(milliseconds{200});
-    const auto stop = take_stop(world);
+    const auto stop = wait_for_stop(world);
     EXPECT_EQ(stop.run, order.run);
     EXPECT_EQ(stop.target.worker.born_ms, second_life);
 }
 
 TEST(dispatcher_ending, stops_at_the_next_life_what_the_former_one_was_being_told_to_stop) {
     dispatch_world world;
-    add_worker_with_life(world);
+    add_worker_with_start_time(world);
     const auto job = world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.answer(order, order_failure::unanswered);
     world.cancel(job);
-    const auto former = take_stop(world);
-    world.start_again("w1", second_life);
-    for (int asked = 0; asked < 2; ++asked) {
+    const auto former = wait_for_stop(world);
+    world.restart_with_same_id("w1", second_life);
+    for (int round = 0; round < 2; ++round) {
         world.wait_for_hold("w1");
         world.answer_hold("w1", make_list_of(order.run));
     }
-    const auto next = take_stop(world);
+    const auto next = wait_for_stop(world);
     EXPECT_EQ(next.target.worker.born_ms, second_life);
     world.answer(former); // what the former life did says nothing of the next one
     world.answer(next, order_failure::unanswered);
-    EXPECT_EQ(take_stop(world).target.worker.born_ms, second_life);
+    EXPECT_EQ(wait_for_stop(world).target.worker.born_ms, second_life);
 }
 
 /// Returns how long the longest lease may count at a worker whose clock is slow, by the leader's clock.
@@ -338,37 +339,37 @@
 TEST(dispatcher_ending,
      waits_the_longest_lease_for_a_start_without_an_answer_that_another_life_may_have_taken) {
     dispatch_world world;
-    add_worker_with_life(world);
+    add_worker_with_start_time(world);
     world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     const auto sent = world.now;
     world.answer(order, order_failure::unanswered);
     world.add_worker("w2");
-    stay_cut_off_until(world, sent + get_longest_span());
-    world.beat("w2");
+    fail_holds_until(world, sent + get_longest_span());
+    world.send_heartbeat("w2");
     world.advance(seconds{3});
-    world.beat("w2");
+    world.send_heartbeat("w2");
     world.advance(milliseconds{200});
-    const auto again = take_start(world);
+    const auto again = take_only_start(world);
     EXPECT_EQ(again.target.worker.id, "w2");
     EXPECT_EQ(again.run.task, order.run.task);
 }
 
 TEST(dispatcher_ending, waits_the_longest_lease_for_what_a_former_leader_may_have_sent_to_another_life) {
     dispatch_world world;
-    add_worker_with_life(world);
+    add_worker_with_start_time(world);
     world.submit({make_step()});
-    const auto order = take_start(world);
+    const auto order = take_only_start(world);
     world.answer(order, order_failure::unanswered);
     world.lead();
     const auto led = world.now;
     world.add_worker("w2");
-    stay_cut_off_until(world, led + get_longest_span() - milliseconds{50});
-    world.beat("w2");
+    fail_holds_until(world, led + get_longest_span() - milliseconds{50});
+    world.send_heartbeat("w2");
     world.advance(seconds{3});
-    world.beat("w2");
+    world.send_heartbeat("w2");
     world.advance(milliseconds{200});
-    const auto again = take_start(world);
+    const auto again = take_only_start(world);
     EXPECT_EQ(again.target.worker.id, "w2");
     EXPECT_EQ(again.run.task, order.run.task);
 }
--- a/unit_tests/dispatch/dispatcher_job_test.cpp
+++ b/unit_tests/dispatch/dispatcher_job_test.cpp
@@ -179,7 +179,7 @@
     end_run(world, starts[0], 2, run_end::done);
     EXPECT_EQ(world.book.find_job(timed)->phase, job_phase::open);
     world.advance(seconds{50});
-    world.beat("w1");
+    world.send_heartbeat("w1");
     EXPECT_TRUE(world.take<start_order>().empty());
     world.advance(seconds{10});
     starts = world.take<start_order>();
@@ -212,7 +212,7 @@
     ASSERT_EQ(first.size(), 1U);
     world.answer(first[0]);
     world.advance(seconds{60}); // far beyond what a job that ends may take
-    world.beat("w1", true, 5000);
+    world.send_heartbeat("w1", true, 5000);
     end_run(world, first[0], 1, run_end::failed);
     world.advance(seconds{3});
     world.submit({make_step()});
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -87,7 +87,7 @@
     world.start_one();
     world.wait_for_hold("w1");
     world.fail_hold("w1", order_failure::other_life);
-    world.beat("w1"); // delayed on its way
+    world.send_heartbeat("w1"); // delayed on its way
     world.advance(seconds{1});
     EXPECT_TRUE(world.take<start_order>().empty());
 }
@@ -99,7 +99,7 @@
     lasting.long_running = true;
     world.submit({lasting});
     const auto first = world.start_one();
-    world.beat("w1", true, 2000);
+    world.send_heartbeat("w1", true, 2000);
     EXPECT_TRUE(world.book.is_retired(world.get_life("w1")));
     const auto stops = world.take<stop_order>();
     ASSERT_EQ(stops.size(), 1U);
@@ -129,7 +129,7 @@
     const auto first = world.take<start_order>();
     ASSERT_EQ(first.size(), 1U);
     world.answer(first[0], order_failure::unanswered); // it may be carried out
-    world.beat("w1", true, 2000);
+    world.send_heartbeat("w1", true, 2000);
     world.advance(milliseconds{300});
     EXPECT_TRUE(world.take<start_order>().empty()); // not repeated
     EXPECT_EQ(world.take<stop_order>().size(), 1U); // but undone
@@ -143,7 +143,7 @@
     ASSERT_EQ(starts.size(), 2U);
     world.answer(starts[0]); // the other start is lost with the leader
     world.lead();
-    world.beat("w1");
+    world.send_heartbeat("w1");
     world.wait_for_hold("w1");
     EXPECT_TRUE(world.take<start_order>().empty());
     hold_answer list;
@@ -174,7 +174,7 @@
 }
 
 /// Lets worker w1 run two tasks and list the end of the first, which is not committed yet.
-void list_one_end_of_two(dispatch_world& world) {
+void list_one_end_of_two_runs(dispatch_world& world) {
     world.add_worker("w1");
     world.submit({make_step(2)});
     const auto starts = world.take<start_order>();
@@ -191,15 +191,15 @@
 
 TEST(dispatcher_loss, acknowledges_an_end_only_after_it_is_committed) {
     dispatch_world world;
-    list_one_end_of_two(world);
+    list_one_end_of_two_runs(world);
     EXPECT_EQ(world.find_worker("w1")->acknowledged, 0U);
-    world.settle();
+    world.run_until_idle();
     EXPECT_EQ(world.find_worker("w1")->acknowledged, 1U);
 }
 
 TEST(dispatcher_loss, asks_a_worker_again_only_once_its_ends_are_committed) {
     dispatch_world world;
-    list_one_end_of_two(world);
+    list_one_end_of_two_runs(world);
     const auto commands = world.scheduler.take_commands(); // a commit that takes its time
     world.advance(milliseconds{100});
     EXPECT_TRUE(world.take<hold_order>().empty()); // it would come back at once with the same end
@@ -230,10 +230,10 @@
     ASSERT_EQ(first.size(), 1U);
     world.answer(first[0]);
     world.submit({make_step()});
-    const auto unheard = world.take<start_order>();
-    ASSERT_EQ(unheard.size(), 1U);
+    const auto unanswered = world.take<start_order>();
+    ASSERT_EQ(unanswered.size(), 1U);
     world.add_worker("w2");
-    world.answer(unheard[0], order_failure::unreachable); // the worker crashed before it came
+    world.answer(unanswered[0], order_failure::unreachable); // the worker crashed before it came
     bool is_elsewhere = false;
     for (int turn = 0; turn < 120 && !is_elsewhere; ++turn) {
         world.advance(milliseconds{100});
@@ -241,7 +241,7 @@
             if (order.target.worker.id == "w1") {
                 world.fail_hold("w1", order_failure::unreachable);
             } else {
-                world.answer_hold(order.target.worker.id, dispatch_world::make_list());
+                world.answer_hold(order.target.worker.id, dispatch_world::make_empty_list());
             }
         }
         for (const auto& order : world.take<start_order>()) {
@@ -257,7 +257,7 @@
 
 TEST(dispatcher_loss, prolongs_leases_also_while_ends_cannot_be_committed) {
     dispatch_world world;
-    list_one_end_of_two(world);
+    list_one_end_of_two_runs(world);
     static_cast<void>(world.scheduler.take_commands());
     world.advance(seconds{1});
     const auto holds = world.take<hold_order>();
@@ -279,7 +279,7 @@
     world.lead();
     const auto led_at = world.now;
     world.add_worker("w2");
-    world.restart_worker("w1", "w1+");
+    world.restart_with_new_id("w1", "w1+");
     world.advance(milliseconds{20});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
     EXPECT_LT(world.now - led_at, seconds{1});
--- a/unit_tests/dispatch/dispatcher_order_test.cpp
+++ b/unit_tests/dispatch/dispatcher_order_test.cpp
@@ -19,16 +19,16 @@
         auto all = make_step();
         all.millicores = worker_cores * 1000;
         world.submit({all});
-        take_start();
+        confirm_start();
     }
 
     /// Runs jobs one after the other that all take as long, with guesses from a tenth to ten times of it.
-    void learn_lengths(duration length) {
+    void run_jobs_of_equal_length(duration length) {
         for (const double off : {0.1, 0.3, 1.0, 3.0, 10.0, 0.1, 0.3, 1.0, 3.0, 10.0}) {
             submit(1, static_cast<std::int64_t>(off * static_cast<double>(to_milliseconds(length))));
             world.advance(length);
-            end_filling();
-            take_start();
+            end_running_task();
+            confirm_start();
         }
     }
 
@@ -49,14 +49,14 @@
     }
 
     /// Takes the start that `free_room` saw for the task that fills the worker now.
-    void take_last() {
-        m_filling = m_last.run;
+    void confirm_last_start() {
+        m_running = m_last.run;
         world.answer(m_last);
     }
 
     /// Ends the task that fills the worker. Returns the job that gets its room.
     job_id free_room() {
-        end_filling();
+        end_running_task();
         const auto starts = world.take<start_order>();
         EXPECT_EQ(starts.size(), 1U);
         m_last = starts.empty() ? start_order{} : starts[0];
@@ -66,23 +66,23 @@
     dispatch_world world;
 
 private:
-    void take_start() {
+    void confirm_start() {
         const auto starts = world.take<start_order>();
         ASSERT_EQ(starts.size(), 1U);
-        m_filling = starts.at(0).run;
+        m_running = starts.at(0).run;
         world.answer(starts.at(0));
     }
 
-    void end_filling() {
+    void end_running_task() {
         world.wait_for_hold("w1");
         hold_answer list;
-        list.ended.push_back({++m_ends, m_filling, run_end::done, ""});
+        list.ended.push_back({++m_end_count, m_running, run_end::done, ""});
         world.answer_hold("w1", list);
     }
 
-    run_key m_filling;
+    run_key m_running;
     start_order m_last;
-    std::uint64_t m_ends = 0;
+    std::uint64_t m_end_count = 0;
 };
 
 TEST(dispatcher_order, lets_the_job_with_less_time_left_go_first_however_large_it_is) {
@@ -116,31 +116,31 @@
     full_worker worker;
     worker.world.add_worker("w2", {worker_cores * 2000, 1000, 0}); // too little memory for any of these tasks
     worker.submit_large(1, 1000, 2000);
-    const auto lost = worker.submit_large(30, 1000, 2000);
+    const auto earlier = worker.submit_large(30, 1000, 2000);
     worker.world.advance(seconds{20});
-    const auto less_late = worker.submit_large(30, 5000, 2000);
+    const auto later = worker.submit_large(30, 5000, 2000);
     worker.world.advance(seconds{30});
-    worker.world.beat("w2");
+    worker.world.send_heartbeat("w2");
     std::set<job_id> served;
     for (int gap = 0; gap < 4; ++gap) {
         served.insert(worker.free_room());
-        worker.take_last();
+        worker.confirm_last_start();
         worker.world.advance(seconds{2});
-        worker.world.beat("w2");
+        worker.world.send_heartbeat("w2");
     }
-    EXPECT_TRUE(served.contains(lost));
-    EXPECT_TRUE(served.contains(less_late));
+    EXPECT_TRUE(served.contains(earlier));
+    EXPECT_TRUE(served.contains(later));
 }
 
 /// Load pattern: overload of jobs that all take 2 s, guessed at 200 ms to 20 s. By its guess alone a job
 /// guessed at 200 ms was taken for lost after 1.4 s, while it had three more, and waited behind all others.
 TEST(dispatcher_order, does_not_take_a_job_for_lost_for_a_guess_that_proved_worth_nothing) {
     full_worker worker;
-    worker.learn_lengths(seconds{2});
-    const auto guessed_short = worker.submit(1, 200);
+    worker.run_jobs_of_equal_length(seconds{2});
+    const auto underestimated = worker.submit(1, 200);
     worker.world.advance(milliseconds{2500}); // its objective is about 5 s, and 1.4 s by the guess
     worker.submit(1, 2000);
-    EXPECT_EQ(worker.free_room(), guessed_short);
+    EXPECT_EQ(worker.free_room(), underestimated);
 }
 
 } // namespace
--- a/unit_tests/dispatch/dispatcher_pressure_test.cpp
+++ b/unit_tests/dispatch/dispatcher_pressure_test.cpp
@@ -70,7 +70,7 @@
 }
 
 /// Answers the pace orders and notes them.
-void carry_out(dispatch_world& world, std::map<run_key, int>& paces) {
+void apply_pace_orders(dispatch_world& world, std::map<run_key, int>& paces) {
     for (const auto& order : world.take<pace_order>()) {
         world.scheduler.on_pace(order.run, order.percent, {}, world.now);
         paces[order.run] = order.percent;
@@ -102,15 +102,16 @@
     world.submit({make_serving(3)});
     auto paces = start_beside_serving(world, 2);
     ASSERT_EQ(paces.size(), 2U);
-    const auto is_calm = [&paces] {
+    const auto are_all_stopped = [&paces] {
         return std::all_of(paces.begin(), paces.end(), [](const auto& item) { return item.second == 0; });
     };
     duration over{};
-    for (std::int64_t look = 0; !is_calm() && over < seconds{4}; ++look) { // a tail may be over for 4 s
+    for (std::int64_t observation = 0; !are_all_stopped() && over < seconds{4};
+         ++observation) { // a tail may be over for 4 s
         world.advance(milliseconds{380});
         over += milliseconds{380};
-        run_all(world, "w1", 58 + look % 3, 3000, 40);
-        carry_out(world, paces);
+        run_all(world, "w1", 58 + observation % 3, 3000, 40);
+        apply_pace_orders(world, paces);
     }
     EXPECT_LT(over, seconds{3});
 }
@@ -128,10 +129,10 @@
     world.submit({make_serving(2)});
     auto paces = start_beside_serving(world, 3);
     ASSERT_EQ(paces.size(), 3U);
-    for (std::int64_t look = 0; look < 8; ++look) {
+    for (std::int64_t observation = 0; observation < 8; ++observation) {
         world.advance(milliseconds{380});
-        run_all(world, "w1", 500 + look, 3000, 40);
-        carry_out(world, paces);
+        run_all(world, "w1", 500 + observation, 3000, 40);
+        apply_pace_orders(world, paces);
     }
     for (const auto& [key, pace] : paces) {
         EXPECT_EQ(pace, 0) << key.task.index;
@@ -164,18 +165,18 @@
         world.add_worker("w1");
         world.submit({make_serving(3)});
         world.advance(seconds{2});
-        for (int look = 0; look < 10; ++look) {
+        for (int observation = 0; observation < 10; ++observation) {
             world.advance(milliseconds{300});
-            run_all(world, "w1", 36 + look % 2, 0);
+            run_all(world, "w1", 36 + observation % 2, 0);
         }
-        std::size_t most = 0;
+        std::size_t max_running = 0;
         world.submit({make_filling(waiting)}, 3, 2);
-        for (int look = 0; look < 20; ++look) {
+        for (int observation = 0; observation < 20; ++observation) {
             world.advance(milliseconds{300});
-            run_all(world, "w1", 36 + look % 2, 6000);
-            most = std::max<std::size_t>(most, world.find_worker("w1")->fills);
+            run_all(world, "w1", 36 + observation % 2, 6000);
+            max_running = std::max<std::size_t>(max_running, world.find_worker("w1")->fills);
         }
-        running.push_back(most);
+        running.push_back(max_running);
     }
     EXPECT_EQ(running[0], 1U); // none at all by what is allowed in calm times
     EXPECT_GE(running[1], 4U);
@@ -195,7 +196,7 @@
         world.scheduler.on_pace(pace.run, pace.percent, {}, world.now);
     }
     bool is_fast_again = false;
-    for (int look = 0; look < 10 && !is_fast_again; ++look) {
+    for (int observation = 0; observation < 10 && !is_fast_again; ++observation) {
         world.advance(milliseconds{300});
         run_all(world, "w1", 13, 3000);
         for (const auto& pace : world.take<pace_order>()) {
@@ -247,18 +248,18 @@
     world.advance(seconds{2});
     run_all(world, "w1", 15, 0);
     world.submit({make_filling(1)}, 3, 2);
-    for (int look = 0; look < 10; ++look) {
-        run_all(world, "w1", 15 + look % 2, 6000);
+    for (int observation = 0; observation < 10; ++observation) {
+        run_all(world, "w1", 15 + observation % 2, 6000);
         world.advance(milliseconds{300});
     }
-    const auto noted = world.book.get_pressure();
-    ASSERT_EQ(noted.size(), 1U);
-    EXPECT_EQ(noted[0].serving, "serving");
-    EXPECT_EQ(noted[0].filling, "filling");
-    EXPECT_LT(noted[0].mean, 0.8); // a light pair
+    const auto saved = world.book.get_pressure();
+    ASSERT_EQ(saved.size(), 1U);
+    EXPECT_EQ(saved[0].serving, "serving");
+    EXPECT_EQ(saved[0].filling, "filling");
+    EXPECT_LT(saved[0].mean, 0.8); // a light pair
     job_book restored;
     ASSERT_TRUE(restored.load(world.book.save()));
-    EXPECT_EQ(restored.get_pressure(), noted);
+    EXPECT_EQ(restored.get_pressure(), saved);
 }
 
 TEST(leader_load, is_no_strain_until_little_time_is_left) {
@@ -268,7 +269,8 @@
     EXPECT_EQ((leader_load{1.0, {}}.get_strain()), 1.0);
 }
 
-/// Load pattern: 1,800 workers that each want a look three times a second, and a leader without time for it.
+/// Load pattern: 1,800 workers that each want a check three times a second, and a leader without time
+/// for it.
 TEST(dispatcher_pressure, looks_at_mixed_workers_more_seldom_under_strain_and_at_once_often_again_after_it) {
     dispatch_world world;
     world.add_worker("w1");
--- a/unit_tests/dispatch/dispatcher_probation_test.cpp
+++ b/unit_tests/dispatch/dispatcher_probation_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr worker_amounts small_worker = {4000, 4000, 0};
-constexpr duration longest_wait = seconds{3}; // for a task that could run
+constexpr duration max_wait = seconds{3}; // for a task that could run
 
 step_spec make_lasting(std::uint32_t count) {
     auto step = make_step(count);
@@ -58,7 +58,7 @@
         }
         world.advance(milliseconds{300});
         for (const auto& worker : crashed) {
-            world.restart_worker(worker, worker + "+");
+            world.restart_with_new_id(worker, worker + "+");
         }
     }
 }
@@ -74,7 +74,7 @@
 TEST(dispatcher_probation, closes_no_worker_for_a_suspect_that_shares_it) {
     dispatch_world world;
     crash_twice(world, 4, make_lasting(8));
-    EXPECT_EQ(confirm_for(world, longest_wait).size(), 8U);
+    EXPECT_EQ(confirm_for(world, max_wait).size(), 8U);
     EXPECT_LE(count_probations(world), 1U);
 }
 
@@ -84,7 +84,7 @@
     ASSERT_EQ(confirm_for(world, seconds{1}).size(), 1U);
     ASSERT_EQ(count_probations(world), 1U);
     world.submit({make_lasting(1)});
-    EXPECT_EQ(confirm_for(world, longest_wait).size(), 1U);
+    EXPECT_EQ(confirm_for(world, max_wait).size(), 1U);
 }
 
 TEST(dispatcher_probation, lets_no_job_starve_where_only_a_kept_worker_has_room) {
@@ -92,7 +92,7 @@
     crash_twice(world, 1, make_lasting(1));
     ASSERT_EQ(confirm_for(world, seconds{1}).size(), 1U);
     world.submit({make_step()});
-    EXPECT_EQ(confirm_for(world, longest_wait).size(), 1U);
+    EXPECT_EQ(confirm_for(world, max_wait).size(), 1U);
 }
 
 TEST(dispatcher_probation, keeps_no_more_workers_for_a_gang_of_suspects) {
@@ -103,27 +103,27 @@
     for (int number = 2; number <= 5; ++number) {
         world.add_worker("w" + std::to_string(number), small_worker);
     }
-    EXPECT_EQ(confirm_for(world, longest_wait).size(), 3U);
+    EXPECT_EQ(confirm_for(world, max_wait).size(), 3U);
     EXPECT_LE(count_probations(world), 1U);
 }
 
 TEST(dispatcher_probation, keeps_no_more_workers_for_suspects_under_a_new_leader) {
     dispatch_world world;
     crash_twice(world, 4, make_lasting(8));
-    const auto starts = confirm_for(world, longest_wait);
+    const auto starts = confirm_for(world, max_wait);
     world.lead();
     std::map<std::string, hold_answer> lists;
     for (const auto& order : starts) {
         lists[order.target.worker.id].running.push_back({order.run, "", 50, 0});
     }
     for (const auto& [worker, list] : lists) {
-        world.beat(worker);
+        world.send_heartbeat(worker);
         world.wait_for_hold(worker);
         world.answer_hold(worker, list);
     }
     EXPECT_LE(count_probations(world), 1U);
     world.submit({make_lasting(4)});
-    EXPECT_EQ(confirm_for(world, longest_wait).size(), 4U);
+    EXPECT_EQ(confirm_for(world, max_wait).size(), 4U);
 }
 
 } // namespace
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -19,11 +19,11 @@
 /// Adds a worker that tells when it started.
 void add_worker(dispatch_world& world, const std::string& id = "w1") {
     world.add_worker(id);
-    world.start_again(id, first_life);
+    world.restart_with_same_id(id, first_life);
     world.wait_for_hold(id);
-    world.answer_hold(id, dispatch_world::make_list());
+    world.answer_hold(id, dispatch_world::make_empty_list());
     world.wait_for_hold(id);
-    world.answer_hold(id, dispatch_world::make_list());
+    world.answer_hold(id, dispatch_world::make_empty_list());
     static_cast<void>(world.take<hold_order>());
 }
 
@@ -35,9 +35,9 @@
 }
 
 /// Lets the worker start again and answer until it may be used.
-void start_again(dispatch_world& world, std::int64_t born_ms, const hold_answer& list = {}) {
-    world.start_again("w1", born_ms);
-    for (int asked = 0; asked < 2; ++asked) { // who it is, and again under its own fence
+void restart_and_confirm(dispatch_world& world, std::int64_t born_ms, const hold_answer& list = {}) {
+    world.restart_with_same_id("w1", born_ms);
+    for (int round = 0; round < 2; ++round) { // who it is, and again under its own fence
         world.wait_for_hold("w1");
         world.answer_hold("w1", list);
     }
@@ -63,7 +63,7 @@
     list_end(world, 7, world.start_one(), run_end::done);
     world.wait_for_hold("w1");
     EXPECT_EQ(get_last_acknowledged(world), 7U);
-    start_again(world, second_life);
+    restart_and_confirm(world, second_life);
     world.submit({make_step()});
     world.start_one();
     world.wait_for_hold("w1");
@@ -77,7 +77,7 @@
     lasting.long_running = true;
     world.submit({make_step()});
     list_end(world, 7, world.start_one(), run_end::done);
-    start_again(world, second_life);
+    restart_and_confirm(world, second_life);
     world.submit({lasting});
     const auto first = world.start_one();
     list_end(world, 1, first, run_end::failed);
@@ -97,10 +97,10 @@
     list.ended.push_back({1, order.run, run_end::done, ""});
     list.born_ms = first_life;
     world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now); // not committed yet
-    world.start_again("w1", second_life);
+    world.restart_with_same_id("w1", second_life);
     EXPECT_EQ(world.book.find_job(job)->phase, job_phase::completed);
     world.wait_for_hold("w1");
-    world.answer_hold("w1", dispatch_world::make_list());
+    world.answer_hold("w1", dispatch_world::make_empty_list());
     world.advance(seconds{1});
     EXPECT_TRUE(world.take<start_order>().empty());
 }
@@ -125,7 +125,7 @@
         EXPECT_NE(other.run.task, start.run.task) << "it runs at the next life";
     }
     list.running.push_back({start.run, "", 50, 0});
-    start_again(world, second_life, list);
+    restart_and_confirm(world, second_life, list);
     world.advance(seconds{1});
     for (const auto& other : world.take<start_order>()) {
         EXPECT_NE(other.run.task, start.run.task) << "it runs at the next life";
@@ -141,7 +141,7 @@
     add_worker(world);
     const auto job = world.submit({make_step()});
     const auto first = world.start_one();
-    start_again(world, second_life);
+    restart_and_confirm(world, second_life);
     world.advance(milliseconds{200});
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
@@ -159,7 +159,7 @@
     list.born_ms = second_life;
     list.clock_ms = 1;
     world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
-    world.settle();
+    world.run_until_idle();
     EXPECT_TRUE(world.find_worker("w1")->is_lost);
     const auto* next = world.scheduler.find_worker_state({"w1", second_life});
     ASSERT_NE(next, nullptr);
@@ -169,7 +169,7 @@
 TEST(dispatcher_restart, is_known_by_a_later_answer_though_its_start_time_is_earlier) {
     dispatch_world world;
     add_worker(world);
-    start_again(world, earlier_time);
+    restart_and_confirm(world, earlier_time);
     EXPECT_TRUE(world.find_worker("w1")->is_confirmed);
     EXPECT_TRUE(world.scheduler.find_worker_state({"w1", first_life}) == nullptr ||
                 world.scheduler.find_worker_state({"w1", first_life})->is_lost);
@@ -187,10 +187,10 @@
     list.born_ms = first_life;
     list.clock_ms = to_milliseconds(world.now.time_since_epoch());
     world.scheduler.on_hold(late.life, {std::nullopt, list}, world.now);
-    world.settle();
+    world.run_until_idle();
     EXPECT_FALSE(world.find_worker("w1")->is_lost);
     world.scheduler.on_heartbeat(late, world.now);
-    world.settle();
+    world.run_until_idle();
     EXPECT_TRUE(world.scheduler.find_worker_state(late.life) == nullptr ||
                 world.scheduler.find_worker_state(late.life)->is_lost);
 }
@@ -199,13 +199,13 @@
     dispatch_world world;
     add_worker(world);
     auto late = world.find_worker("w1")->report;
-    start_again(world, second_life);
+    restart_and_confirm(world, second_life);
     late.sequence += 100;
     late.is_leaving = true;
     EXPECT_FALSE(world.scheduler.on_heartbeat(late, world.now)) << "nothing is committed for it";
     world.scheduler.on_goodbye(late.life, world.now);
     world.scheduler.on_goodbye({"w1", 0}, world.now);
-    world.settle();
+    world.run_until_idle();
     EXPECT_FALSE(world.find_worker("w1")->is_leaving);
     world.submit({make_step()});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
@@ -214,9 +214,9 @@
 TEST(dispatcher_restart, comes_back_to_work_after_the_former_life_had_left) {
     dispatch_world world;
     add_worker(world);
-    world.beat("w1", true, 2000);
+    world.send_heartbeat("w1", true, 2000);
     EXPECT_TRUE(world.book.is_retired({"w1", first_life}));
-    start_again(world, second_life);
+    restart_and_confirm(world, second_life);
     world.submit({make_step()});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
@@ -226,14 +226,14 @@
     add_worker(world);
     world.submit({make_step()});
     const auto before = world.start_one();
-    start_again(world, second_life);
+    restart_and_confirm(world, second_life);
     world.advance(milliseconds{200});
     const auto after = world.take<start_order>();
     ASSERT_EQ(after.size(), 1U);
     EXPECT_GT(after[0].target.fence, before.target.fence);
     const auto raised = after[0].target.fence;
     world.lead();
-    world.beat("w1");
+    world.send_heartbeat("w1");
     world.wait_for_hold("w1");
     const auto holds = world.take<hold_order>();
     ASSERT_FALSE(holds.empty());
@@ -246,9 +246,9 @@
     world.submit({make_step()});
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U);
-    world.start_again("w1", second_life);
+    world.restart_with_same_id("w1", second_life);
     world.wait_for_hold("w1");
-    world.answer_hold("w1", dispatch_world::make_list()); // under the fence that the start has, too
+    world.answer_hold("w1", dispatch_world::make_empty_list()); // under the fence that the start has, too
     world.advance(milliseconds{50});
     EXPECT_TRUE(world.take<start_order>().empty()) << "the first start may yet be carried out";
     world.wait_for_hold("w1");
@@ -268,7 +268,7 @@
     add_worker(world);
     world.submit({make_step()});
     ASSERT_EQ(world.take<start_order>().size(), 1U);
-    start_again(world, second_life);
+    restart_and_confirm(world, second_life);
     world.advance(milliseconds{200});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
@@ -278,9 +278,9 @@
     add_worker(world);
     world.submit({make_step()});
     ASSERT_EQ(world.take<start_order>().size(), 1U);
-    world.start_again("w1", second_life);
+    world.restart_with_same_id("w1", second_life);
     world.wait_for_hold("w1");
-    world.answer_hold("w1", dispatch_world::make_list());
+    world.answer_hold("w1", dispatch_world::make_empty_list());
     const auto since = world.now;
     world.add_worker("w2");
     const auto longest = get_longest_span();
@@ -312,7 +312,7 @@
     const auto first = world.start_one();
     EXPECT_EQ(world.book.find_task(first.run.task)->runs.at(0).worker, (worker_life{"w1", first_life}));
     world.lead();
-    start_again(world, second_life);
+    restart_and_confirm(world, second_life);
     world.advance(milliseconds{200});
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
@@ -330,7 +330,8 @@
     world.lead();
     hold_answer list;
     list.running.push_back({starts[0].run, "", 10, 0});
-    start_again(world, first_life, list); // the same process, which tells its start time to this version
+    restart_and_confirm(world, first_life,
+                        list); // the same process, which tells its start time to this version
     world.advance(milliseconds{200});
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
@@ -356,7 +357,7 @@
     world.add_worker("w1");
     world.submit({make_step()});
     world.start_one();
-    for (int asked = 0; asked < 2; ++asked) {
+    for (int round = 0; round < 2; ++round) {
         while (!std::any_of(world.scheduler.get_workers().begin(), world.scheduler.get_workers().end(),
                             [](const auto& item) { return item.second.is_hold_pending; })) {
             world.advance(milliseconds{20});
@@ -367,7 +368,7 @@
             list.clock_ms = 1000;
             world.scheduler.on_hold(life, {std::nullopt, list}, world.now);
         }
-        world.settle();
+        world.run_until_idle();
     }
     const auto* state = world.scheduler.find_worker_state({"w1", first_life});
     ASSERT_NE(state, nullptr);
@@ -383,7 +384,7 @@
     hold_answer list;
     list.ended.push_back({1, order.run, run_end::done, ""});
     world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
-    world.settle();
+    world.run_until_idle();
     EXPECT_EQ(world.book.find_job(order.run.task.step.job)->phase, job_phase::open);
 }
 
--- a/unit_tests/dispatch/dispatcher_retry_test.cpp
+++ b/unit_tests/dispatch/dispatcher_retry_test.cpp
@@ -10,7 +10,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration shortest = milliseconds{120};
+constexpr duration base_pause = milliseconds{120};
 
 /// Fails every order to every worker for `length`, and counts the starts that were sent.
 int count_starts_while_silent(dispatch_world& world, duration length, order_failure failure) {
@@ -84,7 +84,7 @@
     ASSERT_EQ(first.size(), 1U);
     world.answer(first[0], order_failure::not_sent);
     world.add_worker("w2");
-    world.beat("w1", true, 5000); // it leaves before the start is sent again
+    world.send_heartbeat("w1", true, 5000); // it leaves before the start is sent again
     world.advance(milliseconds{200});
     EXPECT_TRUE(world.take<stop_order>().empty()) << "nothing of it can be on the way";
     const auto second = world.take<start_order>();
@@ -95,20 +95,20 @@
 TEST(order_backoff, doubles_its_pauses_up_to_eight_times_the_first) {
     duration last{};
     for (std::uint32_t failures = 1; failures <= 4; ++failures) {
-        const auto pause = get_backoff(failures, shortest, 7);
-        const auto middle = shortest * (1U << (failures - 1));
+        const auto pause = get_backoff(failures, base_pause, 7);
+        const auto middle = base_pause * (1U << (failures - 1));
         EXPECT_GE(pause, middle * 3 / 4);
         EXPECT_LE(pause, middle * 5 / 4);
         EXPECT_GT(pause, last);
         last = pause;
     }
-    EXPECT_LE(get_backoff(40, shortest, 7), shortest * 10);
+    EXPECT_LE(get_backoff(40, base_pause, 7), base_pause * 10);
 }
 
 TEST(order_backoff, sets_the_times_of_workers_apart) {
     std::set<duration> pauses;
     for (std::uint64_t spread = 0; spread < 100; ++spread) {
-        pauses.insert(get_backoff(2, shortest, spread * 0x9E3779B97F4A7C15ULL));
+        pauses.insert(get_backoff(2, base_pause, spread * 0x9E3779B97F4A7C15ULL));
     }
     EXPECT_GT(pauses.size(), 90U);
 }
@@ -117,10 +117,10 @@
     const time_point start{seconds{10}};
     order_backoff backoff;
     for (int order = 0; order < 16; ++order) {
-        backoff.on_failure(start + milliseconds{order}, shortest, 1);
+        backoff.on_failure(start + milliseconds{order}, base_pause, 1);
     }
     EXPECT_TRUE(backoff.has_just_failed());
-    EXPECT_LE(backoff.get_next() - start, shortest * 5 / 4);
+    EXPECT_LE(backoff.get_next() - start, base_pause * 5 / 4);
     backoff.on_answer();
     EXPECT_FALSE(backoff.is_closed(start));
 }
--- a/unit_tests/dispatch/dispatcher_story_test.cpp
+++ b/unit_tests/dispatch/dispatcher_story_test.cpp
@@ -82,19 +82,19 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
-    const auto there = world.start_one();
+    const auto found = world.start_one();
     world.submit({make_step()});
-    const auto gone = world.start_one();
+    const auto missing = world.start_one();
     const log_capture logs;
     world.lead();
     expect_one(logs, "took_over", {"term=2", "fence=2", "open_jobs=2", "runs=2", "workers=1", "waiting=0"});
-    world.beat("w1");
-    answer_next(world, list_running(there));
+    world.send_heartbeat("w1");
+    answer_next(world, list_running(found));
     const auto lines = logs.find("run_taken_over");
     ASSERT_EQ(lines.size(), 2U);
     EXPECT_NE(lines[0].find("found=running of=former_leader term=2 fence=2"), std::string::npos) << lines[0];
     EXPECT_NE(lines[1].find("found=never_came of=former_leader term=2 fence=2"), std::string::npos);
-    expect_one(logs, "run_ended", {"job=" + format_job_id(gone.run.task.step.job), "ground=never_came"});
+    expect_one(logs, "run_ended", {"job=" + format_job_id(missing.run.task.step.job), "ground=never_came"});
 }
 
 TEST(dispatcher_story, names_an_end_of_a_run_that_it_does_not_know) {
--- a/unit_tests/dispatch/dispatcher_waits_test.cpp
+++ b/unit_tests/dispatch/dispatcher_waits_test.cpp
@@ -14,7 +14,7 @@
     world.add_worker("silent");
     world.submit({make_step()});
     ASSERT_EQ(world.start_one().target.worker.id, "full");
-    world.beat("leaves", true, 60'000);
+    world.send_heartbeat("leaves", true, 60'000);
     world.submit({make_step()});
     ASSERT_EQ(world.start_one().target.worker.id, "silent");
     world.wait_for_hold("silent");
@@ -37,7 +37,7 @@
     dispatch_world world;
     world.add_worker("full", {1000, 1000, 0});
     world.add_worker("leaves");
-    world.beat("leaves", true, 60'000);
+    world.send_heartbeat("leaves", true, 60'000);
     world.submit({make_step(2)});
     ASSERT_EQ(world.take<start_order>().size(), 1U);
     world.advance(seconds{4});
--- a/unit_tests/dispatch/lasting_quota_test.cpp
+++ b/unit_tests/dispatch/lasting_quota_test.cpp
@@ -54,8 +54,8 @@
     quota.add(1, pool, 400);
     quota.add(2, pool, 400);
     const auto now = start + seconds{20};
-    const auto blind = quota.get_retry_after(16, pool, 100, now);
-    EXPECT_EQ(blind, seconds{30});
+    const auto without_rate = quota.get_retry_after(16, pool, 100, now);
+    EXPECT_EQ(without_rate, seconds{30});
     quota.remove(1);
     quota.add(3, pool, 400); // 400 millicores in 20 s
     EXPECT_EQ(quota.get_retry_after(16, pool, 200, now), seconds{10});
--- a/unit_tests/dispatch/pressure_model_test.cpp
+++ b/unit_tests/dispatch/pressure_model_test.cpp
@@ -11,11 +11,11 @@
 
 constexpr double base_ms = 10;
 constexpr double target_ms = 50;
-constexpr double look = 0.35; // seconds between two looks
-constexpr double swing_seconds = 14;
+constexpr double interval_s = 0.35; // seconds between two looks
+constexpr double swing_period_s = 14;
 
 double get_load(double seconds) {
-    return 0.45 * (1 + 0.5 * std::sin(2 * M_PI * seconds / swing_seconds));
+    return 0.45 * (1 + 0.5 * std::sin(2 * M_PI * seconds / swing_period_s));
 }
 
 double get_tail(double load, double slow) {
@@ -24,10 +24,10 @@
 }
 
 /// Shows the model `seconds` of a serving task beside a filling one that comes and goes.
-void show(pressure_model& model, serving_load& calm, const std::string& filling, double factor,
-          double seconds, std::mt19937& random) {
+void train(pressure_model& model, serving_load& load_state, const std::string& filling, double factor,
+           double seconds, std::mt19937& random) {
     std::normal_distribution<double> noise(1, 0.05);
-    for (double time = 0; time < seconds; time += look) {
+    for (double time = 0; time < seconds; time += interval_s) {
         const bool is_there = static_cast<int>(time / 2) % 2 == 1;
         const double share = is_there ? 0.1 : 0.0;
         const double tail = get_tail(get_load(time), 1 + factor * share) * noise(random);
@@ -35,27 +35,28 @@
         if (is_there) {
             others.push_back({model.get_number(filling), share});
         }
-        model.observe(model.get_number("serving"), tail, target_ms, others, look, calm);
+        model.observe(model.get_number("serving"), tail, target_ms, others, interval_s, load_state);
     }
 }
 
 TEST(pressure_model, follows_the_own_load_of_a_task_that_nothing_disturbs) {
     pressure_model model;
-    serving_load calm;
-    for (double time = 0; time < 30; time += look) {
-        model.observe(model.get_number("serving"), get_tail(get_load(time), 1), target_ms, {}, look, calm);
+    serving_load load_state;
+    for (double time = 0; time < 30; time += interval_s) {
+        model.observe(model.get_number("serving"), get_tail(get_load(time), 1), target_ms, {}, interval_s,
+                      load_state);
         if (time > 3) {
-            EXPECT_NEAR(calm.load, get_load(time), 0.08) << "at " << time << " s";
+            EXPECT_NEAR(load_state.load, get_load(time), 0.08) << "at " << time << " s";
         }
     }
 }
 
 TEST(pressure_model, tells_a_light_pair_from_a_heavy_one_within_seconds) {
     pressure_model model;
-    serving_load calm;
+    serving_load load_state;
     std::mt19937 random(7);
-    show(model, calm, "light", 0.2, 14, random);
-    show(model, calm, "heavy", 4.5, 14, random);
+    train(model, load_state, "light", 0.2, 14, random);
+    train(model, load_state, "heavy", 4.5, 14, random);
     const auto serving = model.get_number("serving");
     EXPECT_LT(model.get_factor(serving, model.get_number("light")), 0.9);
     EXPECT_GT(model.get_factor(serving, model.get_number("heavy")), 2.5);
@@ -72,9 +73,9 @@
 
 TEST(pressure_model, begins_with_what_another_leader_has_learned) {
     pressure_model first;
-    serving_load calm;
+    serving_load load_state;
     std::mt19937 random(7);
-    show(first, calm, "heavy", 4.5, 14, random);
+    train(first, load_state, "heavy", 4.5, 14, random);
     pressure_model second;
     second.get_number("another"); // numbers of images differ between leaders, their names do not
     second.load(first.save());
@@ -86,11 +87,11 @@
 TEST(pressure_model, leaves_less_room_the_higher_the_load) {
     pressure_model model;
     const auto serving = model.get_number("serving");
-    const auto calm = model.get_room(serving, target_ms, 0.9, 0.25);
-    const auto busy = model.get_room(serving, target_ms, 0.9, 0.65);
-    EXPECT_GT(calm, 1.0);
-    EXPECT_GT(busy, 0.0);
-    EXPECT_LT(busy, 0.3);
+    const auto low = model.get_room(serving, target_ms, 0.9, 0.25);
+    const auto high = model.get_room(serving, target_ms, 0.9, 0.65);
+    EXPECT_GT(low, 1.0);
+    EXPECT_GT(high, 0.0);
+    EXPECT_LT(high, 0.3);
     EXPECT_LT(model.get_room(serving, target_ms, 0.9, 0.85), 0.0);
 }
 
--- a/unit_tests/dispatch/tail_watch_test.cpp
+++ b/unit_tests/dispatch/tail_watch_test.cpp
@@ -7,42 +7,42 @@
 namespace {
 
 constexpr double target_ms = 100;
-constexpr duration look = milliseconds{400};
+constexpr duration interval = milliseconds{400};
 
 TEST(tail_watch, cuts_in_part_at_the_first_figure_over_the_target) {
     tail_watch watch;
-    watch.observe(99, target_ms, look);
+    watch.observe(99, target_ms, interval);
     EXPECT_EQ(watch.get_reduction(), 0);
-    watch.observe(101, target_ms, look);
+    watch.observe(101, target_ms, interval);
     EXPECT_GT(watch.get_reduction(), 0.5);
     EXPECT_LT(watch.get_reduction(), 1);
 }
 
 TEST(tail_watch, cuts_all_after_some_figures_over_the_target) {
     tail_watch watch;
-    for (int figure = 0; figure < 4; ++figure) {
+    for (int sample = 0; sample < 4; ++sample) {
         EXPECT_LT(watch.get_reduction(), 1);
-        watch.observe(110, target_ms, look);
+        watch.observe(110, target_ms, interval);
     }
     EXPECT_EQ(watch.get_reduction(), 1);
 }
 
 TEST(tail_watch, is_not_freed_by_one_figure_that_happens_to_be_low) {
     tail_watch watch;
-    for (int figure = 0; figure < 5; ++figure) {
-        watch.observe(110, target_ms, look);
+    for (int sample = 0; sample < 5; ++sample) {
+        watch.observe(110, target_ms, interval);
     }
-    watch.observe(90, target_ms, look);
+    watch.observe(90, target_ms, interval);
     EXPECT_EQ(watch.get_reduction(), 1);
-    watch.observe(90, target_ms, look);
-    watch.observe(90, target_ms, look);
+    watch.observe(90, target_ms, interval);
+    watch.observe(90, target_ms, interval);
     EXPECT_EQ(watch.get_reduction(), 0);
 }
 
 TEST(tail_watch, is_not_set_off_by_single_figures_that_happen_to_be_high) {
     tail_watch watch;
-    for (int figure = 0; figure < 20; ++figure) {
-        watch.observe(figure % 3 == 0 ? 110 : 80, target_ms, look);
+    for (int sample = 0; sample < 20; ++sample) {
+        watch.observe(sample % 3 == 0 ? 110 : 80, target_ms, interval);
         EXPECT_LT(watch.get_reduction(), 1);
     }
 }
--- a/unit_tests/dispatch/work_forecast_test.cpp
+++ b/unit_tests/dispatch/work_forecast_test.cpp
@@ -37,8 +37,8 @@
     duration_model model;
     // Guesses from a fifth to five times of steps that all take 2 s.
     for (int round = 0; round < 10; ++round) {
-        for (const std::int64_t guess : {400, 900, 2000, 4500, 10'000}) {
-            model.observe("batch", guess, 2000);
+        for (const std::int64_t estimate : {400, 900, 2000, 4500, 10'000}) {
+            model.observe("batch", estimate, 2000);
         }
     }
     EXPECT_NEAR(static_cast<double>(model.predict("batch", 400)), 2000, 250);
@@ -47,8 +47,8 @@
 
 TEST(duration_model, keeps_to_guesses_that_are_right) {
     duration_model model;
-    for (const std::int64_t guess : {400, 900, 2000, 4500, 10'000}) {
-        model.observe("batch", guess, guess);
+    for (const std::int64_t estimate : {400, 900, 2000, 4500, 10'000}) {
+        model.observe("batch", estimate, estimate);
     }
     EXPECT_EQ(model.predict("batch", 1234), 1234);
 }
@@ -56,8 +56,8 @@
 TEST(duration_model, follows_guesses_that_are_all_too_low) {
     duration_model model;
     for (int round = 0; round < 20; ++round) {
-        for (const std::int64_t guess : {500, 1000, 2000}) {
-            model.observe("batch", guess, 3 * guess);
+        for (const std::int64_t estimate : {500, 1000, 2000}) {
+            model.observe("batch", estimate, 3 * estimate);
         }
     }
     EXPECT_NEAR(static_cast<double>(model.predict("batch", 1000)), 3000, 150);
@@ -67,12 +67,12 @@
     duration_model model;
     const auto seen = *rc::gen::container<std::vector<std::pair<std::int64_t, std::int64_t>>>(rc::gen::pair(
         rc::gen::inRange<std::int64_t>(-1, 100'000), rc::gen::inRange<std::int64_t>(-1, 100'000)));
-    for (const auto& [guess, actual] : seen) {
-        model.observe("batch", guess, actual);
+    for (const auto& [estimate, actual] : seen) {
+        model.observe("batch", estimate, actual);
     }
-    const auto guess = *rc::gen::inRange<std::int64_t>(1, 1'000'000);
-    RC_ASSERT(model.predict("batch", guess) >= 1);
-    RC_ASSERT(model.predict("batch", guess) < std::int64_t{1} << 40);
+    const auto estimate = *rc::gen::inRange<std::int64_t>(1, 1'000'000);
+    RC_ASSERT(model.predict("batch", estimate) >= 1);
+    RC_ASSERT(model.predict("batch", estimate) < std::int64_t{1} << 40);
 }
 
 TEST(work_forecast, knows_the_length_of_a_step_that_is_done) {
