--- a/unit_tests/dispatch/dispatcher_admission_test.cpp
+++ b/unit_tests/dispatch/dispatcher_admission_test.cpp
@@ -34,7 +34,7 @@
 
 /// Load pattern, as recorded: within a second jobs that last ask for more than the whole pool, before any
 /// other job has come. All were taken, and short tasks found no whole core for as long as the jobs lasted.
-TEST(dispatcher_admission, keeps_room_for_short_tasks_when_jobs_that_last_ask_for_more_than_there_is) {
+TEST(dispatcher_admission, keeps_room_for_short_tasks_when_lasting_jobs_request_more_than_the_pool_has) {
     dispatch_world world;
     add_workers(world);
     std::int64_t admitted_millicores = 0;
@@ -80,7 +80,7 @@
     EXPECT_TRUE(world.scheduler.admit(job, world.now).is_taken());
 }
 
-TEST(dispatcher_admission, tells_a_refused_job_what_it_was_refused_for_and_when_to_come_back) {
+TEST(dispatcher_admission, reports_why_a_job_was_refused_and_when_to_retry) {
     dispatch_world world;
     add_workers(world);
     const auto decision = world.scheduler.admit(make_lasting(100, 40), world.now);
@@ -113,7 +113,7 @@
     EXPECT_FALSE(world.scheduler.admit(make_lasting(101, 30), world.now).is_taken());
 }
 
-TEST(dispatcher_admission, takes_jobs_that_end_whatever_jobs_that_last_hold) {
+TEST(dispatcher_admission, admits_jobs_that_end_however_much_lasting_jobs_reserve) {
     dispatch_world world;
     add_workers(world);
     EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 32), world.now).is_taken());
--- a/unit_tests/dispatch/dispatcher_advice_test.cpp
+++ b/unit_tests/dispatch/dispatcher_advice_test.cpp
@@ -26,7 +26,7 @@
     }
 }
 
-TEST(dispatcher_advice, never_asks_again_for_a_worker_that_was_denied) {
+TEST(dispatcher_advice, never_requests_advice_again_for_a_denied_worker) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit_advised({make_step()});
@@ -42,7 +42,7 @@
     EXPECT_EQ(again[0].workers, std::vector<worker_life>{world.get_life("w2")});
 }
 
-TEST(dispatcher_advice, asks_again_after_a_call_without_an_answer_and_for_a_ticket_that_a_worker_refused) {
+TEST(dispatcher_advice, requests_advice_again_after_an_unanswered_call_and_a_refused_ticket) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit_advised({make_step()});
--- a/unit_tests/dispatch/dispatcher_audit_test.cpp
+++ b/unit_tests/dispatch/dispatcher_audit_test.cpp
@@ -38,7 +38,7 @@
     EXPECT_EQ(world.scheduler.get_counts().stuck_tasks, 0U);
 }
 
-TEST(dispatcher_audit, finds_a_task_whose_end_a_worker_lists_under_a_number_that_it_gave_out_before) {
+TEST(dispatcher_audit, finds_a_task_whose_end_a_worker_lists_under_a_number_that_it_used_before) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step(2)});
--- a/unit_tests/dispatch/dispatcher_copy_test.cpp
+++ b/unit_tests/dispatch/dispatcher_copy_test.cpp
@@ -97,7 +97,7 @@
     EXPECT_TRUE(slow.world.take<start_order>().empty());
 }
 
-TEST(dispatcher_copy, copies_nothing_while_others_wait_for_room) {
+TEST(dispatcher_copy, starts_no_copy_while_other_tasks_wait_for_room) {
     slow_task slow(make_copied_step(), true);
     slow.world.advance(milliseconds{300});
     EXPECT_TRUE(slow.world.take<start_order>().empty());
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -60,7 +60,7 @@
     EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
 }
 
-TEST(dispatcher_crash, counts_on_under_a_new_leader) {
+TEST(dispatcher_crash, keeps_counting_under_a_new_leader) {
     dispatch_world world;
     add_workers(world, 4);
     const auto crashing_job = world.submit({make_step()});
@@ -141,7 +141,7 @@
     EXPECT_EQ(world.book.find_job(job)->phase, job_phase::open);
 }
 
-TEST(dispatcher_crash, gives_no_other_task_to_a_worker_that_a_task_has_for_itself) {
+TEST(dispatcher_crash, places_no_other_task_on_a_worker_reserved_for_a_suspect) {
     dispatch_world world;
     world.add_worker("w");
     const auto neighbour = world.submit({make_step(10)});
@@ -168,7 +168,7 @@
     }
 }
 
-TEST(dispatcher_crash, clears_a_task_that_runs_in_peace_and_opens_its_worker_again) {
+TEST(dispatcher_crash, clears_a_suspect_that_runs_without_a_crash_and_reopens_its_worker) {
     dispatch_world world;
     world.add_worker("w1");
     auto lasting = make_step();
@@ -206,7 +206,7 @@
     EXPECT_EQ(world.book.find_job(job)->phase, job_phase::open);
 }
 
-TEST(dispatcher_crash, takes_no_run_that_a_new_leader_finds_for_one_that_has_just_begun) {
+TEST(dispatcher_crash, does_not_treat_a_run_that_a_new_leader_finds_as_just_begun) {
     dispatch_world world;
     add_workers(world, 1);
     const auto job = world.submit({make_step()});
@@ -253,7 +253,7 @@
     EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
 }
 
-TEST(dispatcher_crash, counts_a_worker_that_comes_back_after_its_lease_was_over) {
+TEST(dispatcher_crash, counts_the_crash_of_a_worker_that_restarts_after_its_lease_expired) {
     dispatch_world world;
     add_workers(world, 2);
     const auto job = world.submit({make_step()});
@@ -331,7 +331,7 @@
     EXPECT_LE(crashes, max_starts);
 }
 
-TEST(dispatcher_crash, gives_up_a_lasting_task_alike) {
+TEST(dispatcher_crash, gives_up_a_lasting_task_that_crashes_its_workers) {
     dispatch_world world;
     add_workers(world, 4);
     auto lasting = make_step();
@@ -341,7 +341,7 @@
     EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
 }
 
-TEST(dispatcher_crash, gives_up_a_timed_job_for_a_task_of_one_occurrence) {
+TEST(dispatcher_crash, gives_up_a_timed_job_whose_task_crashes_workers_in_one_occurrence) {
     dispatch_world world;
     add_workers(world, 4);
     const auto crashing_job = world.submit_timed({make_step()}, {3, world.wall_ms, 60'000});
@@ -349,7 +349,7 @@
     EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
 }
 
-TEST(dispatcher_crash, holds_no_checkpoint_for_a_proof_of_innocence) {
+TEST(dispatcher_crash, does_not_clear_a_suspect_that_writes_checkpoints) {
     dispatch_world world;
     add_workers(world, 4);
     auto step = make_step();
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -100,7 +100,7 @@
     EXPECT_FALSE(track->is_ending);
 }
 
-TEST(dispatcher_ending, takes_a_stop_for_the_end_once_a_list_that_was_asked_for_after_it_lacks_the_run) {
+TEST(dispatcher_ending, ends_a_stopped_run_once_a_list_requested_after_the_stop_lacks_it) {
     dispatch_world world;
     world.add_worker("w1");
     const auto job = world.submit({make_step()});
--- a/unit_tests/dispatch/dispatcher_story_test.cpp
+++ b/unit_tests/dispatch/dispatcher_history_log_test.cpp
@@ -37,7 +37,7 @@
     world.answer_hold("w1", list);
 }
 
-TEST(dispatcher_story, names_the_list_that_told_an_end) {
+TEST(dispatcher_history_log, logs_the_list_that_contained_an_end) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -49,7 +49,7 @@
     EXPECT_NE(logs.find("run_ended")[0].find(" asked_ms="), std::string::npos);
 }
 
-TEST(dispatcher_story, names_that_a_run_was_first_seen_in_a_list_after_its_start_had_no_answer) {
+TEST(dispatcher_history_log, logs_that_a_run_was_first_seen_in_a_list_after_its_start_had_no_answer) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -62,7 +62,7 @@
     expect_one(logs, "run_started", {"ground=listed", "fence=1"});
 }
 
-TEST(dispatcher_story, names_a_run_that_its_worker_lacks_and_one_that_was_refused) {
+TEST(dispatcher_history_log, logs_a_run_that_its_worker_lacks_and_one_that_was_refused) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -78,7 +78,7 @@
     EXPECT_NE(logs.find("run_ended").back().find("ground=given_back"), std::string::npos);
 }
 
-TEST(dispatcher_story, names_what_a_new_leader_takes_over_and_what_became_of_each_run) {
+TEST(dispatcher_history_log, logs_what_a_new_leader_takes_over_and_the_outcome_of_each_run) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -97,7 +97,7 @@
     expect_one(logs, "run_ended", {"job=" + format_job_id(missing.run.task.step.job), "ground=never_came"});
 }
 
-TEST(dispatcher_story, names_an_end_of_a_run_that_it_does_not_know) {
+TEST(dispatcher_history_log, logs_the_end_of_an_unknown_run) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -65,7 +65,7 @@
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
 
-TEST(dispatcher_loss, takes_no_room_from_a_heartbeat_that_was_overtaken) {
+TEST(dispatcher_loss, ignores_the_capacity_in_a_heartbeat_that_was_overtaken) {
     dispatch_world world;
     world.add_worker("w1");
     auto report = world.find_worker("w1")->report;
@@ -197,7 +197,7 @@
     EXPECT_EQ(world.find_worker("w1")->acknowledged, 1U);
 }
 
-TEST(dispatcher_loss, asks_a_worker_again_only_once_its_ends_are_committed) {
+TEST(dispatcher_loss, sends_the_next_hold_only_once_the_listed_ends_are_committed) {
     dispatch_world world;
     list_one_end_of_two_runs(world);
     const auto commands = world.scheduler.take_commands(); // a commit that takes its time
@@ -255,7 +255,7 @@
     EXPECT_TRUE(is_elsewhere) << "its lease never lapsed";
 }
 
-TEST(dispatcher_loss, prolongs_leases_also_while_ends_cannot_be_committed) {
+TEST(dispatcher_loss, renews_leases_while_ends_cannot_be_committed) {
     dispatch_world world;
     list_one_end_of_two_runs(world);
     static_cast<void>(world.scheduler.take_commands());
@@ -271,7 +271,7 @@
 // tasks that had run there waited for the whole lease, 7.4 s, before they were started again:
 //   event=role_changed role=follower term=2     (24.7 s)
 //   four workers crash within 1 ms     (32.2 s: all leases ended together)
-TEST(dispatcher_loss, a_new_leader_asks_at_the_address_of_a_life_it_never_heard) {
+TEST(dispatcher_loss, a_new_leader_calls_the_logged_address_of_a_life_it_never_heard_from) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
--- a/unit_tests/dispatch/dispatcher_order_test.cpp
+++ b/unit_tests/dispatch/dispatcher_order_test.cpp
@@ -134,7 +134,7 @@
 
 /// Load pattern: overload of jobs that all take 2 s, guessed at 200 ms to 20 s. By its guess alone a job
 /// guessed at 200 ms was taken for lost after 1.4 s, while it had three more, and waited behind all others.
-TEST(dispatcher_order, does_not_take_a_job_for_lost_for_a_guess_that_proved_worth_nothing) {
+TEST(dispatcher_order, does_not_treat_a_job_as_hopelessly_late_because_of_an_unreliable_estimate) {
     full_worker worker;
     worker.run_jobs_of_equal_length(seconds{2});
     const auto underestimated = worker.submit(1, 200);
--- a/unit_tests/dispatch/dispatcher_pressure_test.cpp
+++ b/unit_tests/dispatch/dispatcher_pressure_test.cpp
@@ -182,7 +182,7 @@
     EXPECT_GE(running[1], 4U);
 }
 
-TEST(dispatcher_pressure, gives_filling_tasks_their_speed_back_when_the_tail_allows) {
+TEST(dispatcher_pressure, restores_the_pace_of_filling_tasks_when_the_tail_allows) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_serving(3)});
@@ -207,7 +207,7 @@
     EXPECT_TRUE(is_fast_again);
 }
 
-TEST(dispatcher_pressure, takes_tasks_away_from_a_worker_whose_tails_no_filling_task_explains) {
+TEST(dispatcher_pressure, moves_tasks_away_from_a_worker_whose_tails_no_filling_task_explains) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_serving(3)});
@@ -262,7 +262,7 @@
     EXPECT_EQ(restored.get_pressure(), saved);
 }
 
-TEST(leader_load, is_no_strain_until_little_time_is_left) {
+TEST(leader_load, reports_no_strain_until_little_time_is_left) {
     EXPECT_EQ(leader_load{}.get_strain(), 0.0);
     EXPECT_EQ((leader_load{0.65, {}}.get_strain()), 0.0);
     EXPECT_GT((leader_load{0.85, {}}.get_strain()), 0.4);
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -175,7 +175,7 @@
                 world.scheduler.find_worker_state({"w1", first_life})->is_lost);
 }
 
-TEST(dispatcher_restart, is_not_believed_to_a_late_heartbeat_of_an_earlier_life) {
+TEST(dispatcher_restart, is_not_inferred_from_a_late_heartbeat_of_an_earlier_life) {
     dispatch_world world;
     add_worker(world);
     worker_report late = world.find_worker("w1")->report;
@@ -211,7 +211,7 @@
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
 
-TEST(dispatcher_restart, comes_back_to_work_after_the_former_life_had_left) {
+TEST(dispatcher_restart, makes_the_worker_usable_again_after_the_former_life_left) {
     dispatch_world world;
     add_worker(world);
     world.send_heartbeat("w1", true, 2000);
@@ -273,7 +273,7 @@
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
 
-TEST(dispatcher_restart, waits_the_longest_lease_where_a_start_may_have_come_to_the_next_life) {
+TEST(dispatcher_restart, waits_for_the_longest_lease_where_a_start_may_have_reached_the_next_life) {
     dispatch_world world;
     add_worker(world);
     world.submit({make_step()});
@@ -295,7 +295,7 @@
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
 
-TEST(dispatcher_restart, is_suspected_from_a_clock_that_counts_anew) {
+TEST(dispatcher_restart, is_suspected_when_the_clock_restarts) {
     dispatch_world world;
     add_worker(world);
     world.submit({make_step()});
@@ -305,7 +305,7 @@
     EXPECT_GE(world.find_worker("w1")->lease_end, world.now + get_longest_span());
 }
 
-TEST(dispatcher_restart, is_found_by_a_new_leader_that_knows_the_book_alone) {
+TEST(dispatcher_restart, is_detected_by_a_new_leader_that_knows_only_the_book) {
     dispatch_world world;
     add_worker(world);
     world.submit({make_step()});
@@ -319,7 +319,7 @@
     EXPECT_GT(again[0].run.run, first.run.run);
 }
 
-TEST(dispatcher_restart, takes_a_run_that_was_assigned_without_a_start_time_for_what_the_list_says) {
+TEST(dispatcher_restart, follows_the_list_for_a_run_that_was_assigned_without_a_start_time) {
     dispatch_world world;
     world.add_worker("w1"); // as an older version knew it
     world.submit({make_step(2)});
@@ -352,7 +352,7 @@
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
 
-TEST(dispatcher_restart, is_used_by_the_start_time_of_its_list_where_its_reports_leave_it_out) {
+TEST(dispatcher_restart, is_known_by_the_start_time_of_its_list_where_its_reports_omit_it) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -375,7 +375,7 @@
     EXPECT_TRUE(state->has_report && state->is_confirmed);
 }
 
-TEST(dispatcher_restart, does_not_take_a_list_that_leaves_the_start_time_out) {
+TEST(dispatcher_restart, ignores_a_list_without_a_start_time) {
     dispatch_world world;
     add_worker(world);
     world.submit({make_step()});
--- a/unit_tests/dispatch/dispatcher_retry_test.cpp
+++ b/unit_tests/dispatch/dispatcher_retry_test.cpp
@@ -39,7 +39,7 @@
     EXPECT_LE(starts, 18);
 }
 
-TEST(dispatcher_retry, goes_on_with_all_starts_once_the_worker_has_answered_one) {
+TEST(dispatcher_retry, resumes_all_starts_once_the_worker_has_answered_one) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step(16)});
@@ -54,7 +54,7 @@
     EXPECT_EQ(world.take<start_order>().size(), 15U);
 }
 
-TEST(dispatcher_retry, takes_no_worker_for_silent_because_an_order_did_not_leave) {
+TEST(dispatcher_retry, does_not_treat_a_worker_as_silent_because_an_order_was_not_sent) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -105,7 +105,7 @@
     EXPECT_LE(get_backoff(40, base_pause, 7), base_pause * 10);
 }
 
-TEST(order_backoff, sets_the_times_of_workers_apart) {
+TEST(order_backoff, spreads_the_retries_of_workers) {
     std::set<duration> pauses;
     for (std::uint64_t spread = 0; spread < 100; ++spread) {
         pauses.insert(get_backoff(2, base_pause, spread * 0x9E3779B97F4A7C15ULL));
@@ -113,7 +113,7 @@
     EXPECT_GT(pauses.size(), 90U);
 }
 
-TEST(order_backoff, counts_orders_that_were_under_way_together_once) {
+TEST(order_backoff, counts_orders_that_were_in_flight_together_once) {
     const time_point start{seconds{10}};
     order_backoff backoff;
     for (int order = 0; order < 16; ++order) {
--- a/unit_tests/dispatch/dispatcher_waits_test.cpp
+++ b/unit_tests/dispatch/dispatcher_waits_test.cpp
@@ -7,7 +7,7 @@
 namespace poplarpitch {
 namespace {
 
-TEST(dispatcher_waits, tells_what_keeps_a_task_from_each_worker) {
+TEST(dispatcher_waits, reports_what_keeps_a_task_from_each_worker) {
     dispatch_world world;
     world.add_worker("full", {1000, 1000, 0});
     world.add_worker("leaves");
--- a/unit_tests/dispatch/lasting_quota_test.cpp
+++ b/unit_tests/dispatch/lasting_quota_test.cpp
@@ -12,7 +12,7 @@
 const std::string pool = "pool"; // NOLINT(cert-err58-cpp)
 constexpr time_point start{seconds{100}};
 
-TEST(lasting_quota, lets_jobs_reserve_their_share_and_no_more) {
+TEST(lasting_quota, allows_lasting_jobs_their_share_and_no_more) {
     lasting_quota quota(share);
     quota.clear(start);
     quota.observe(pool, {1000, 0}, start);
@@ -27,13 +27,13 @@
     EXPECT_TRUE(quota.has_room(pool, 800, start));
 }
 
-TEST(lasting_quota, takes_what_comes_while_no_worker_is_known) {
+TEST(lasting_quota, admits_all_jobs_while_no_worker_is_known) {
     lasting_quota quota(share);
     quota.clear(start);
     EXPECT_TRUE(quota.has_room(pool, 1'000'000, start));
 }
 
-TEST(lasting_quota, lets_more_in_where_others_were_seen_to_want_little) {
+TEST(lasting_quota, allows_a_larger_share_where_other_jobs_use_little) {
     lasting_quota quota(share);
     quota.clear(start);
     auto now = start;
@@ -47,7 +47,7 @@
     EXPECT_EQ(quota.get_allowed(pool, now + seconds{10}), 800);
 }
 
-TEST(lasting_quota, tells_refused_callers_to_come_back_when_jobs_end_at_the_rate_seen) {
+TEST(lasting_quota, computes_the_retry_time_from_the_rate_at_which_jobs_end) {
     lasting_quota quota(share);
     quota.clear(start);
     quota.observe(pool, {1000, 0}, start);
@@ -61,7 +61,7 @@
     EXPECT_EQ(quota.get_retry_after(16, pool, 200, now), seconds{10});
 }
 
-TEST(lasting_quota, spreads_the_callers_that_it_refused) {
+TEST(lasting_quota, spreads_the_retries_of_refused_callers) {
     lasting_quota quota(share);
     quota.clear(start);
     const auto now = start + seconds{20};
@@ -73,7 +73,7 @@
     EXPECT_LT(*times.rbegin(), seconds{45});
 }
 
-TEST(lasting_quota, asks_for_patience_of_a_second_while_workers_are_still_heard_of) {
+TEST(lasting_quota, returns_one_second_to_retry_while_workers_are_still_registering) {
     lasting_quota quota(share);
     quota.clear(start);
     EXPECT_EQ(quota.get_retry_after(5, pool, 100, start + seconds{1}), seconds{1});
--- a/unit_tests/dispatch/overlap_property_test.cpp
+++ b/unit_tests/dispatch/overlap_property_test.cpp
@@ -142,11 +142,11 @@
     return settings;
 }
 
-TEST(overlap_property, takes_no_list_for_newer_than_answers_that_overtook_it) {
+TEST(overlap_property, does_not_treat_a_list_as_newer_than_answers_that_overtook_it) {
     run_all_seeds(make_settings());
 }
 
-TEST(overlap_property, holds_where_calls_break_off_or_are_carried_out_late) {
+TEST(overlap_property, holds_where_connections_break_or_orders_are_executed_late) {
     auto settings = make_settings();
     settings.broken_connections = 0.03;
     settings.expired_orders = 0.03;
@@ -155,7 +155,7 @@
     run_all_seeds(settings);
 }
 
-TEST(overlap_property, holds_where_relays_stand_still_and_are_lost) {
+TEST(overlap_property, holds_where_relays_stall_and_are_lost) {
     auto settings = make_relayed();
     settings.relay_stalls = 0.3;
     settings.relay_losses = 0.15;
@@ -203,7 +203,7 @@
     run_all_seeds(settings);
 }
 
-TEST(overlap_property, holds_beside_all_of_these) {
+TEST(overlap_property, holds_under_all_of_these_faults) {
     auto settings = make_relayed();
     settings.broken_connections = 0.02;
     settings.expired_orders = 0.02;
@@ -273,7 +273,7 @@
     return settings;
 }
 
-TEST(overlap_property, holds_whatever_befalls) {
+TEST(overlap_property, holds_under_random_faults) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         traffic_settings traffic_options;
@@ -332,7 +332,7 @@
     }
 }
 
-TEST(overlap_property, lets_no_lease_lapse_in_a_cut_that_is_shorter) {
+TEST(overlap_property, lets_no_lease_lapse_in_a_shorter_partition) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         auto settings = make_settings();
@@ -350,7 +350,7 @@
     }
 }
 
-TEST(overlap_property, takes_no_clock_back_to_that_of_a_late_heartbeat) {
+TEST(overlap_property, never_moves_a_clock_back_to_that_of_a_late_heartbeat) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         auto settings = make_settings();
@@ -370,7 +370,7 @@
     }
 }
 
-TEST(overlap_property, takes_no_list_for_newer_than_a_stop_that_overtook_it) {
+TEST(overlap_property, does_not_treat_a_list_as_newer_than_a_stop_that_overtook_it) {
     auto settings = make_settings();
     settings.delayed_answers = 0.5;
     settings.max_answer_delay = milliseconds{800};
--- a/unit_tests/dispatch/placement_test.cpp
+++ b/unit_tests/dispatch/placement_test.cpp
@@ -41,20 +41,20 @@
     EXPECT_FALSE(get_placement_cost(worker, request).has_value());
 }
 
-TEST(placement, a_filling_task_may_take_what_others_leave) {
+TEST(placement, a_filling_task_may_use_the_room_that_other_tasks_leave) {
     auto worker = make_worker();
     worker.reserved = {20'000, 0, 0};
     worker.fill_millicores = 5'000;
     expect_room_is_the_limit(worker, {});
 }
 
-TEST(placement, a_filling_task_may_take_what_the_serving_ones_beside_it_bear) {
+TEST(placement, a_filling_task_may_use_what_the_serving_tasks_beside_it_tolerate) {
     auto worker = make_worker();
     worker.pressure.groups = {{0, 1, 0.9, 0.1}, {1, 2, 0.5, 0.3}};
     expect_room_is_the_limit(worker, {0.5, 2.0});
 }
 
-TEST(placement, no_filling_task_goes_where_serving_ones_bear_nothing_more) {
+TEST(placement, no_filling_task_is_placed_where_serving_tasks_tolerate_no_more) {
     auto worker = make_worker();
     worker.pressure.groups = {{0, 1, 0.2, 0.2}};
     const auto spec = make_fill(0);
@@ -65,7 +65,7 @@
     EXPECT_FALSE(get_placement_cost(worker, request).has_value());
 }
 
-TEST(refused_shapes, one_look_answers_for_all_sizes_above_the_room_it_found) {
+TEST(refused_shapes, one_refusal_covers_all_larger_sizes_than_the_room_found) {
     refused_shapes refused;
     refused.add("mill", make_fill(9'000), 4'000);
     EXPECT_TRUE(refused.covers("mill", make_fill(9'500)));
@@ -74,7 +74,7 @@
     EXPECT_FALSE(refused.covers("other", make_fill(9'500)));
 }
 
-TEST(refused_shapes, a_task_refused_for_its_memory_says_nothing_of_those_with_less) {
+TEST(refused_shapes, a_refusal_for_memory_does_not_cover_tasks_with_less) {
     refused_shapes refused;
     auto large = make_fill(2'000);
     large.memory_mb = 200'000;
--- a/unit_tests/dispatch/pressure_model_test.cpp
+++ b/unit_tests/dispatch/pressure_model_test.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-TEST(pressure_model, follows_the_own_load_of_a_task_that_nothing_disturbs) {
+TEST(pressure_model, tracks_the_own_load_of_an_undisturbed_task) {
     pressure_model model;
     serving_load load_state;
     for (double time = 0; time < 30; time += interval_s) {
@@ -62,7 +62,7 @@
     EXPECT_GT(model.get_factor(serving, model.get_number("heavy")), 2.5);
 }
 
-TEST(pressure_model, gives_an_unknown_pair_neither_the_benefit_nor_the_blame) {
+TEST(pressure_model, assumes_a_medium_factor_for_an_unknown_pair) {
     pressure_model model;
     const auto serving = model.get_number("serving");
     const auto unseen = model.get_number("unseen");
@@ -71,7 +71,7 @@
     EXPECT_GT(model.get_conservative_factor(serving, unseen), model.get_factor(serving, unseen));
 }
 
-TEST(pressure_model, begins_with_what_another_leader_has_learned) {
+TEST(pressure_model, starts_with_the_factors_that_another_leader_learned) {
     pressure_model first;
     serving_load load_state;
     std::mt19937 random(7);
@@ -95,7 +95,7 @@
     EXPECT_LT(model.get_room(serving, target_ms, 0.9, 0.85), 0.0);
 }
 
-TEST(pressure_model, takes_a_filling_task_that_uses_two_thirds_for_one_in_a_light_phase) {
+TEST(pressure_model, treats_a_filling_task_that_uses_two_thirds_as_in_a_light_phase) {
     EXPECT_NEAR(pressure_model::get_phase(8000, 8000), 1.0, 0.01);
     EXPECT_LT(pressure_model::get_phase(5360, 8000), 0.35);
 }
--- a/unit_tests/dispatch/restart_property_test.cpp
+++ b/unit_tests/dispatch/restart_property_test.cpp
@@ -106,7 +106,7 @@
     run_all_seeds(make_settings());
 }
 
-TEST(restart_property, keeps_no_task_for_running_whose_end_a_new_life_has_listed) {
+TEST(restart_property, keeps_no_task_running_whose_end_a_new_life_has_listed) {
     auto settings = make_settings();
     settings.failures = 0.5;
     settings.worker_crashes = 0.5;
@@ -120,7 +120,7 @@
     run_all_seeds(settings);
 }
 
-TEST(restart_property, holds_where_a_third_of_all_workers_start_again_at_one_moment) {
+TEST(restart_property, holds_where_a_third_of_all_workers_restart_at_one_moment) {
     auto settings = make_settings();
     settings.worker_crashes = 0;
     settings.failures = 0.3;
--- a/unit_tests/dispatch/tail_watch_test.cpp
+++ b/unit_tests/dispatch/tail_watch_test.cpp
@@ -9,7 +9,7 @@
 constexpr double target_ms = 100;
 constexpr duration interval = milliseconds{400};
 
-TEST(tail_watch, cuts_in_part_at_the_first_figure_over_the_target) {
+TEST(tail_watch, reduces_in_part_at_the_first_sample_over_the_target) {
     tail_watch watch;
     watch.observe(99, target_ms, interval);
     EXPECT_EQ(watch.get_reduction(), 0);
@@ -18,7 +18,7 @@
     EXPECT_LT(watch.get_reduction(), 1);
 }
 
-TEST(tail_watch, cuts_all_after_some_figures_over_the_target) {
+TEST(tail_watch, reduces_in_full_after_some_samples_over_the_target) {
     tail_watch watch;
     for (int sample = 0; sample < 4; ++sample) {
         EXPECT_LT(watch.get_reduction(), 1);
@@ -27,7 +27,7 @@
     EXPECT_EQ(watch.get_reduction(), 1);
 }
 
-TEST(tail_watch, is_not_freed_by_one_figure_that_happens_to_be_low) {
+TEST(tail_watch, is_not_reset_by_a_single_low_sample) {
     tail_watch watch;
     for (int sample = 0; sample < 5; ++sample) {
         watch.observe(110, target_ms, interval);
@@ -39,7 +39,7 @@
     EXPECT_EQ(watch.get_reduction(), 0);
 }
 
-TEST(tail_watch, is_not_set_off_by_single_figures_that_happen_to_be_high) {
+TEST(tail_watch, does_not_reduce_in_full_for_single_high_samples) {
     tail_watch watch;
     for (int sample = 0; sample < 20; ++sample) {
         watch.observe(sample % 3 == 0 ? 110 : 80, target_ms, interval);
--- a/unit_tests/dispatch/work_forecast_test.cpp
+++ b/unit_tests/dispatch/work_forecast_test.cpp
@@ -26,14 +26,14 @@
     return job;
 }
 
-TEST(duration_model, takes_the_guess_until_a_step_was_seen) {
+TEST(duration_model, uses_the_estimate_until_a_step_was_observed) {
     duration_model model;
     EXPECT_EQ(model.predict("batch", 2700), 2700);
     model.observe("other", 1000, 5000);
     EXPECT_EQ(model.predict("batch", 2700), 2700);
 }
 
-TEST(duration_model, learns_that_guesses_tell_nothing) {
+TEST(duration_model, learns_that_estimates_are_unreliable) {
     duration_model model;
     // Guesses from a fifth to five times of steps that all take 2 s.
     for (int round = 0; round < 10; ++round) {
@@ -45,7 +45,7 @@
     EXPECT_NEAR(static_cast<double>(model.predict("batch", 10'000)), 2000, 250);
 }
 
-TEST(duration_model, keeps_to_guesses_that_are_right) {
+TEST(duration_model, keeps_correct_estimates) {
     duration_model model;
     for (const std::int64_t estimate : {400, 900, 2000, 4500, 10'000}) {
         model.observe("batch", estimate, estimate);
@@ -53,7 +53,7 @@
     EXPECT_EQ(model.predict("batch", 1234), 1234);
 }
 
-TEST(duration_model, follows_guesses_that_are_all_too_low) {
+TEST(duration_model, corrects_estimates_that_are_all_too_low) {
     duration_model model;
     for (int round = 0; round < 20; ++round) {
         for (const std::int64_t estimate : {500, 1000, 2000}) {
