--- a/unit_tests/dispatch/crash_property_test.cpp
+++ b/unit_tests/dispatch/crash_property_test.cpp
@@ -1,5 +1,6 @@
-// What must hold when tasks crash their workers, under many orders of crashes, cuts, losses of the leader,
-// answers and room. POPLARPITCH_SEEDS sets how many seeds are tried; each failure names its seed.
+// Checks invariants when tasks crash their workers, under random sequences of crashes, partitions, leader
+// losses, lost answers and capacity changes. POPLARPITCH_SEEDS sets the number of seeds; each failure names
+// its seed.
 #include "unit_tests/dispatch/crash_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -13,12 +14,13 @@
 namespace {
 
 constexpr duration traffic_time = seconds{25};
-constexpr duration completion_time = seconds{60}; // what is not told by then is never told
+constexpr duration completion_time = seconds{60}; // a job that has no outcome by then never gets one
 constexpr duration arrival_interval = milliseconds{250};
-constexpr int max_starts_after_three = 2; // the third one would be one too many
-constexpr int min_crashes = 2;            // before which nothing may be given up
+constexpr int max_starts_after_three = 2; // a third one is a violation
+constexpr int min_crashes = 2;            // no job may fail with fewer crashes of one task
 
-/// Jobs of all kinds at about half of what the workers hold, and a few whose first task crashes its workers.
+/// Submits jobs of several kinds that use about half of the workers' capacity. The first task of a few jobs
+/// crashes its workers.
 class crash_traffic {
 public:
     crash_traffic(const crash_world_settings& settings, std::uint64_t seed)
@@ -32,12 +34,12 @@
         m_world.run(completion_time);
     }
 
-    /// Checks what must hold whatever befell.
+    /// Checks the invariants that hold under any faults.
     void check_invariants() {
         EXPECT_TRUE(m_world.get_violations().empty()) << m_world.get_violations().front();
         for (const auto id : m_crashing_jobs) {
             EXPECT_LE(m_world.count_starts_after_three(get_crashing_task(id)), max_starts_after_three);
-            EXPECT_NE(get_phase(id), job_phase::open) << "job " << id << " was told nothing";
+            EXPECT_NE(get_phase(id), job_phase::open) << "job " << id << " has no outcome";
         }
         for (const auto& [id, record] : m_world.get_book().get_jobs()) {
             if (record.phase == job_phase::failed) {
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Returns how many jobs failed that crash nothing.
+    /// Returns how many jobs failed although they crash no workers.
     [[nodiscard]] int count_failed_harmless_jobs() const {
         int failed = 0;
         for (const auto id : m_harmless_jobs) {
@@ -56,7 +58,7 @@
         return failed;
     }
 
-    /// Returns how many jobs that crash nothing have not ended.
+    /// Returns how many jobs that crash no workers have not ended.
     [[nodiscard]] int count_open_harmless_jobs() const {
         int open = 0;
         for (const auto id : m_harmless_jobs) {
@@ -135,9 +137,9 @@
     }
 }
 
-// A worker's room may shrink and grow while it runs, and one that does not guard it starts whatever it is
-// told. A start that had no answer was sent again after the room had shrunk, and one whose assignment was on
-// its way into the log was sent without another look.
+// Guards against starts beyond a capacity that shrank, at a worker that does not enforce its capacity: an
+// unanswered start was repeated, and a start whose assignment was being committed was sent, without checking
+// the capacity again.
 TEST(crash_property, starts_nothing_beyond_the_room_that_a_worker_has_told) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         crash_world_settings settings;
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -16,17 +16,16 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::uint64_t default_seed_count = 30; // a few seconds in all
+constexpr std::uint64_t default_seed_count = 30; // takes a few seconds in all
 constexpr duration tick = milliseconds{10};
 constexpr duration heartbeat_interval = milliseconds{1100};
 constexpr duration network_delay = milliseconds{2};
-constexpr duration takeover_time = seconds{3}; // after which a leader's faults are its own
-constexpr duration capacity_report_delay =
-    milliseconds{4100};                       // shrunk capacity counts 3 s and one heartbeat later
-constexpr std::int64_t max_lease_ms = 10'000; // a worker shortens a longer one
+constexpr duration takeover_time = seconds{3}; // starts count against a leader only after this time
+constexpr duration capacity_report_delay = milliseconds{4100}; // 3 s and one heartbeat
+constexpr std::int64_t max_lease_ms = 10'000;                  // a worker shortens longer leases
 constexpr std::int64_t max_clock_step_ms = 60'000;
 constexpr std::int64_t first_clock_ms = 1;
-constexpr duration max_heartbeat_delay = seconds{4}; // a heartbeat that was held up comes within this
+constexpr duration max_heartbeat_delay = seconds{4}; // of late heartbeats
 constexpr duration min_fault_time = seconds{1};
 constexpr duration max_one_way_partition = seconds{10};
 constexpr duration max_unhealthy_time = seconds{3};
@@ -36,8 +35,8 @@
 constexpr duration min_outage = milliseconds{200};
 constexpr duration max_outage = seconds{3};
 constexpr duration drain_time = seconds{2};
-constexpr duration max_refusal_time = seconds{2}; // after the goodbye, while it refuses connections
-constexpr duration relay_timeout = seconds{1};    // then a worker calls another instance
+constexpr duration max_refusal_time = seconds{2}; // for which a leaving worker refuses connections
+constexpr duration relay_timeout = seconds{1};    // after this a worker sends its heartbeat to the leader
 constexpr duration gang_timeout = seconds{5};
 constexpr duration gang_break_delay = milliseconds{50};
 constexpr duration power_loss_failure_time = seconds{2};
@@ -61,36 +60,36 @@
     return text == nullptr ? default_seed_count : std::strtoull(text, nullptr, 10);
 }
 
-/// One machine and the life that it is at.
+/// A worker machine and its current life.
 struct crash_world::worker {
     std::string address;
     std::string id;
-    int life = 0;                       ///< of all lives in the world
-    std::int64_t born_ms = 0;           ///< what this life takes for the time of its start
+    int life = 0;                       ///< number of the current life, unique among all workers
+    std::int64_t born_ms = 0;           ///< start time that this life reports
     std::set<std::int64_t> start_times; ///< start times of all its lives
-    time_point clock_start{};           ///< the worker's clock counts from its start
-    std::int64_t clock_offset_ms = 0;   ///< by how much its time of day is off
+    time_point clock_start{};           ///< time at which the worker's clock started
+    std::int64_t clock_offset_ms = 0;   ///< offset of the worker's wall clock
     bool is_up = false;
     time_point partitioned_until{};
     time_point next_heartbeat{};
     std::uint64_t sequence = 0;
     std::uint64_t fence = 0;
     std::uint64_t next_end_number = 1;
-    std::uint64_t acknowledged = 0; ///< ends up to this number are forgotten, also those that come later
+    std::uint64_t acknowledged = 0; ///< ends up to this number are dropped, including later ones
     std::int64_t lease_ms = 0;
     std::map<run_key, simulated_run> running;
-    std::map<task_key, std::uint32_t> highest_runs; ///< runs up to this are refused
+    std::map<task_key, std::uint32_t> highest_runs; ///< runs up to this number are refused
     std::vector<end_row> ended;
-    std::set<std::uint64_t>
-        lapsed_ends; ///< numbers of ends after which its lease ran out: their outcome may be unknown
+    std::set<std::uint64_t> lapsed_ends; ///< numbers of the ends listed when the lease expired; the outcome
+                                         ///< of these may be unknown
     std::optional<hold_order> hold;
     sent_order_ptr sent_hold;
-    std::uint64_t hold_number = 0; ///< of the hold that waits, so that its time does not end a later one
-    std::vector<reported_capacity> capacities; ///< that it had, the newest last
+    std::uint64_t hold_number = 0; ///< number of the pending hold, so that its timer does not end a later one
+    std::vector<reported_capacity> capacities; ///< all capacities of this life, the newest last
     std::string data_centre;
     double clock_rate = 1;
     bool is_leaving = false;
-    bool is_refusing = false; ///< connections; what runs goes on
+    bool is_refusing = false; ///< refuses connections while its runs continue
     time_point leaves_at{};
     time_point unhealthy_until{};
     time_point one_way_partition_until{};
@@ -99,10 +98,10 @@
     [[nodiscard]] const worker_amounts& get_capacity() const { return capacities.back().capacity; }
 };
 
-/// A control instance that relays for the workers of its data centre.
+/// A control instance that relays orders to the workers of its data centre.
 struct crash_world::relay {
     relay_place place;
-    std::unique_ptr<relay_agent> agent; ///< null while the process is gone
+    std::unique_ptr<relay_agent> agent; ///< null while the process is down
     std::uint64_t process_number = 0;   ///< number of its process
     time_point stalled_until{};
 };
@@ -327,7 +326,9 @@
 
 // ---- control instances
 
-/// Of the commands on their way a new leader finds those that a majority has, and those are the first ones.
+/// Drops the commands that are not committed, as a new leader finds only those that a majority stores. With
+/// equal probability the batch being committed survives as a whole or is lost; commands queued behind it are
+/// lost.
 void crash_world::drop_uncommitted_commands() {
     m_queued_commands.clear();
     if (!m_committing_commands.empty() && is_chosen(0.5)) {
@@ -405,7 +406,7 @@
 void crash_world::receive_orders(relay& node, std::uint64_t process_number,
                                  const std::shared_ptr<job_wire::relay_orders>& frame) {
     if (node.agent == nullptr || node.process_number != process_number) {
-        return; // it died with the process
+        return; // lost with the process
     }
     if (m_now < node.stalled_until) {
         schedule_call(node.stalled_until - m_now,
@@ -446,7 +447,7 @@
 
 void crash_world::lead() {
     drop_uncommitted_commands();
-    // What the book holds goes through a snapshot: a new leader may have been restored from one.
+    // Saves and reloads the book, because a new leader may have been restored from a snapshot.
     const auto snapshot = m_book.save();
     EXPECT_TRUE(m_book.load(snapshot));
     EXPECT_EQ(m_book.save(), snapshot);
@@ -523,7 +524,7 @@
     send_report(report);
 }
 
-/// A worker calls its relay, and where that doesn't answer in time, the leader.
+/// Sends a worker's report to its relay, or to the leader when the relay does not answer in time.
 void crash_world::send_report(const worker_report& report) {
     const auto found = std::find_if(m_relays.begin(), m_relays.end(), [&](const auto& node) {
         return node->place.data_centre == report.data_centre;
@@ -625,12 +626,12 @@
         break_gang(key);
     }
     for (const auto& row : target.ended) {
-        m_histories[row.run.task].is_done = false; // nobody will learn of it
+        m_histories[row.run.task].is_done = false; // the unread end is lost with the process
     }
     target.running.clear();
     target.ended.clear();
     target.lapsed_ends.clear();
-    if (target.hold.has_value()) { // the connection ends with the process
+    if (target.hold.has_value()) { // the connection closes with the process
         complete(target.sent_hold, {order_failure::unanswered, {}});
         target.hold.reset();
     }
@@ -646,7 +647,7 @@
     }
     target.born_ms = m_settings.keeps_ids ? m_wall_ms + target.clock_offset_ms : 0;
     while (m_settings.keeps_ids && !target.start_times.insert(target.born_ms).second) {
-        ++target.born_ms; // equal times mean the same life
+        ++target.born_ms; // lives with equal start times would be the same life
     }
     target.clock_start = m_now;
     target.is_up = true;
@@ -666,7 +667,7 @@
 }
 
 void crash_world::change_capacity(worker& target) {
-    const auto part = static_cast<std::int64_t>(pick(8)); // eighths; of a shrunk one all of it again
+    const auto part = static_cast<std::int64_t>(pick(8)); // eighths; a reduced capacity is restored
     const bool is_full = target.get_capacity() == m_settings.capacity;
     auto capacity = m_settings.capacity;
     if (is_full) {
@@ -767,7 +768,7 @@
 
 void crash_world::send_answer(worker& target, const sent_order_ptr& sent, const hold_outcome& outcome) {
     if (m_now < target.one_way_partition_until) {
-        return; // its time closes it
+        return; // the sender's timeout completes the order
     }
     if (m_settings.broken_connections > 0 && is_chosen(m_settings.broken_connections)) {
         complete(sent, {order_failure::unanswered, {}});
@@ -811,11 +812,11 @@
 void crash_world::execute(const hold_order& order, worker& target, const sent_order_ptr& sent) {
     target.lease_ms =
         std::max(target.lease_ms, std::min(order.until_ms.value_or(0), get_clock(target) + max_lease_ms));
-    if (order.target.worker.born_ms == target.born_ms) { // the link lets no other life hear of it
+    if (order.target.worker.born_ms == target.born_ms) { // it is valid only for the life it names
         acknowledge(target, order.acknowledged);
     }
     if (target.hold.has_value()) {
-        answer_hold(target); // each call has its answer
+        answer_hold(target); // every hold gets an answer
     }
     target.hold = order;
     target.sent_hold = sent;
@@ -1039,7 +1040,7 @@
     }
 }
 
-// ---- what was seen
+// ---- observations
 
 int crash_world::count_running(job_id id) const {
     int running = 0;
--- a/unit_tests/dispatch/crash_world.h
+++ b/unit_tests/dispatch/crash_world.h
@@ -18,61 +18,60 @@
 
 namespace poplarpitch {
 
-/// Returns how many seeds a property is tried with: POPLARPITCH_SEEDS, or a few seconds' worth.
+/// Returns the number of seeds that each property is tested with: the value of POPLARPITCH_SEEDS, or a
+/// default that takes a few seconds in all.
 [[nodiscard]] std::uint64_t get_seed_count();
 
-/// What befalls a crash_world, each as a mean number a second; 0 for never.
+/// The workers of a crash_world and the faults injected into it. A fault without another unit is a mean rate
+/// per second; 0 disables it.
 struct crash_world_settings {
     int workers = 20;
     worker_amounts capacity{16000, 64000, 0};
-    bool enforces_capacity = true; ///< a worker refuses what does not fit
-    duration crash_after{};        ///< of tasks that crash their workers, after their start
+    bool enforces_capacity = true; ///< a worker refuses a start that exceeds its free capacity
+    duration crash_after{};        ///< delay from the start of a crashing task to the crash
     duration restart_time = seconds{3};
-    double worker_crashes = 0;    ///< of any worker, whatever runs there
-    double worker_partitions = 0; ///< a worker out of reach for 1 to 10 s, which runs on
-    double leader_losses = 0;     ///< a new leader that knows the book alone
-    double capacity_changes = 0;  ///< a worker's room shrinks to a part of it, or is whole again
-    double lost_answers = 0;      ///< share of orders that are carried out without an answer
-    bool keeps_ids = false;       ///< a worker starts again under the id that it had
+    double worker_crashes = 0;    ///< of any worker, whatever runs on it
+    double worker_partitions = 0; ///< a worker is unreachable for 1 s to `max_partition` and keeps running
+    double leader_losses = 0;     ///< a new leader takes over that knows only the book
+    double capacity_changes = 0;  ///< a worker's capacity shrinks to a part of it or is restored
+    double lost_answers = 0;      ///< share of starts that are executed without an answer
+    bool keeps_ids = false;       ///< a worker restarts under the same id
     duration restart_spread{};    ///< up to this is added to `restart_time`
-    double clock_steps = 0;       ///< the time of day at a worker jumps back by up to a minute
-    double late_orders =
-        0; ///< share of orders that come up to `max_order_delay` late, for whichever life is there
-    double late_heartbeats = 0;                   ///< the same of heartbeats
-    duration max_order_delay = milliseconds{800}; ///< less than an order's time
-    double failures = 0;                          ///< of any run, so that tasks which last end too
-
-    double delayed_answers =
-        0; ///< share of answers that come up to `max_answer_delay` after they were written
+    double clock_steps = 0;       ///< a worker's wall clock steps back by up to a minute
+    double late_orders = 0;       ///< share of orders that arrive up to `max_order_delay` late, at any life
+    double late_heartbeats = 0;   ///< share of heartbeats that arrive up to 4 s late
+    duration max_order_delay = milliseconds{800}; ///< less than the timeout of an order
+    double failures = 0;                          ///< of any run, so that long-running tasks end too
+
+    double delayed_answers = 0; ///< share of answers that are delayed by up to `max_answer_delay`
     duration max_answer_delay = milliseconds{400};
-    double broken_connections = 0; ///< share of orders that are carried out and whose connection ends then
-    double expired_orders = 0;     ///< share of orders that are carried out seconds after their time is over
-    int data_centres = 0;    ///< each with a relay for the workers there; 0: the leader calls them itself
-    double relay_stalls = 0; ///< a relay stands still for up to 5 s and then goes on with what came meanwhile
-    double relay_losses = 0; ///< a relay is lost with what it holds and is back, empty, within a second
-    duration commit_time{};  ///< up to this passes until a command is committed; what is not is lost
-    double power_losses = 0; ///< leader and relays are gone at one moment; a new leader within 0.2 to 3 s
-    double restarts_after_power_loss = 0; ///< share of workers that start again within a second of that
-    double failures_after_power_loss = 0; ///< share of runs that fail within two seconds of that
-    double departures = 0;                ///< a worker drains, refuses connections, and ends a little later
+    double broken_connections = 0; ///< share of orders that are executed and whose connection then breaks
+    double expired_orders = 0;     ///< share of orders that are executed up to seconds after their timeout
+    int data_centres = 0;    ///< each has a relay for its workers; 0: the leader calls the workers directly
+    double relay_stalls = 0; ///< a relay stalls for up to 5 s, then processes what arrived meanwhile
+    double relay_losses = 0; ///< a relay process is lost with its state; a new one starts within a second
+    duration commit_time{};  ///< maximum time of a commit; uncommitted commands may be lost with the leader
+    double power_losses = 0; ///< leader and relays are lost together; a new leader follows in 0.2 to 3 s
+    double restarts_after_power_loss = 0; ///< share of workers that restart within a second of a power loss
+    double failures_after_power_loss = 0; ///< share of runs that fail within two seconds of a power loss
+    double departures = 0;                ///< a worker drains, then refuses connections, then exits
     double unhealthy_periods = 0;         ///< a worker answers all orders with 503 for 1 to 3 s
-    double one_way_partitions = 0;        ///< a worker hears all and nobody hears it, for 1 to 10 s
-    duration max_partition = seconds{10}; ///< of `worker_partitions`, which last 1 s at least
-    bool partitions_refuse_calls =
-        false;              ///< calls to a worker that is cut off end at once, as without a route to it
-    double clock_drift = 0; ///< workers' clocks are up to this share slower
-    bool delays_heartbeats = false;         ///< the first heartbeat of a cut comes at its end
-    duration stop_time = milliseconds{100}; ///< from a stop to the end of its run
-    bool gangs_wait_for_members = false;    ///< members work once all are there and end as done together
-    bool shuffles_ends = false;             ///< a list has its ends in any order
+    double one_way_partitions = 0; ///< a worker receives all but nothing it sends arrives, for 1 to 10 s
+    duration max_partition = seconds{10}; ///< upper bound of a worker partition, which lasts at least 1 s
+    bool partitions_refuse_calls = false; ///< calls to a partitioned worker fail at once, as without a route
+    double clock_drift = 0;               ///< workers' clocks run slower by up to this share
+    bool delays_heartbeats = false;       ///< the first heartbeat sent in a partition arrives at its end
+    duration stop_time = milliseconds{100}; ///< time from a stop to the end of its run
+    bool gangs_wait_for_members = false;    ///< members start work once all are running, and end together
+    bool shuffles_ends = false;             ///< a list has its ends in random order
 
     friend bool operator==(const crash_world_settings&, const crash_world_settings&) = default;
 };
 
-/// A dispatcher, its book, and workers that run what they are told, in virtual time: tasks take their time,
-/// some crash their workers, workers come back as new lives, are cut off, change their room, and the leader
-/// is lost. What workers see is written down, so that a test can check what must hold whatever the order of
-/// all this is. The same seed gives the same run.
+/// Simulates a dispatcher, its job book and its workers in virtual time, with injected faults: tasks crash
+/// their workers, workers restart as new lives, are partitioned or change their capacity, and leaders are
+/// lost. Records what the workers observe, so that a test can check invariants for any order of events. The
+/// simulation is deterministic: the same seed gives the same run.
 class crash_world {
 public:
     crash_world(const crash_world_settings& settings, std::uint64_t seed);
@@ -84,46 +83,46 @@
     job_id submit(const std::vector<step_spec>& steps, duration length);
     /// Cancels a job.
     void cancel(job_id id);
-    /// Makes a task crash each worker that starts it.
+    /// Makes a task crash every worker that starts it, `crash_after` after the start.
     void make_killer(const task_key& task) { m_crashing_tasks.insert(task); }
-    /// Lets time pass.
+    /// Advances the simulation.
     void run(duration length);
 
     [[nodiscard]] const job_book& get_book() const { return m_book; }
     [[nodiscard]] const dispatcher& get_dispatcher() const { return m_scheduler; }
-    /// Returns how many workers crashed while a run of the task was there.
+    /// Returns the number of worker crashes during runs of the task.
     [[nodiscard]] int count_crashes(const task_key& task) const;
-    /// Returns the same of that task of a job under which most workers crashed.
+    /// Returns the largest number of worker crashes during runs of any one task of a job.
     [[nodiscard]] int count_most_crashes(job_id id) const;
-    /// Returns how often the task was started after three workers had crashed under it, by a leader that had
-    /// led for 3 s: one that has just taken over may not have heard of all that befell.
+    /// Returns how often the task was started after three worker crashes by a leader that had led for at
+    /// least 3 s. A leader that has just taken over may not know of all crashes yet.
     [[nodiscard]] int count_starts_after_three(const task_key& task) const;
-    /// Returns how many tasks run now.
+    /// Returns the number of runs of a job that are running.
     [[nodiscard]] int count_running(job_id id) const;
-    /// Returns the tasks that the dispatcher knows to stand still.
+    /// Returns the tasks that the dispatcher reports as stuck.
     [[nodiscard]] std::vector<stuck_task> find_stuck() const { return m_scheduler.find_stuck(m_now); }
-    /// Lets a share of the workers crash at one moment.
+    /// Crashes a random share of the workers at once.
     void crash_random_workers(double share);
-    /// Cuts a share of the workers off for `length`.
+    /// Partitions a random share of the workers for `length`.
     void partition_random_workers(double share, duration length);
-    /// Lets nothing befall the world any more.
+    /// Disables all faults.
     void stop_faults();
-    /// Returns how many runs of tasks ended as done.
+    /// Returns the number of runs that ended as done.
     [[nodiscard]] int get_done_runs() const { return m_done_runs; }
-    /// Returns how many runs lost their lease at their workers.
+    /// Returns the number of runs whose lease expired at their worker.
     [[nodiscard]] int get_lapsed_runs() const { return m_lapsed_runs; }
-    /// Returns how many starts came to a worker with a lease that had run out.
+    /// Returns the number of starts that reached a worker with an expired lease.
     [[nodiscard]] int get_late_leases() const { return m_late_leases; }
-    /// Returns how many workers crashed.
+    /// Returns the number of worker crashes.
     [[nodiscard]] int get_crashed_workers() const { return m_crashed; }
-    /// Returns what was seen that must never be: two runs of a task at a time, a start after a run of the
-    /// task had ended as done and that was noted or acknowledged, a start beyond a worker's room.
+    /// Returns the observed violations of invariants: two runs of a task at a time, a start after the end of
+    /// a run as done was committed or acknowledged, a start beyond a worker's capacity.
     [[nodiscard]] const std::vector<std::string>& get_violations() const { return m_violations; }
 
 private:
     struct worker;
     struct relay;
-    /// An order that its sender waits for.
+    /// An order whose sender waits for its outcome.
     struct sent_order {
         std::function<void(hold_outcome)> on_outcome;
         bool is_completed = false;
@@ -133,14 +132,13 @@
         int crashes = 0;
         int starts_after_three = 0;
         int running = 0;
-        bool is_done = false;          ///< a run ended as done, and its worker has not crashed since
-        bool is_started_since = false; ///< the task was started after that end
-        bool is_acknowledged =
-            false; ///< the worker was told to forget that end, and its lease held till then
+        bool is_done = false;          ///< a run ended as done, and its worker's life has not ended since
+        bool is_started_since = false; ///< the task was started again after that end
+        bool is_acknowledged = false;  ///< that end was acknowledged before the worker's lease expired
     };
     struct scheduled_call {
         time_point when{};
-        std::uint64_t number = 0; ///< calls of one moment come in the order in which they were made
+        std::uint64_t number = 0; ///< orders calls that are due at the same time
         std::function<void()> call;
 
         friend bool operator>(const scheduled_call& left, const scheduled_call& right) {
@@ -153,7 +151,7 @@
         return static_cast<double>(m_random() % 1000) < share * 1000;
     }
     [[nodiscard]] std::size_t pick(std::size_t count) { return static_cast<std::size_t>(m_random() % count); }
-    /// Returns a time from `least` to less than `most`.
+    /// Returns a random time of at least `least` and less than `most`.
     [[nodiscard]] duration pick_time(duration least, duration most) {
         return least + milliseconds{pick(static_cast<std::size_t>(to_milliseconds(most - least)))};
     }
@@ -183,20 +181,21 @@
     void execute(const stop_order& order, worker& target, const sent_order_ptr& sent);
     [[nodiscard]] std::optional<order_failure> start_run(const start_order& order, worker& target);
     void end_run(worker& target, const run_key& key, run_end how);
-    /// Lets a gang's run work where all of its members are there now, and its member end that waits too long.
+    /// Schedules the end of a gang's run when all members are running. Otherwise schedules the end of this
+    /// member in case the others do not start in time.
     void start_gang(const run_key& member);
-    /// Returns where the members of a gang's run are.
+    /// Returns the running members of a gang's run with their workers.
     [[nodiscard]] std::vector<std::pair<worker*, run_key>> find_members(const run_key& member) const;
     void break_gang(const run_key& member);
     void answer_hold(worker& target);
     [[nodiscard]] hold_answer make_list(const worker& target);
     void check_capacity(const worker& target);
-    /// Gives an order's sender its outcome, once.
+    /// Passes the outcome to the order's sender unless it already has one.
     static void complete(const sent_order_ptr& sent, const hold_outcome& outcome);
-    /// Lets a worker's answer, which is written now, go to its sender.
+    /// Sends an answer that a worker writes now; faults may delay or lose it.
     void send_answer(worker& target, const sent_order_ptr& sent, const hold_outcome& outcome);
     void time_out_after(duration wait, const sent_order_ptr& sent);
-    /// Returns the answer to a start or stop: with the worker's clock where there are relays.
+    /// Returns the answer to a start or stop. It contains the worker's clock when there are relays.
     [[nodiscard]] hold_outcome make_outcome(const worker& target, std::optional<order_failure> failure) const;
 
     void inject_control_faults();
@@ -232,7 +231,7 @@
     std::priority_queue<scheduled_call, std::vector<scheduled_call>, std::greater<>> m_scheduled_calls;
     std::uint64_t m_next_call = 0;
     std::map<job_id, duration> m_lengths;
-    std::map<job_id, std::shared_ptr<const step_job>> m_jobs; ///< a relayed order has only the payload
+    std::map<job_id, std::shared_ptr<const step_job>> m_jobs; ///< a relayed order contains only the payload
     std::set<task_key> m_crashing_tasks;
     std::map<task_key, task_history> m_histories;
     std::vector<std::string> m_violations;
--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -45,7 +45,7 @@
             }
         }
     }
-    ADD_FAILURE() << "the dispatcher never came to rest";
+    ADD_FAILURE() << "the dispatcher did not become idle";
 }
 
 void dispatch_world::advance(duration length) {
@@ -197,13 +197,13 @@
         }
         advance(step);
     }
-    ADD_FAILURE() << "no hold at " << worker;
+    ADD_FAILURE() << "no hold pending at " << worker;
 }
 
 void dispatch_world::end_process(const std::string& id) {
     const auto* state = find_worker(id);
     if (state != nullptr && state->is_hold_pending) {
-        fail_hold(id); // its connection ends with the process
+        fail_hold(id); // its connection closes with the process
     }
 }
 
--- a/unit_tests/dispatch/dispatch_world.h
+++ b/unit_tests/dispatch/dispatch_world.h
@@ -8,46 +8,46 @@
 
 namespace poplarpitch {
 
-/// Where all workers of a world belong.
+/// The pool of all workers of a dispatch_world.
 inline constexpr const char* world_pool = "mill";
 
-/// A dispatcher with a book that commits at once, and a clock that a test advances. Orders are kept for the
-/// test to answer, so that it can place a fault between any two steps.
+/// A dispatcher with a job book that commits at once and a clock that the test advances. Keeps the orders for
+/// the test to answer, so that the test can inject a fault between any two steps.
 class dispatch_world {
 public:
     dispatch_world();
 
-    /// Lets time pass in one step, then ticks and commits.
+    /// Advances the clock in one step, then runs the dispatcher until it is idle.
     void advance(duration step);
-    /// Commits all commands and ticks until there are none.
+    /// Ticks the dispatcher and commits its commands until there are none.
     void run_until_idle();
-    /// Leads in the next term with all soft state forgotten.
+    /// Makes the dispatcher lead in the next term, without its former soft state.
     void lead();
-    /// Makes a worker known: heartbeat, and the first hold answered with an empty list.
+    /// Registers a worker: sends a heartbeat and answers the first hold with an empty list.
     void add_worker(const std::string& id, const worker_amounts& capacity = {64000, 256000, 0},
                     const std::string& rack = "r1");
-    /// Lets a worker's process end without a word and its machine come back as a new life at the same
-    /// address, which runs nothing: its heartbeat, its list, and the answer that the old life is gone.
+    /// Restarts a worker under a new id at the same address, without deregistering the old life. The new life
+    /// runs nothing. It sends a heartbeat and a list, and a hold for the old id is refused with `other_life`.
     void restart_with_new_id(const std::string& id, const std::string& next_id);
-    /// Lets a worker's process end without a word and start again under the same id, at `born_ms` by its own
-    /// clock. Only its first heartbeat is sent.
+    /// Restarts a worker under the same id, with start time `born_ms` by its own clock, without deregistering
+    /// the old life. Sends only the first heartbeat of the new life.
     void restart_with_same_id(const std::string& id, std::int64_t born_ms);
-    /// Returns the life that the worker is at.
+    /// Returns the worker's current life.
     [[nodiscard]] worker_life get_life(const std::string& id) const;
-    /// Returns what the dispatcher knows of that life, or null.
+    /// Returns the dispatcher's state of the worker's current life, or null.
     [[nodiscard]] const worker_state* find_worker(const std::string& id) const;
-    /// Sends a heartbeat of a worker that was added.
+    /// Sends a heartbeat. Precondition: the worker was added.
     void send_heartbeat(const std::string& id, bool is_leaving = false, std::int64_t remaining_ms = 0);
-    /// Submits a job of steps to a queue with these attempts. Returns its id.
+    /// Submits a job to a queue with these attempts and priority. Returns its id.
     job_id submit(const std::vector<step_spec>& steps, std::uint32_t max_attempts = 3, int priority = 0);
-    /// Submits a job to a queue whose policy needs advice; tickets hold for 3 s.
+    /// Submits a job to a queue that requires advice; tickets are valid for 3 s.
     job_id submit_advised(const std::vector<step_spec>& steps);
-    /// Submits a job that runs at its times.
+    /// Submits a timed job.
     job_id submit_timed(const std::vector<step_spec>& steps, const job_schedule& schedule);
     /// Cancels a job.
     void cancel(job_id id);
 
-    /// Takes the orders of one kind that were given since the last call; the others are kept.
+    /// Returns and removes the orders of one kind since the last call; keeps the others.
     template <class Order>
     std::vector<Order> take() {
         collect();
@@ -64,19 +64,19 @@
         return found;
     }
 
-    /// Answers the only start that was given since the last were taken, and returns it.
+    /// Confirms the only start since the last ones were taken, and returns it.
     start_order start_one();
     /// Answers a start and commits.
     void answer(const start_order& order, std::optional<order_failure> failure = {});
     /// Answers a stop and commits.
     void answer(const stop_order& order, std::optional<order_failure> failure = {});
-    /// Answers the hold under way at a worker and commits.
+    /// Answers the pending hold at a worker and commits.
     void answer_hold(const std::string& worker, const hold_answer& answer);
-    /// Fails the hold under way at a worker and commits.
+    /// Fails the pending hold at a worker and commits.
     void fail_hold(const std::string& worker, order_failure failure = order_failure::unanswered);
-    /// Takes up the hold at a worker, letting time pass until there is one.
+    /// Advances the clock until a hold is pending at a worker.
     void wait_for_hold(const std::string& worker);
-    /// Returns the list of a worker that runs nothing.
+    /// Returns the hold answer of a worker that runs nothing.
     [[nodiscard]] static hold_answer make_empty_list();
 
     job_book book;
--- a/unit_tests/dispatch/dispatcher_admission_test.cpp
+++ b/unit_tests/dispatch/dispatcher_admission_test.cpp
@@ -1,4 +1,4 @@
-// Which jobs are taken when there is too little room for all.
+// Which jobs are admitted when there is too little capacity for all.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -32,8 +32,8 @@
     world.advance(seconds{4});
 }
 
-/// Load pattern, as recorded: within a second jobs that last ask for more than the whole pool, before any
-/// other job has come. All were taken, and short tasks found no whole core for as long as the jobs lasted.
+/// Recorded load pattern: within one second and before any other job, long-running jobs request more than the
+/// capacity of the whole pool. All were admitted, and short tasks found no free core until the jobs ended.
 TEST(dispatcher_admission, keeps_room_for_short_tasks_when_lasting_jobs_request_more_than_the_pool_has) {
     dispatch_world world;
     add_workers(world);
@@ -43,7 +43,7 @@
         if (world.scheduler.admit(job, world.now).is_taken()) {
             admitted_millicores += job.get_lasting_millicores();
             world.submit(job.steps);
-            world.scheduler.on_not_accepted(id); // counted under the number that the world gave it
+            world.scheduler.on_not_accepted(id); // the world counts it under its own id
         }
     }
     EXPECT_LE(admitted_millicores, workers * worker_millicores * 8 / 10);
@@ -54,7 +54,7 @@
     EXPECT_EQ(world.take<start_order>().size(), 16U);
 }
 
-/// Load pattern: all callers come back at once after a power loss; the leader's timers are 0.6 s late.
+/// Load pattern: all callers retry at once after a power loss; the leader's timers are 0.6 s late.
 TEST(dispatcher_admission, takes_no_new_jobs_while_the_leader_is_far_behind_and_spreads_their_return) {
     dispatch_world world;
     add_workers(world);
@@ -63,8 +63,7 @@
     job.steps = {make_step()};
     world.scheduler.on_load({1.0, milliseconds{300}});
     job.id = 200;
-    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_taken())
-        << "late, but its start still comes in time";
+    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_taken()) << "late, but its start is still in time";
     world.scheduler.on_load({1.0, milliseconds{600}});
     std::set<duration> waits;
     for (job_id id = 300; id < 400; ++id) {
--- a/unit_tests/dispatch/dispatcher_advice_test.cpp
+++ b/unit_tests/dispatch/dispatcher_advice_test.cpp
@@ -1,4 +1,4 @@
-// Queues whose policy allows only some workers: no start without a ticket, few calls.
+// Queues that require advice: no start without a ticket, and few calls to the advice service.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
--- a/unit_tests/dispatch/dispatcher_audit_test.cpp
+++ b/unit_tests/dispatch/dispatcher_audit_test.cpp
@@ -1,5 +1,4 @@
-// Tasks that stand still through a fault of the leader's own, or of a worker that breaks its promises, are
-// found.
+// Detection of tasks that are stuck through a fault of the leader or a worker that violates the protocol.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -10,7 +9,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Answers the worker's holds with a list for this long.
+/// Answers the holds at w1 with `list` for `length`.
 void answer_holds(dispatch_world& world, const hold_answer& list, duration length) {
     const auto end = world.now + length;
     while (world.now < end) {
@@ -27,7 +26,7 @@
     auto second = make_step();
     second.depends_on = {0};
     world.submit({make_step(), second});
-    world.submit({make_step()}); // has no room
+    world.submit({make_step()}); // finds no room
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U);
     world.answer(starts[0]);
@@ -70,7 +69,7 @@
     hold_answer list;
     list.ended.push_back({1, starts[0].run, run_end::done, ""});
     world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
-    EXPECT_EQ(world.scheduler.take_commands().size(), 1U); // lost
+    EXPECT_EQ(world.scheduler.take_commands().size(), 1U); // the command is lost
     EXPECT_TRUE(world.scheduler.find_stuck(world.now + seconds{5}).empty()) << "a disk may hang for seconds";
     const std::vector<stuck_task> expected = {{starts[0].run, stuck_reason::end_not_committed}};
     EXPECT_EQ(world.scheduler.find_stuck(world.now + seconds{11}), expected);
@@ -79,7 +78,7 @@
 TEST(dispatcher_audit, finds_a_run_that_the_leader_does_not_follow) {
     dispatch_world world;
     const auto job = world.submit({make_step()});
-    job_wire::job_command command; // of another leader, which this one was not told of
+    job_wire::job_command command; // of another leader, unknown to this one
     command.mutable_assign()->mutable_task()->set_job(job);
     command.mutable_assign()->set_run(1);
     command.mutable_assign()->set_worker("w9");
--- a/unit_tests/dispatch/dispatcher_copy_test.cpp
+++ b/unit_tests/dispatch/dispatcher_copy_test.cpp
@@ -1,4 +1,4 @@
-// Second runs of tasks that are far behind, where their callers allow copies.
+// Speculative second runs (copies) of slow tasks, where their callers allow them.
 #include "poplarpitch/dispatch/copy_need.h"
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
@@ -17,7 +17,7 @@
     return step;
 }
 
-/// Two workers, and a task that runs on one of them and is far from done after three times its estimate.
+/// Two workers, and a task on one of them that is at 10% after three times its estimate.
 class slow_task {
 public:
     explicit slow_task(const step_spec& step, bool has_waiting_tasks = false) {
@@ -32,7 +32,7 @@
         report_progress(percent);
         if (has_waiting_tasks) {
             auto large = make_step();
-            large.millicores = 1'000'000; // no worker holds it
+            large.millicores = 1'000'000; // exceeds the capacity of every worker
             world.submit({large});
         }
         world.advance(milliseconds{3 * estimate_ms});
@@ -53,7 +53,7 @@
         world.answer_hold(first.target.worker.id, list);
     }
 
-    /// Lets the copy be started, and confirms it.
+    /// Advances the clock until the copy is started, and confirms its start.
     void start_copy() {
         world.advance(milliseconds{300});
         const auto copies = world.take<start_order>();
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -1,16 +1,16 @@
-// Tasks that take their workers along.
+// Tasks that crash their workers.
 //
-// Two tasks were started 31 times each within 126 s. Each start ended a worker within 10 ms, and with it
-// eight neighbours on average; 286 workers came back as new lives, three seconds later each. The leader took
-// every loss for the worker's own: an end by the loss of a worker counted against nothing, so the task was
-// ready again at once and went to the next worker, before and after a change of the leader. These lines
-// settled it:
+// Two tasks were started 31 times each within 126 s. Each start crashed a worker within 10 ms, together with
+// eight other runs on average; 286 workers restarted as new lives, each three seconds later. The leader
+// attributed every loss to the worker: a run that ended because its worker was lost counted against nothing.
+// So the task was ready again at once and was assigned to the next worker, before and after a change of the
+// leader. These log lines showed it:
 //   event=run_started ... run=6 worker=i-57a91c9ea3 wait_ms=19
 //   event=worker_silent worker=i-57a91c9ea3 reason=unreachable runs=9     (0.14 s later)
 //   event=worker_lost worker=i-57a91c9ea3 reason=another_life_answers runs=9     (3.1 s later)
 //   event=run_ended ... run=6 worker=i-57a91c9ea3 end=lost
 //   event=run_started ... run=7 worker=i-7f453ac0e7 wait_ms=31
-// Crashes are counted with the task since, in the replicated state, and it is given up after two or three.
+// Since then the replicated state counts the crashes of each task, and a task is given up after two or three.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -23,7 +23,7 @@
 namespace poplarpitch {
 namespace {
 
-// After three crashes a task may be started twice more: the third start would be one too many.
+// After three crashes a task may be started at most twice more.
 constexpr int max_starts = 5;
 constexpr int round_count = 12;
 constexpr duration restart_time = seconds{3};
@@ -34,7 +34,7 @@
     }
 }
 
-/// Lets each start of the job end its worker, which comes back as a new life. Returns how many there were.
+/// Crashes the worker at each start of the job and restarts it as a new life. Returns the number of starts.
 int crash_at_each_start(dispatch_world& world, job_id crashing_job, int rounds) {
     int starts = 0;
     for (int round = 0; round < rounds; ++round) {
@@ -80,7 +80,7 @@
     EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
 }
 
-/// Takes all starts and lets the workers confirm them.
+/// Takes all starts and confirms them.
 std::vector<start_order> confirm_starts(dispatch_world& world) {
     auto starts = world.take<start_order>();
     for (const auto& order : starts) {
@@ -89,7 +89,7 @@
     return starts;
 }
 
-/// Lets a worker list what it runs, so that it is heard.
+/// Answers the next hold at a worker with the runs of `starts` that are on it.
 void list_runs(dispatch_world& world, const std::string& worker, const std::vector<start_order>& starts) {
     hold_answer list;
     for (const auto& order : starts) {
@@ -101,7 +101,7 @@
     world.answer_hold(worker, list);
 }
 
-/// Lets a worker list what it runs for this long.
+/// Answers the holds at a worker with its runs for `length`.
 void run_without_crash(dispatch_world& world, const std::string& worker,
                        const std::vector<start_order>& starts, duration length) {
     const auto end = world.now + length;
@@ -110,12 +110,12 @@
     }
 }
 
-/// Lets all holds at a worker fail for this long.
+/// Fails all holds at a worker for `length`.
 void fail_holds(dispatch_world& world, const std::string& worker, duration length) {
     const auto end = world.now + length;
     while (world.now < end) {
         const auto* state = world.find_worker(worker);
-        ASSERT_NE(state, nullptr) << "forgotten before its machine came back";
+        ASSERT_NE(state, nullptr) << "forgotten before it restarted";
         if (state->is_hold_pending) {
             world.fail_hold(worker);
         }
@@ -154,7 +154,7 @@
         worker += "+";
     }
     world.cancel(neighbour);
-    EXPECT_TRUE(world.take<start_order>().empty()) << "it is tried after a pause";
+    EXPECT_TRUE(world.take<start_order>().empty()) << "it is retried after a pause";
     world.add_worker("other");
     world.advance(milliseconds{600});
     const auto alone = confirm_starts(world);
@@ -261,8 +261,8 @@
     ASSERT_EQ(starts.size(), 1U);
     const auto& worker = starts[0].target.worker.id;
     fail_holds(world, worker, seconds{15});
-    ASSERT_EQ(confirm_starts(world).size(), 1U) << "the lease was over";
-    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U) << "it may only be out of reach";
+    ASSERT_EQ(confirm_starts(world).size(), 1U) << "the lease has lapsed";
+    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U) << "it may only be unreachable";
     world.restart_with_new_id(worker, worker + "+");
     EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 1U);
 }
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -1,4 +1,4 @@
-// Every ground on which a run ends for the book: what it takes, and what looks like it and proves nothing.
+// Every reason for which the book takes a run as ended, and similar evidence that does not end a run.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -9,27 +9,28 @@
 
 constexpr std::int64_t first_life = 1'700'000'000'000;
 constexpr std::int64_t second_life = first_life + 5000;
-constexpr std::int64_t clock_lag_ms = 900; // a late heartbeat's clock behind the newest one
+constexpr std::int64_t clock_lag_ms = 900; // how far the clock of a late heartbeat is behind the newest one
 
-/// Adds a worker that tells when it started.
+/// Adds a worker that reports its start time.
 void add_worker_with_start_time(dispatch_world& world) {
     world.add_worker("w1");
     world.restart_with_same_id("w1", first_life);
-    for (int round = 0; round < 2; ++round) { // who it is, and again under its own fence
+    for (int round = 0; round < 2;
+         ++round) { // the first identifies the life, the second is under its own fence
         world.wait_for_hold("w1");
         world.answer_hold("w1", dispatch_world::make_empty_list());
     }
     static_cast<void>(world.take<hold_order>());
 }
 
-/// Returns the only start that was given since the last were taken.
+/// Takes the starts since the last call and returns the only one.
 start_order take_only_start(dispatch_world& world) {
     const auto starts = world.take<start_order>();
     EXPECT_EQ(starts.size(), 1U);
     return starts.at(0);
 }
 
-/// Returns the first stop that is given, which may wait for the worker's back-off.
+/// Advances the clock until there is a stop, which may wait for the worker's back-off, and returns it.
 stop_order wait_for_stop(dispatch_world& world) {
     constexpr int max_rounds = 50;
     for (int round = 0; round < max_rounds; ++round) {
@@ -48,7 +49,7 @@
     return list;
 }
 
-/// Lets holds fail until `end`; nothing may be started elsewhere until then.
+/// Fails the holds at w1 until `end`; nothing may be started elsewhere until then.
 void fail_holds_until(dispatch_world& world, time_point end) {
     while (world.now < end) {
         if (world.find_worker("w1")->is_hold_pending) {
@@ -56,7 +57,7 @@
         }
         world.advance(milliseconds{25});
         for (const auto& order : world.take<start_order>()) {
-            ASSERT_EQ(order.target.worker.id, "w1") << "its lease may last";
+            ASSERT_EQ(order.target.worker.id, "w1") << "its lease may still be valid";
         }
     }
 }
@@ -89,14 +90,14 @@
     world.wait_for_hold("w1"); // its list is written now and comes late
     const auto job = world.submit({make_step()});
     const auto order = take_only_start(world);
-    world.answer(order, order_failure::unanswered); // carried out after the list was written
+    world.answer(order, order_failure::unanswered); // executed after the list was written
     world.cancel(job);
     const auto stop = wait_for_stop(world);
     world.advance(milliseconds{10});
     world.answer(stop);
     world.answer_hold("w1", make_list_of(first.run));
     const auto* track = world.scheduler.find_track(order.run);
-    ASSERT_NE(track, nullptr) << "it may take the time of a stop to end";
+    ASSERT_NE(track, nullptr) << "it may still be stopping";
     EXPECT_FALSE(track->is_ending);
 }
 
@@ -108,7 +109,7 @@
     world.answer(order, order_failure::unanswered);
     world.cancel(job);
     world.answer(wait_for_stop(world));
-    for (int round = 0; round < 2; ++round) { // the first may have been asked for before
+    for (int round = 0; round < 2; ++round) { // the first may have been requested before the stop
         world.advance(milliseconds{20});
         world.wait_for_hold("w1");
         world.answer_hold("w1", dispatch_world::make_empty_list());
@@ -183,13 +184,13 @@
     world.add_worker("w1");
     world.send_heartbeat("w1");
     const run_key stray{{{77, 0, 0}, 0}, 1};
-    world.lead(); // one that knows neither the run nor its job
+    world.lead(); // a leader that knows neither the run nor its job
     world.send_heartbeat("w1");
-    for (int round = 0; round < 3; ++round) { // the first stops are lost on their way
+    for (int round = 0; round < 3; ++round) { // the first stops are lost
         world.wait_for_hold("w1");
         const auto holds = world.take<hold_order>();
         ASSERT_EQ(holds.size(), 1U);
-        EXPECT_EQ(holds[0].until_ms.has_value(), round == 0) << "nothing prolongs what is not to be there";
+        EXPECT_EQ(holds[0].until_ms.has_value(), round == 0) << "no lease is renewed for a stray run";
         world.answer_hold("w1", make_list_of(stray));
         const auto stops = world.take<stop_order>();
         ASSERT_EQ(stops.size(), 1U);
@@ -199,7 +200,7 @@
     world.answer_hold("w1", dispatch_world::make_empty_list());
     static_cast<void>(world.take<hold_order>());
     world.advance(seconds{1});
-    EXPECT_TRUE(world.take<hold_order>().empty()) << "a worker that runs nothing is not asked";
+    EXPECT_TRUE(world.take<hold_order>().empty()) << "no hold is sent to a worker that runs nothing";
 }
 
 TEST(dispatcher_ending, waits_the_lease_with_the_drift_of_the_clock_and_a_margin) {
@@ -217,7 +218,8 @@
         if (world.find_worker("w1")->is_hold_pending) {
             world.fail_hold("w1");
         }
-        world.advance(milliseconds{11}); // no part of a lease: what is over is found in the next step
+        world.advance(
+            milliseconds{11}); // not a divisor of a lease: an expired one is noticed in the next step
         for (const auto& hold : world.take<hold_order>()) {
             granted = hold.until_ms.has_value() && hold.target.worker.id == "w1" ? world.now : granted;
         }
@@ -324,12 +326,12 @@
     }
     const auto next = wait_for_stop(world);
     EXPECT_EQ(next.target.worker.born_ms, second_life);
-    world.answer(former); // what the former life did says nothing of the next one
+    world.answer(former); // the former life's answer does not count for the next one
     world.answer(next, order_failure::unanswered);
     EXPECT_EQ(wait_for_stop(world).target.worker.born_ms, second_life);
 }
 
-/// Returns how long the longest lease may count at a worker whose clock is slow, by the leader's clock.
+/// Returns how long the longest lease may last at a worker with a slow clock, by the leader's clock.
 duration get_longest_span() {
     const dispatch_settings settings;
     return std::chrono::duration_cast<duration>(settings.longest_lease * (1 + settings.clock_drift)) +
--- a/unit_tests/dispatch/dispatcher_history_log_test.cpp
+++ b/unit_tests/dispatch/dispatcher_history_log_test.cpp
@@ -1,4 +1,4 @@
-// From the logs alone: on what ground each run was taken for started, taken over and ended.
+// The logs state for which reason each run was considered started, taken over and ended.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/log_capture.h"
 #include "unit_tests/dispatch/test_steps.h"
--- a/unit_tests/dispatch/dispatcher_job_test.cpp
+++ b/unit_tests/dispatch/dispatcher_job_test.cpp
@@ -1,4 +1,4 @@
-// What becomes of jobs: dependencies, attempts, gangs, copies, cancelling, occurrences.
+// Job execution: dependencies, attempts, gangs, cancellation, placement limits and occurrences.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -46,7 +46,7 @@
     world.add_worker("w2");
     const auto job = world.submit({make_step()}, 2);
     for (std::uint64_t attempt = 1; attempt <= 2; ++attempt) {
-        world.advance(seconds{10}); // a worker that failed is rested
+        world.advance(seconds{10}); // a worker with a failed run is paused
         const auto starts = world.take<start_order>();
         ASSERT_EQ(starts.size(), 1U);
         world.answer(starts[0]);
@@ -121,7 +121,7 @@
     dispatch_world world;
     world.add_worker("w1", {3500, 250, 0});
     world.submit({make_step(10)});
-    EXPECT_EQ(world.take<start_order>().size(), 2U); // memory binds
+    EXPECT_EQ(world.take<start_order>().size(), 2U); // memory is the limit
 }
 
 TEST(dispatcher_job, places_small_tasks_behind_large_ones_that_find_no_room) {
@@ -170,7 +170,7 @@
     auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U);
     EXPECT_EQ(starts[0].run.task.step,
-              (step_key{timed, 0, 0})); // its job is a minute old, the occurrence is not
+              (step_key{timed, 0, 0})); // the job is a minute old, the occurrence is not
     world.answer(starts[0]);
     end_run(world, starts[0], 1, run_end::done);
     starts = world.take<start_order>();
@@ -211,7 +211,7 @@
     const auto first = world.take<start_order>();
     ASSERT_EQ(first.size(), 1U);
     world.answer(first[0]);
-    world.advance(seconds{60}); // far beyond what a job that ends may take
+    world.advance(seconds{60}); // far longer than a job that ends may take
     world.send_heartbeat("w1", true, 5000);
     end_run(world, first[0], 1, run_end::failed);
     world.advance(seconds{3});
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -1,5 +1,5 @@
-// Workers that fall silent, die, leave or come back: every run is given up once, and only when it surely
-// ended.
+// Workers that become silent, crash, leave or restart: every run is given up once, and only when it has
+// surely ended.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -87,7 +87,7 @@
     world.start_one();
     world.wait_for_hold("w1");
     world.fail_hold("w1", order_failure::other_life);
-    world.send_heartbeat("w1"); // delayed on its way
+    world.send_heartbeat("w1"); // delayed in the network
     world.advance(seconds{1});
     EXPECT_TRUE(world.take<start_order>().empty());
 }
@@ -108,7 +108,7 @@
     EXPECT_TRUE(world.take<start_order>().empty());
     world.add_worker("w2");
     world.advance(milliseconds{20});
-    EXPECT_EQ(world.take<start_order>().size(), 1U); // the new job; the stopped run has not been listed yet
+    EXPECT_EQ(world.take<start_order>().size(), 1U); // of the new job; the stopped run is not listed yet
     world.wait_for_hold("w1");
     world.fail_hold("w1"); // answered before the stop
     world.advance(milliseconds{200});
@@ -128,11 +128,11 @@
     world.submit({make_step()});
     const auto first = world.take<start_order>();
     ASSERT_EQ(first.size(), 1U);
-    world.answer(first[0], order_failure::unanswered); // it may be carried out
+    world.answer(first[0], order_failure::unanswered); // it may be executed
     world.send_heartbeat("w1", true, 2000);
     world.advance(milliseconds{300});
     EXPECT_TRUE(world.take<start_order>().empty()); // not repeated
-    EXPECT_EQ(world.take<stop_order>().size(), 1U); // but undone
+    EXPECT_EQ(world.take<stop_order>().size(), 1U); // but undone by a stop
 }
 
 TEST(dispatcher_loss, a_new_leader_adopts_what_runs_and_restarts_what_never_came) {
@@ -173,7 +173,7 @@
     EXPECT_EQ(stops[0].run, stray);
 }
 
-/// Lets worker w1 run two tasks and list the end of the first, which is not committed yet.
+/// Starts two tasks on w1 and lists the end of the first, which is not committed yet.
 void list_one_end_of_two_runs(dispatch_world& world) {
     world.add_worker("w1");
     world.submit({make_step(2)});
@@ -200,9 +200,9 @@
 TEST(dispatcher_loss, sends_the_next_hold_only_once_the_listed_ends_are_committed) {
     dispatch_world world;
     list_one_end_of_two_runs(world);
-    const auto commands = world.scheduler.take_commands(); // a commit that takes its time
+    const auto commands = world.scheduler.take_commands(); // a slow commit
     world.advance(milliseconds{100});
-    EXPECT_TRUE(world.take<hold_order>().empty()); // it would come back at once with the same end
+    EXPECT_TRUE(world.take<hold_order>().empty()); // it would return at once with the same end
     for (const auto& command : commands) {
         std::vector<book_event> events;
         world.book.apply(command, events);
@@ -233,7 +233,7 @@
     const auto unanswered = world.take<start_order>();
     ASSERT_EQ(unanswered.size(), 1U);
     world.add_worker("w2");
-    world.answer(unanswered[0], order_failure::unreachable); // the worker crashed before it came
+    world.answer(unanswered[0], order_failure::unreachable); // the worker crashed before it arrived
     bool is_elsewhere = false;
     for (int turn = 0; turn < 120 && !is_elsewhere; ++turn) {
         world.advance(milliseconds{100});
@@ -266,9 +266,9 @@
     EXPECT_EQ(holds[0].acknowledged, 0U);
 }
 
-// A leader was killed 2 s after four workers had crashed. The next leader knew these lives by name only, from
-// the log, and had nowhere to ask for them: their machines were back a second later, and still the forty
-// tasks that had run there waited for the whole lease, 7.4 s, before they were started again:
+// A leader was killed 2 s after four workers had crashed. The next leader knew these lives only by id, from
+// the log, and had no address to call. Although the machines restarted a second later, the forty tasks that
+// had run there waited for the whole lease, 7.4 s, before they were started again:
 //   event=role_changed role=follower term=2     (24.7 s)
 //   four workers crash within 1 ms     (32.2 s: all leases ended together)
 TEST(dispatcher_loss, a_new_leader_calls_the_logged_address_of_a_life_it_never_heard_from) {
--- a/unit_tests/dispatch/dispatcher_order_test.cpp
+++ b/unit_tests/dispatch/dispatcher_order_test.cpp
@@ -1,4 +1,4 @@
-// Which of several waiting jobs gets the room that comes free when there is too little for all.
+// Which waiting job gets capacity that becomes free when there is too little for all.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t worker_cores = 8;
 
-/// A worker that one task fills.
+/// A worker whose capacity one running task uses up.
 class full_worker {
 public:
     full_worker() {
@@ -22,7 +22,7 @@
         confirm_start();
     }
 
-    /// Runs jobs one after the other that all take as long, with guesses from a tenth to ten times of it.
+    /// Runs jobs one after the other that all take `length`, with estimates from a tenth to ten times of it.
     void run_jobs_of_equal_length(duration length) {
         for (const double off : {0.1, 0.3, 1.0, 3.0, 10.0, 0.1, 0.3, 1.0, 3.0, 10.0}) {
             submit(1, static_cast<std::int64_t>(off * static_cast<double>(to_milliseconds(length))));
@@ -39,7 +39,7 @@
         return world.submit({step});
     }
 
-    /// Submits tasks that fill the worker and take this much memory.
+    /// Submits tasks that use all cores of the worker and this much memory.
     job_id submit_large(std::uint32_t tasks, std::int64_t estimate_ms, std::int64_t memory_mb) {
         auto step = make_step(tasks);
         step.millicores = worker_cores * 1000;
@@ -48,13 +48,13 @@
         return world.submit({step});
     }
 
-    /// Takes the start that `free_room` saw for the task that fills the worker now.
+    /// Confirms the start that `free_room` took; its task now occupies the worker.
     void confirm_last_start() {
         m_running = m_last.run;
         world.answer(m_last);
     }
 
-    /// Ends the task that fills the worker. Returns the job that gets its room.
+    /// Ends the running task. Returns the job that gets its room.
     job_id free_room() {
         end_running_task();
         const auto starts = world.take<start_order>();
@@ -109,9 +109,9 @@
     EXPECT_EQ(worker.free_room(), later);
 }
 
-/// Load pattern: what is left of an overload when its callers have gone. All jobs are too late to matter, the
-/// least late one took each gap, and the others stood still for as long as it had tasks, in a pool that was
-/// half empty.
+/// Load pattern: the rest of an overload after its callers have left. All jobs have missed their objectives.
+/// The least late one took all capacity that became free, and the others starved until it had no more tasks,
+/// in a pool that was half empty.
 TEST(dispatcher_order, lets_no_job_stand_still_for_long_in_a_pool_with_room) {
     full_worker worker;
     worker.world.add_worker("w2", {worker_cores * 2000, 1000, 0}); // too little memory for any of these tasks
@@ -132,13 +132,14 @@
     EXPECT_TRUE(served.contains(later));
 }
 
-/// Load pattern: overload of jobs that all take 2 s, guessed at 200 ms to 20 s. By its guess alone a job
-/// guessed at 200 ms was taken for lost after 1.4 s, while it had three more, and waited behind all others.
+/// Load pattern: an overload of jobs that all take 2 s, with estimates of 200 ms to 20 s. By its estimate
+/// alone, a job with an estimate of 200 ms was treated as hopelessly late after 1.4 s, while it had three
+/// more, and waited behind all others.
 TEST(dispatcher_order, does_not_treat_a_job_as_hopelessly_late_because_of_an_unreliable_estimate) {
     full_worker worker;
     worker.run_jobs_of_equal_length(seconds{2});
     const auto underestimated = worker.submit(1, 200);
-    worker.world.advance(milliseconds{2500}); // its objective is about 5 s, and 1.4 s by the guess
+    worker.world.advance(milliseconds{2500}); // its objective is about 5 s, and 1.4 s by the estimate
     worker.submit(1, 2000);
     EXPECT_EQ(worker.free_room(), underestimated);
 }
--- a/unit_tests/dispatch/dispatcher_pressure_test.cpp
+++ b/unit_tests/dispatch/dispatcher_pressure_test.cpp
@@ -1,5 +1,5 @@
-// Filling tasks beside serving ones: paced when a tail passes its target, moved away from workers that are
-// unsound.
+// Filling tasks beside serving tasks: slowed when a tail latency exceeds its target, moved away from unsound
+// workers.
 #include "unit_tests/dispatch/dispatch_world.h"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,8 @@
     return step;
 }
 
-/// Starts everything that waits and lists it as running with these levels.
+/// Confirms all starts, then answers the next hold at a worker with its runs: serving tasks with this tail
+/// latency, filling tasks with this use and progress.
 void run_all(dispatch_world& world, const std::string& worker, std::int64_t tail, std::int64_t used,
              std::int64_t percent = 20) {
     for (const auto& start : world.take<start_order>()) {
@@ -51,10 +52,10 @@
     world.answer_hold(worker, list);
 }
 
-/// Lets the serving tasks that wait start at `w1`, and then so many filling ones that cannot be moved without
-/// loss, two fifths done and at full speed. Returns the paces of these.
+/// Starts the waiting serving tasks on `w1`, then `count` filling tasks without checkpoints, at 40% progress
+/// and full speed. Returns the paces of the filling tasks.
 std::map<run_key, int> start_beside_serving(dispatch_world& world, std::uint32_t count) {
-    world.advance(seconds{2}); // the only worker is kept open for short tasks as long as they can wait
+    world.advance(seconds{2}); // the only worker is kept free for short tasks while serving tasks can wait
     run_all(world, "w1", 15, 0);
     auto filling = make_filling(count);
     filling.checkpointing = false;
@@ -69,7 +70,7 @@
     return paces;
 }
 
-/// Answers the pace orders and notes them.
+/// Confirms the pace orders and records the paces.
 void apply_pace_orders(dispatch_world& world, std::map<run_key, int>& paces) {
     for (const auto& order : world.take<pace_order>()) {
         world.scheduler.on_pace(order.run, order.percent, {}, world.now);
@@ -81,7 +82,7 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_serving(3)});
-    world.advance(seconds{2}); // the only worker is kept open for short tasks as long as they can wait
+    world.advance(seconds{2}); // the only worker is kept free for short tasks while serving tasks can wait
     run_all(world, "w1", 15, 0);
     world.submit({make_filling(2)}, 3, 2);
     run_all(world, "w1", 15, 6000);
@@ -90,12 +91,12 @@
     run_all(world, "w1", 120, 6000);
     const auto paces = world.take<pace_order>();
     ASSERT_EQ(paces.size(), 2U);
-    EXPECT_LE(paces[0].percent + paces[1].percent, 61); // seven tenths of all pressure go
+    EXPECT_LE(paces[0].percent + paces[1].percent, 61); // seven tenths of all pressure are removed
 }
 
-/// Load pattern, as recorded: two tasks that cannot be moved without loss fill beside a tail whose own load
-/// rises. One was stopped, the other slowed to the same third time and again, and the tail stood at 1.2
-/// to 1.8 times its target for 10 s.
+/// Recorded load pattern: two filling tasks that cannot be moved without loss of work run beside a serving
+/// task whose own load rises. One was stopped and the other slowed repeatedly to the same third, and the tail
+/// latency stayed at 1.2 to 1.8 times its target for 10 s.
 TEST(dispatcher_pressure, stops_all_that_keeps_a_tail_over_its_target_for_long) {
     dispatch_world world;
     world.add_worker("w1");
@@ -107,7 +108,7 @@
     };
     duration over{};
     for (std::int64_t observation = 0; !are_all_stopped() && over < seconds{4};
-         ++observation) { // a tail may be over for 4 s
+         ++observation) { // a tail may exceed its target for 4 s
         world.advance(milliseconds{380});
         over += milliseconds{380};
         run_all(world, "w1", 58 + observation % 3, 3000, 40);
@@ -116,15 +117,15 @@
     EXPECT_LT(over, seconds{3});
 }
 
-/// Load pattern, as recorded: beside three tasks that fill, one serving task asks to stop the first two;
-/// another one, ten times over its target, found the first one stopped and looked no further. The third ran
-/// on, faster and faster, for 4 s.
+/// Recorded load pattern: three filling tasks run beside two serving groups. One group requires the first two
+/// to stop. For the other, at ten times its target, the pass found the first one stopped and looked no
+/// further. The third kept running, ever faster, for 4 s.
 TEST(dispatcher_pressure, slows_what_is_left_where_others_are_stopped_already) {
     dispatch_world world;
     world.add_worker("w1");
     auto first = make_serving(1);
     first.image = "first";
-    first.target_ms = 700; // under it, with little to spare
+    first.target_ms = 700; // above its tail latency, with little headroom
     world.submit({first});
     world.submit({make_serving(2)});
     auto paces = start_beside_serving(world, 3);
@@ -139,8 +140,8 @@
     }
 }
 
-/// Load pattern: what is left of an overload. Small filling tasks take each gap as it opens, so that one that
-/// asks for more than a gap never ran, in a pool of which half was not even reserved.
+/// Load pattern: the rest of an overload. Small filling tasks take free capacity as soon as there is any, so
+/// that a larger one never ran, in a pool of which half was not even reserved.
 TEST(dispatcher_pressure, lets_a_large_filling_task_share_a_worker_rather_than_stand_still) {
     dispatch_world world;
     world.add_worker("w1", {20'000, 256'000, 0});
@@ -152,11 +153,11 @@
     EXPECT_TRUE(world.take<start_order>().empty());
     world.advance(seconds{1});
     const auto starts = world.take<start_order>();
-    ASSERT_EQ(starts.size(), 1U); // one keeps it going
+    ASSERT_EQ(starts.size(), 1U); // one keeps the job going
     EXPECT_EQ(starts[0].run.task.step.job, large);
 }
 
-/// Load pattern: an overload, many times as many filling tasks as find room beside serving ones at half their
+/// Load pattern: an overload with many times as many filling tasks as find room beside serving tasks at half
 /// load.
 TEST(dispatcher_pressure, places_nearer_to_the_target_the_more_filling_tasks_wait) {
     std::vector<std::size_t> running;
@@ -178,7 +179,7 @@
         }
         running.push_back(max_running);
     }
-    EXPECT_EQ(running[0], 1U); // none at all by what is allowed in calm times
+    EXPECT_EQ(running[0], 1U); // none by the limit without a backlog
     EXPECT_GE(running[1], 4U);
 }
 
@@ -186,7 +187,7 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_serving(3)});
-    world.advance(seconds{2}); // the only worker is kept open for short tasks as long as they can wait
+    world.advance(seconds{2}); // the only worker is kept free for short tasks while serving tasks can wait
     run_all(world, "w1", 15, 0);
     world.submit({make_filling(1)}, 3, 2);
     run_all(world, "w1", 15, 6000);
@@ -211,15 +212,15 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_serving(3)});
-    world.advance(seconds{2}); // the only worker is kept open for short tasks as long as they can wait
+    world.advance(seconds{2}); // the only worker is kept free for short tasks while serving tasks can wait
     run_all(world, "w1", 15, 0);
     world.submit({make_filling(2)}, 3, 2);
     run_all(world, "w1", 15, 6000);
     world.advance(milliseconds{300});
-    run_all(world, "w1", 2100, 6000); // the worker is slow
+    run_all(world, "w1", 2100, 6000); // the worker itself is slow
     const auto stops = world.take<stop_order>();
     EXPECT_EQ(stops.size(), 2U);
-    EXPECT_TRUE(world.take<pace_order>().empty()); // pacing would help nobody
+    EXPECT_TRUE(world.take<pace_order>().empty()); // pacing would not help
     world.submit({make_filling(1)}, 3, 2);
     EXPECT_TRUE(world.take<start_order>().empty());
 }
@@ -237,7 +238,7 @@
     EXPECT_EQ(used.size(), 3U);
     world.advance(seconds{1});
     EXPECT_TRUE(world.take<start_order>().empty());
-    world.advance(seconds{1}); // it may not wait longer while there is room
+    world.advance(seconds{1}); // serving tasks may not wait longer while there is room
     EXPECT_EQ(world.take<start_order>().size(), 2U);
 }
 
@@ -256,7 +257,7 @@
     ASSERT_EQ(saved.size(), 1U);
     EXPECT_EQ(saved[0].serving, "serving");
     EXPECT_EQ(saved[0].filling, "filling");
-    EXPECT_LT(saved[0].mean, 0.8); // a light pair
+    EXPECT_LT(saved[0].mean, 0.8); // a pair with a low slowdown factor
     job_book restored;
     ASSERT_TRUE(restored.load(world.book.save()));
     EXPECT_EQ(restored.get_pressure(), saved);
@@ -269,7 +270,7 @@
     EXPECT_EQ((leader_load{1.0, {}}.get_strain()), 1.0);
 }
 
-/// Load pattern: 1,800 workers that each want a check three times a second, and a leader without time
+/// Load pattern: 1,800 workers that each require a check three times a second, and a leader without time
 /// for it.
 TEST(dispatcher_pressure, looks_at_mixed_workers_more_seldom_under_strain_and_at_once_often_again_after_it) {
     dispatch_world world;
--- a/unit_tests/dispatch/dispatcher_probation_test.cpp
+++ b/unit_tests/dispatch/dispatcher_probation_test.cpp
@@ -1,4 +1,4 @@
-// Workers that are kept for suspects never leave other tasks waiting beside free room.
+// Workers that are reserved for suspects never keep other tasks waiting while there is free capacity.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr worker_amounts small_worker = {4000, 4000, 0};
-constexpr duration max_wait = seconds{3}; // for a task that could run
+constexpr duration max_wait = seconds{3}; // of a task that could run
 
 step_spec make_lasting(std::uint32_t count) {
     auto step = make_step(count);
@@ -21,7 +21,7 @@
     return step;
 }
 
-/// Takes all starts and lets the workers confirm them.
+/// Takes all starts and confirms them.
 std::vector<start_order> confirm_starts(dispatch_world& world) {
     auto starts = world.take<start_order>();
     for (const auto& order : starts) {
@@ -30,7 +30,7 @@
     return starts;
 }
 
-/// Lets time pass while workers confirm what they are told to start. Returns the starts.
+/// Advances the clock by `length` and confirms all starts. Returns the starts.
 std::vector<start_order> confirm_for(dispatch_world& world, duration length) {
     std::vector<start_order> starts;
     const auto end = world.now + length;
@@ -43,7 +43,7 @@
     return starts;
 }
 
-/// Lets a job of tasks that last run on workers that crash under them, twice.
+/// Adds workers, runs a job of this step on them, and crashes its workers twice.
 void crash_twice(dispatch_world& world, int workers, const step_spec& step) {
     for (int number = 1; number <= workers; ++number) {
         world.add_worker("w" + std::to_string(number), small_worker);
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -1,5 +1,4 @@
-// Workers that start again under the ids that they had: what was kept of the former life says nothing of the
-// next.
+// Workers that restart under the same ids: the state of the former life does not apply to the next one.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -16,7 +15,7 @@
 constexpr std::int64_t second_life = first_life + 5000;
 constexpr std::int64_t earlier_time = first_life - 60'000; // by a clock that was stepped back
 
-/// Adds a worker that tells when it started.
+/// Adds a worker that reports its start time.
 void add_worker(dispatch_world& world, const std::string& id = "w1") {
     world.add_worker(id);
     world.restart_with_same_id(id, first_life);
@@ -34,16 +33,17 @@
     world.answer_hold("w1", list);
 }
 
-/// Lets the worker start again and answer until it may be used.
+/// Restarts the worker under its id and answers its holds until it is usable.
 void restart_and_confirm(dispatch_world& world, std::int64_t born_ms, const hold_answer& list = {}) {
     world.restart_with_same_id("w1", born_ms);
-    for (int round = 0; round < 2; ++round) { // who it is, and again under its own fence
+    for (int round = 0; round < 2;
+         ++round) { // the first identifies the life, the second is under its own fence
         world.wait_for_hold("w1");
         world.answer_hold("w1", list);
     }
 }
 
-/// Returns how long the longest lease may count at a worker whose clock is slow, by the leader's clock.
+/// Returns how long the longest lease may last at a worker with a slow clock, by the leader's clock.
 duration get_longest_span() {
     const dispatch_settings settings;
     return std::chrono::duration_cast<duration>(settings.longest_lease * (1 + settings.clock_drift)) +
@@ -110,7 +110,7 @@
     add_worker(world);
     world.submit({make_step()});
     world.start_one();
-    world.wait_for_hold("w1"); // the process ends, and the next life takes this call and then the start
+    world.wait_for_hold("w1"); // the process ends, and the next life receives this hold and then the start
     world.submit({make_step()});
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U);
@@ -179,7 +179,7 @@
     dispatch_world world;
     add_worker(world);
     worker_report late = world.find_worker("w1")->report;
-    late.life.born_ms = second_life; // a later time than that of the life which answers
+    late.life.born_ms = second_life; // later than the start time of the life that answers
     late.sequence = 3;
     world.scheduler.on_heartbeat(late, world.now);
     world.advance(milliseconds{20});
@@ -237,7 +237,7 @@
     world.wait_for_hold("w1");
     const auto holds = world.take<hold_order>();
     ASSERT_FALSE(holds.empty());
-    EXPECT_GT(holds.back().target.fence, raised) << "no later leader uses the same one";
+    EXPECT_GT(holds.back().target.fence, raised) << "no later leader reuses it";
 }
 
 TEST(dispatcher_restart, follows_a_start_without_an_answer_to_the_next_life) {
@@ -248,9 +248,9 @@
     ASSERT_EQ(starts.size(), 1U);
     world.restart_with_same_id("w1", second_life);
     world.wait_for_hold("w1");
-    world.answer_hold("w1", dispatch_world::make_empty_list()); // under the fence that the start has, too
+    world.answer_hold("w1", dispatch_world::make_empty_list()); // under the same fence as the start
     world.advance(milliseconds{50});
-    EXPECT_TRUE(world.take<start_order>().empty()) << "the first start may yet be carried out";
+    EXPECT_TRUE(world.take<start_order>().empty()) << "the first start may still be executed";
     world.wait_for_hold("w1");
     hold_answer list;
     list.running.push_back({starts[0].run, "", 10, 0});
@@ -284,7 +284,7 @@
     const auto since = world.now;
     world.add_worker("w2");
     const auto longest = get_longest_span();
-    while (world.now < since + longest - milliseconds{100}) { // cut off from now on
+    while (world.now < since + longest - milliseconds{100}) { // unreachable from now on
         if (world.find_worker("w1")->is_hold_pending) {
             world.fail_hold("w1");
         }
@@ -321,7 +321,7 @@
 
 TEST(dispatcher_restart, follows_the_list_for_a_run_that_was_assigned_without_a_start_time) {
     dispatch_world world;
-    world.add_worker("w1"); // as an older version knew it
+    world.add_worker("w1"); // as an older version knows it
     world.submit({make_step(2)});
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 2U);
@@ -331,7 +331,7 @@
     hold_answer list;
     list.running.push_back({starts[0].run, "", 10, 0});
     restart_and_confirm(world, first_life,
-                        list); // the same process, which tells its start time to this version
+                        list); // the same process, which now reports its start time
     world.advance(milliseconds{200});
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
--- a/unit_tests/dispatch/dispatcher_retry_test.cpp
+++ b/unit_tests/dispatch/dispatcher_retry_test.cpp
@@ -1,4 +1,4 @@
-// Orders that get no answer: how often they are repeated, and what an order says that never left.
+// Unanswered orders: how often they are repeated, and what follows from an order that was not sent.
 #include "poplarpitch/dispatch/order_backoff.h"
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
@@ -12,7 +12,7 @@
 
 constexpr duration base_pause = milliseconds{120};
 
-/// Fails every order to every worker for `length`, and counts the starts that were sent.
+/// Fails all starts and holds at every worker for `length`. Returns the number of starts sent.
 int count_starts_while_silent(dispatch_world& world, duration length, order_failure failure) {
     int starts = 0;
     const auto end = world.now + length;
@@ -33,7 +33,7 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step(16)});
-    // Sixteen starts a pause of 120 ms would be 266; its holds say after two of them that it is silent.
+    // 16 starts per pause of 120 ms would be 266. After two failed holds the worker is known to be silent.
     const int starts = count_starts_while_silent(world, seconds{2}, order_failure::unreachable);
     EXPECT_GE(starts, 16);
     EXPECT_LE(starts, 18);
@@ -84,9 +84,9 @@
     ASSERT_EQ(first.size(), 1U);
     world.answer(first[0], order_failure::not_sent);
     world.add_worker("w2");
-    world.send_heartbeat("w1", true, 5000); // it leaves before the start is sent again
+    world.send_heartbeat("w1", true, 5000); // it leaves before the start is repeated
     world.advance(milliseconds{200});
-    EXPECT_TRUE(world.take<stop_order>().empty()) << "nothing of it can be on the way";
+    EXPECT_TRUE(world.take<stop_order>().empty()) << "no start can be in flight";
     const auto second = world.take<start_order>();
     ASSERT_EQ(second.size(), 1U);
     EXPECT_EQ(second[0].target.worker.id, "w2");
--- a/unit_tests/dispatch/dispatcher_start_test.cpp
+++ b/unit_tests/dispatch/dispatcher_start_test.cpp
@@ -1,4 +1,4 @@
-// A start whose answer is lost, or that a worker carries out late, never leads to a second run.
+// A start whose answer is lost, or that a worker executes late, never leads to a second run.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -43,11 +43,11 @@
     const auto job = world.submit({make_step()});
     const auto first = world.take<start_order>();
     ASSERT_EQ(first.size(), 1U);
-    world.answer(first[0], order_failure::unanswered); // carried out; the answer was lost
+    world.answer(first[0], order_failure::unanswered); // executed; the answer was lost
     world.advance(milliseconds{200});
     const auto second = world.take<start_order>();
     ASSERT_EQ(second.size(), 1U);
-    world.answer(second[0], order_failure::old_run); // it had ended there by then
+    world.answer(second[0], order_failure::old_run); // the run had ended by then
     world.wait_for_hold("w1");
     hold_answer list;
     list.ended.push_back({1, first[0].run, run_end::done, ""});
@@ -63,7 +63,7 @@
     world.submit({make_step()});
     const auto first = world.take<start_order>();
     ASSERT_EQ(first.size(), 1U);
-    world.answer(first[0], order_failure::unanswered); // it may be carried out seconds later
+    world.answer(first[0], order_failure::unanswered); // it may be executed seconds later
     world.add_worker("w2");
     world.advance(milliseconds{200});
     const auto second = world.take<start_order>();
@@ -75,7 +75,7 @@
     EXPECT_EQ(stops[0].run, first[0].run);
     world.answer(stops[0]);
     world.advance(milliseconds{50});
-    world.fail_hold("w1"); // whatever was under way may have been answered before the stop
+    world.fail_hold("w1"); // a pending hold may have been answered before the stop
     world.advance(milliseconds{200});
     world.wait_for_hold("w1");
     world.answer_hold("w1", {});
--- a/unit_tests/dispatch/lasting_quota_test.cpp
+++ b/unit_tests/dispatch/lasting_quota_test.cpp
@@ -1,4 +1,4 @@
-// How much of a pool jobs that last may reserve.
+// How much of a pool long-running jobs may reserve.
 #include "poplarpitch/dispatch/lasting_quota.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
     quota.add(1, pool, 500);
     EXPECT_TRUE(quota.has_room(pool, 300, start));
     EXPECT_FALSE(quota.has_room(pool, 301, start));
-    quota.add(1, pool, 500); // told twice
+    quota.add(1, pool, 500); // added twice
     EXPECT_EQ(quota.get_reserved(pool), 500);
     quota.remove(1);
     quota.remove(1);
@@ -41,7 +41,7 @@
         quota.observe(pool, {1000, 40}, now);
     }
     EXPECT_EQ(quota.get_allowed(pool, now), 940);
-    quota.observe(pool, {1000, 400}, now); // others come
+    quota.observe(pool, {1000, 400}, now); // other jobs arrive
     EXPECT_EQ(quota.get_allowed(pool, now), 800);
     quota.observe(pool, {1000, 40}, now + seconds{10}); // their peak is remembered
     EXPECT_EQ(quota.get_allowed(pool, now + seconds{10}), 800);
--- a/unit_tests/dispatch/log_capture.cpp
+++ b/unit_tests/dispatch/log_capture.cpp
@@ -9,7 +9,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Keeps the lines of all events.
+/// Keeps all log lines in memory.
 class keeping_appender : public log4cplus::Appender {
 public:
     ~keeping_appender() override { destructorImpl(); }
@@ -31,7 +31,8 @@
 
 constexpr const char* name = "capture";
 
-/// Lines that nobody captures would use up the budgets of those that a later test does.
+/// Turns logging off outside of captures. Otherwise lines that no test captures would use up the log budgets
+/// of lines that a later test captures.
 class quiet_logs : public testing::Environment {
 public:
     void SetUp() override {
@@ -47,7 +48,8 @@
 
 log_capture::log_capture() {
     static const log4cplus::Initializer initializer;
-    const log4cplus::SharedAppenderPtr appender(new keeping_appender); // NOLINT: the library counts it
+    const log4cplus::SharedAppenderPtr appender(
+        new keeping_appender); // NOLINT: the library counts references
     appender->setName(name);
     auto root = log4cplus::Logger::getRoot();
     root.addAppender(appender);
--- a/unit_tests/dispatch/log_capture.h
+++ b/unit_tests/dispatch/log_capture.h
@@ -5,7 +5,8 @@
 
 namespace poplarpitch {
 
-/// Takes what is logged while it lives. Precondition: one at a time. Thread safety: none.
+/// Captures the log lines written during its lifetime. Precondition: only one exists at a time. Thread
+/// safety: none.
 class log_capture {
 public:
     log_capture();
@@ -13,7 +14,7 @@
     log_capture(const log_capture&) = delete;
     log_capture& operator=(const log_capture&) = delete;
 
-    /// Returns the lines of one kind of event so far, in order.
+    /// Returns the captured lines of one event, in order.
     [[nodiscard]] std::vector<std::string> find(const std::string& event) const;
 };
 
--- a/unit_tests/dispatch/overlap_property_test.cpp
+++ b/unit_tests/dispatch/overlap_property_test.cpp
@@ -1,7 +1,6 @@
-// What must hold where answers, lists and orders overtake each other, relays stand still, all control
-// instances lose power together, and workers' clocks are slow: no two runs of a task at once, no start after
-// an end that was noted as done. POPLARPITCH_SEEDS sets how many seeds are tried; each failure names its
-// seed.
+// Checks invariants when answers, lists and orders overtake each other, relays stall, all control instances
+// lose power together, and workers' clocks are slow: never two runs of a task at once, and no start after an
+// end that was committed as done. POPLARPITCH_SEEDS sets the number of seeds; each failure names its seed.
 #include "unit_tests/dispatch/crash_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -17,18 +16,18 @@
 namespace {
 
 constexpr duration traffic_time = seconds{25};
-constexpr duration recovery_time = seconds{45}; // what does not end by then never does
+constexpr duration recovery_time = seconds{45}; // a job that has not ended by then never ends
 constexpr duration long_recovery_time = seconds{90};
 constexpr duration arrival_interval = milliseconds{250};
 constexpr duration max_task_time = seconds{4};
 constexpr duration longer_than_lease = seconds{15};
 constexpr duration partition_interval = seconds{12};
 constexpr duration long_partition =
-    milliseconds{9700}; // longer than a lease: only workers without work may be cut off
+    milliseconds{9700}; // longer than a lease: only workers without runs may be partitioned
 constexpr duration short_partition =
-    milliseconds{3500}; // a lease holds this long after the last list at least
+    milliseconds{3500}; // a lease lasts at least this long after the last list
 constexpr duration idle_time = seconds{60};
-constexpr duration traffic_time_after_idle = seconds{10}; // of traffic after an idle time
+constexpr duration traffic_time_after_idle = seconds{10}; // duration of the traffic that follows `idle_time`
 
 struct traffic_settings {
     duration max_length = max_task_time;
@@ -37,7 +36,8 @@
     duration recovery = recovery_time;
 };
 
-/// Jobs that end, jobs that last and jobs that are cancelled, at about half of what the workers hold.
+/// Submits jobs that end, long-running jobs and jobs that are cancelled, which use about half of the workers'
+/// capacity.
 class overlap_traffic {
 public:
     overlap_traffic(const crash_world_settings& settings, std::uint64_t seed,
@@ -54,7 +54,7 @@
 
     void idle(duration length) { m_world.run(length); }
 
-    /// Cuts half of the workers off for `length`.
+    /// Partitions half of the workers for `length`.
     void partition(duration length) { m_world.partition_random_workers(0.5, length); }
 
     void stop_faults() {
@@ -114,7 +114,7 @@
     std::mt19937_64 m_random;
     traffic_settings m_traffic;
     std::vector<job_id> m_ids;
-    std::map<job_id, int> m_lasting; ///< and how many tasks each has
+    std::map<job_id, int> m_lasting; ///< long-running jobs with their task counts
 };
 
 void run_all_seeds(const crash_world_settings& settings, const traffic_settings& traffic_options = {}) {
@@ -227,7 +227,7 @@
     run_all_seeds(settings);
 }
 
-/// Returns settings of which each is on in about a third of all seeds, and then weak or strong.
+/// Returns random settings. Each rate is set for about a third of all seeds, either low or high.
 crash_world_settings draw_settings(std::uint64_t seed) {
     std::mt19937_64 random(seed * 7919);
     const auto draw = [&random](double strong) {
@@ -265,7 +265,7 @@
         settings.relay_stalls = draw(0.5);
         settings.relay_losses = draw(0.3);
     }
-    if (!settings.keeps_ids) { // a next life refuses what was for the one before it
+    if (!settings.keeps_ids) { // a new life refuses orders for the former one
         settings.expired_orders = draw(0.1);
         settings.late_orders = draw(0.2);
         settings.departures = draw(0.5);
@@ -280,7 +280,7 @@
         traffic_options.jobs_per_gang = 6;
         if (seed % 3 == 0) {
             traffic_options.max_length = longer_than_lease;
-            traffic_options.recovery = long_recovery_time; // they ask for more than there is
+            traffic_options.recovery = long_recovery_time; // such jobs request more than the total capacity
             traffic_options.has_lasting = false;
         }
         overlap_traffic traffic(draw_settings(seed), seed, traffic_options);
--- a/unit_tests/dispatch/placement_test.cpp
+++ b/unit_tests/dispatch/placement_test.cpp
@@ -1,4 +1,4 @@
-// How much of a worker a task may take, and what a pass over waiting tasks need not look at again.
+// How much of a worker a task may use, and which waiting tasks a placement pass need not check again.
 #include "poplarpitch/dispatch/placement.h"
 
 #include "poplarpitch/dispatch/refused_shapes.h"
@@ -27,7 +27,8 @@
     return spec;
 }
 
-/// The same answer from the room and from the cost: a pass that trusts the one must not miss the other.
+/// Checks that the room and the cost agree: a pass that relies on the room must not miss a possible
+/// placement.
 void expect_room_is_the_limit(const worker_state& worker, const std::vector<double>& factors) {
     auto spec = make_fill(0);
     placement_request request;
--- a/unit_tests/dispatch/pressure_model_test.cpp
+++ b/unit_tests/dispatch/pressure_model_test.cpp
@@ -1,4 +1,5 @@
-// The pressure model tells light pairs of images from heavy ones while the serving task's own load swings.
+// The pressure model distinguishes light pairs of images from heavy ones while the serving task's own load
+// oscillates.
 #include "poplarpitch/dispatch/pressure_model.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 
 constexpr double base_ms = 10;
 constexpr double target_ms = 50;
-constexpr double interval_s = 0.35; // seconds between two looks
+constexpr double interval_s = 0.35; // time between two observations
 constexpr double swing_period_s = 14;
 
 double get_load(double seconds) {
@@ -23,7 +24,8 @@
     return room < 0.02 ? 600 : base_ms * slow / room;
 }
 
-/// Shows the model `seconds` of a serving task beside a filling one that comes and goes.
+/// Feeds the model with `seconds` of observations of a serving task beside a filling task that runs on and
+/// off.
 void train(pressure_model& model, serving_load& load_state, const std::string& filling, double factor,
            double seconds, std::mt19937& random) {
     std::normal_distribution<double> noise(1, 0.05);
@@ -77,7 +79,7 @@
     std::mt19937 random(7);
     train(first, load_state, "heavy", 4.5, 14, random);
     pressure_model second;
-    second.get_number("another"); // numbers of images differ between leaders, their names do not
+    second.get_number("another"); // image numbers differ between leaders, image names do not
     second.load(first.save());
     EXPECT_EQ(second.save(), first.save());
     EXPECT_EQ(second.get_factor(second.get_number("serving"), second.get_number("heavy")),
--- a/unit_tests/dispatch/restart_property_test.cpp
+++ b/unit_tests/dispatch/restart_property_test.cpp
@@ -1,6 +1,6 @@
-// What must hold where workers start again under the ids that they had: at once or after seconds, many at a
-// time, while cut off, with their clocks stepped back, beside late orders and heartbeats and losses of the
-// leader. POPLARPITCH_SEEDS sets how many seeds are tried; each failure names its seed.
+// Checks invariants when workers restart under the same ids: at once or after seconds, many at a time, during
+// partitions, with clocks stepped back, with late orders and heartbeats, and with leader losses.
+// POPLARPITCH_SEEDS sets the number of seeds; each failure names its seed.
 #include "unit_tests/dispatch/crash_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -13,18 +13,18 @@
 namespace {
 
 constexpr duration traffic_time = seconds{25};
-constexpr duration recovery_time = seconds{45}; // what does not end by then never does
+constexpr duration recovery_time = seconds{45}; // a job that has not ended by then never ends
 constexpr duration arrival_interval = milliseconds{250};
 constexpr duration wave_interval = seconds{5};
-constexpr int min_crashes = 2; // before which no job may fail
+constexpr int min_crashes = 2; // no job may fail with fewer crashes of one task
 
-/// Jobs that end and jobs that last, at about half of what the workers hold.
+/// Submits jobs that end and long-running jobs that use about half of the workers' capacity.
 class restart_traffic {
 public:
     restart_traffic(const crash_world_settings& settings, std::uint64_t seed)
         : m_world(settings, seed), m_random(seed + 1) {}
 
-    /// `wave`: share of the workers that crash at one moment, each `wave_interval`.
+    /// Runs the traffic. `wave` is the share of the workers that crash at once every `wave_interval`.
     void run(double wave = 0) {
         for (duration passed{0}; passed < traffic_time; passed += arrival_interval) {
             if (passed % wave_interval == duration{0}) {
@@ -81,7 +81,7 @@
 
     crash_world m_world;
     std::mt19937_64 m_random;
-    std::map<job_id, int> m_lasting; ///< and how many tasks each has
+    std::map<job_id, int> m_lasting; ///< long-running jobs with their task counts
 };
 
 crash_world_settings make_settings() {
--- a/unit_tests/dispatch/tail_watch_test.cpp
+++ b/unit_tests/dispatch/tail_watch_test.cpp
@@ -1,4 +1,4 @@
-// How long a tail has been over its target.
+// How far filling tasks are reduced by how long a tail latency has exceeded its target.
 #include "poplarpitch/dispatch/tail_watch.h"
 
 #include <gtest/gtest.h>
--- a/unit_tests/dispatch/test_steps.h
+++ b/unit_tests/dispatch/test_steps.h
@@ -4,7 +4,7 @@
 
 namespace poplarpitch {
 
-/// A step of small tasks that end: one core, 100 MB, about a second.
+/// Returns a step of small tasks that end: 1 core, 100 MB, an estimate of 1 s.
 inline step_spec make_step(std::uint32_t count = 1) {
     step_spec step;
     step.count = count;
--- a/unit_tests/dispatch/work_forecast_test.cpp
+++ b/unit_tests/dispatch/work_forecast_test.cpp
@@ -1,4 +1,4 @@
-// How long steps take, as learned from those that ended.
+// Forecasts of how long steps take, learned from steps that ended.
 #include "poplarpitch/dispatch/work_forecast.h"
 
 #include "unit_tests/dispatch/test_steps.h"
@@ -35,7 +35,7 @@
 
 TEST(duration_model, learns_that_estimates_are_unreliable) {
     duration_model model;
-    // Guesses from a fifth to five times of steps that all take 2 s.
+    // Estimates from a fifth to five times the length of steps that all take 2 s.
     for (int round = 0; round < 10; ++round) {
         for (const std::int64_t estimate : {400, 900, 2000, 4500, 10'000}) {
             model.observe("batch", estimate, 2000);
