--- a/unit_tests/dispatch/crash_property_test.cpp
+++ b/unit_tests/dispatch/crash_property_test.cpp
@@ -16,8 +16,8 @@
 constexpr duration traffic_time = seconds{25};
 constexpr duration completion_time = seconds{60}; // a job that has no outcome by then never gets one
 constexpr duration arrival_interval = milliseconds{250};
-constexpr int max_starts_after_three = 2; // a third one is a violation
-constexpr int min_crashes = 2;            // no job may fail with fewer crashes of one task
+constexpr int max_starts_after_three_crashes = 2; // a third one is a violation
+constexpr int min_crashes = 2;                    // no job may fail with fewer crashes of one task
 
 /// Submits jobs of several kinds that use about half of the workers' capacity. The first task of a few jobs
 /// crashes its workers.
@@ -38,12 +38,13 @@
     void check_invariants() {
         EXPECT_TRUE(m_world.get_violations().empty()) << m_world.get_violations().front();
         for (const auto id : m_crashing_jobs) {
-            EXPECT_LE(m_world.count_starts_after_three(get_crashing_task(id)), max_starts_after_three);
+            EXPECT_LE(m_world.count_starts_after_three_crashes(get_crashing_task(id)),
+                      max_starts_after_three_crashes);
             EXPECT_NE(get_phase(id), job_phase::open) << "job " << id << " has no outcome";
         }
         for (const auto& [id, record] : m_world.get_book().get_jobs()) {
             if (record.phase == job_phase::failed) {
-                EXPECT_GE(m_world.count_most_crashes(id), min_crashes)
+                EXPECT_GE(m_world.get_max_crashes(id), min_crashes)
                     << "job " << id << " failed without cause";
             }
         }
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -909,7 +909,8 @@
         }
     }
     auto& history = m_histories[key.task];
-    history.starts_after_three += history.crashes >= 3 && m_now - m_leader_since >= takeover_time ? 1 : 0;
+    history.starts_after_three_crashes +=
+        history.crashes >= 3 && m_now - m_leader_since >= takeover_time ? 1 : 0;
     if (history.running++ > 0 && !spec.speculative) {
         m_violations.push_back("two runs of a task at a time, the second on " + target.id);
     }
@@ -998,7 +999,7 @@
     }
     const auto* record = m_book.find_task(task);
     if (record != nullptr && record->phase == task_phase::done) {
-        m_violations.push_back("a start on " + target.id + " after an end that was noted as done");
+        m_violations.push_back("a start on " + target.id + " after an end that was committed as done");
     }
 }
 
@@ -1057,7 +1058,7 @@
     return found == m_histories.end() ? 0 : found->second.crashes;
 }
 
-int crash_world::count_most_crashes(job_id id) const {
+int crash_world::get_max_crashes(job_id id) const {
     int most = 0;
     for (const auto& [task, history] : m_histories) {
         most = std::max(most, task.step.job == id ? history.crashes : 0);
@@ -1065,9 +1066,9 @@
     return most;
 }
 
-int crash_world::count_starts_after_three(const task_key& task) const {
+int crash_world::count_starts_after_three_crashes(const task_key& task) const {
     const auto found = m_histories.find(task);
-    return found == m_histories.end() ? 0 : found->second.starts_after_three;
+    return found == m_histories.end() ? 0 : found->second.starts_after_three_crashes;
 }
 
 } // namespace poplarpitch
--- a/unit_tests/dispatch/crash_world.h
+++ b/unit_tests/dispatch/crash_world.h
@@ -93,10 +93,10 @@
     /// Returns the number of worker crashes during runs of the task.
     [[nodiscard]] int count_crashes(const task_key& task) const;
     /// Returns the largest number of worker crashes during runs of any one task of a job.
-    [[nodiscard]] int count_most_crashes(job_id id) const;
+    [[nodiscard]] int get_max_crashes(job_id id) const;
     /// Returns how often the task was started after three worker crashes by a leader that had led for at
     /// least 3 s. A leader that has just taken over may not know of all crashes yet.
-    [[nodiscard]] int count_starts_after_three(const task_key& task) const;
+    [[nodiscard]] int count_starts_after_three_crashes(const task_key& task) const;
     /// Returns the number of runs of a job that are running.
     [[nodiscard]] int count_running(job_id id) const;
     /// Returns the tasks that the dispatcher reports as stuck.
@@ -130,7 +130,7 @@
     using sent_order_ptr = std::shared_ptr<sent_order>;
     struct task_history {
         int crashes = 0;
-        int starts_after_three = 0;
+        int starts_after_three_crashes = 0;
         int running = 0;
         bool is_done = false;          ///< a run ended as done, and its worker's life has not ended since
         bool is_started_since = false; ///< the task was started again after that end
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -67,7 +67,7 @@
     world.add_worker("w1");
     world.submit({make_step()});
     world.start_one();
-    world.wait_for_hold("w1"); // its list is written now and comes late
+    world.wait_for_hold("w1"); // its list is written now and arrives late
     world.submit({make_step()});
     const auto order = take_only_start(world);
     world.advance(milliseconds{10});
@@ -87,7 +87,7 @@
     world.add_worker("w1");
     world.submit({make_step()});
     const auto first = world.start_one();
-    world.wait_for_hold("w1"); // its list is written now and comes late
+    world.wait_for_hold("w1"); // its list is written now and arrives late
     const auto job = world.submit({make_step()});
     const auto order = take_only_start(world);
     world.answer(order, order_failure::unanswered); // executed after the list was written
--- a/unit_tests/dispatch/log_capture.cpp
+++ b/unit_tests/dispatch/log_capture.cpp
@@ -48,8 +48,7 @@
 
 log_capture::log_capture() {
     static const log4cplus::Initializer initializer;
-    const log4cplus::SharedAppenderPtr appender(
-        new keeping_appender); // NOLINT: the library counts references
+    const log4cplus::SharedAppenderPtr appender(new keeping_appender); // NOLINT: the library counts it
     appender->setName(name);
     auto root = log4cplus::Logger::getRoot();
     root.addAppender(appender);
--- a/unit_tests/dispatch/restart_property_test.cpp
+++ b/unit_tests/dispatch/restart_property_test.cpp
@@ -51,7 +51,7 @@
             EXPECT_TRUE(record.phase != job_phase::open || m_lasting.contains(id))
                 << "job " << id << " never ended";
             if (record.phase == job_phase::failed) {
-                EXPECT_GE(m_world.count_most_crashes(id), min_crashes)
+                EXPECT_GE(m_world.get_max_crashes(id), min_crashes)
                     << "job " << id << " failed without cause";
             }
         }
