--- a/unit_tests/dispatch/crash_property_test.cpp
+++ b/unit_tests/dispatch/crash_property_test.cpp
@@ -40,7 +40,8 @@
         for (const auto id : m_crashing_jobs) {
             EXPECT_LE(m_world.count_starts_after_three_crashes(get_crashing_task(id)),
                       max_starts_after_three_crashes);
-            EXPECT_NE(get_phase(id), job_phase::open) << "job " << id << " has no outcome";
+            EXPECT_NE(get_phase(id), job_phase::open)
+                << "job " << id << " is open: its caller was told nothing";
         }
         for (const auto& [id, record] : m_world.get_book().get_jobs()) {
             if (record.phase == job_phase::failed) {
--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -45,7 +45,7 @@
             }
         }
     }
-    ADD_FAILURE() << "the dispatcher did not become idle";
+    ADD_FAILURE() << "the dispatcher failed to become idle";
 }
 
 void dispatch_world::advance(duration length) {
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -115,7 +115,7 @@
     const auto end = world.now + length;
     while (world.now < end) {
         const auto* state = world.find_worker(worker);
-        ASSERT_NE(state, nullptr) << "forgotten before it restarted";
+        ASSERT_NE(state, nullptr) << "forgotten before its machine restarted";
         if (state->is_hold_pending) {
             world.fail_hold(worker);
         }
@@ -262,7 +262,7 @@
     const auto& worker = starts[0].target.worker.id;
     fail_holds(world, worker, seconds{15});
     ASSERT_EQ(confirm_starts(world).size(), 1U) << "the lease has lapsed";
-    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U) << "it may only be unreachable";
+    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U) << "it may only be out of reach";
     world.restart_with_new_id(worker, worker + "+");
     EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 1U);
 }
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -237,7 +237,7 @@
     world.wait_for_hold("w1");
     const auto holds = world.take<hold_order>();
     ASSERT_FALSE(holds.empty());
-    EXPECT_GT(holds.back().target.fence, raised) << "no later leader reuses it";
+    EXPECT_GT(holds.back().target.fence, raised) << "no later leader uses the same one";
 }
 
 TEST(dispatcher_restart, follows_a_start_without_an_answer_to_the_next_life) {
