--- a/unit_tests/dispatch/dispatcher_admission_test.cpp
+++ b/unit_tests/dispatch/dispatcher_admission_test.cpp
@@ -1,4 +1,4 @@
-// Which jobs are taken when there is too little room for all.
+// Which jobs are admitted when there is too little capacity for all.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -32,29 +32,29 @@
     world.advance(seconds{4});
 }
 
-/// Load pattern, as recorded: within a second jobs that last ask for more than the whole pool, before any
-/// other job has come. All were taken, and short tasks found no whole core for as long as the jobs lasted.
-TEST(dispatcher_admission, keeps_room_for_short_tasks_when_jobs_that_last_ask_for_more_than_there_is) {
+/// Recorded load pattern: within one second and before any other job, long-running jobs request more than the
+/// capacity of the whole pool. All were admitted, and short tasks found no free core until the jobs ended.
+TEST(dispatcher_admission, keeps_room_for_short_tasks_when_lasting_jobs_request_more_than_the_pool_has) {
     dispatch_world world;
     add_workers(world);
-    std::int64_t taken = 0;
+    std::int64_t admitted_millicores = 0;
     for (job_id id = 100; id < 107; ++id) { // 109% of the pool
         const auto job = make_lasting(id, 6);
         if (world.scheduler.admit(job, world.now).is_taken()) {
-            taken += job.get_lasting_millicores();
+            admitted_millicores += job.get_lasting_millicores();
             world.submit(job.steps);
-            world.scheduler.on_not_accepted(id); // counted under the number that the world gave it
+            world.scheduler.on_not_accepted(id); // the world counts it under its own id
         }
     }
-    EXPECT_LE(taken, workers * worker_millicores * 8 / 10);
-    EXPECT_GE(taken, workers * worker_millicores * 6 / 10);
+    EXPECT_LE(admitted_millicores, workers * worker_millicores * 8 / 10);
+    EXPECT_GE(admitted_millicores, workers * worker_millicores * 6 / 10);
     world.advance(seconds{2});
     world.take<start_order>();
     world.submit({make_step(16)}); // short tasks
     EXPECT_EQ(world.take<start_order>().size(), 16U);
 }
 
-/// Load pattern: all callers come back at once after a power loss; the leader's timers are 0.6 s late.
+/// Load pattern: all callers retry at once after a power loss; the leader's timers are 0.6 s late.
 TEST(dispatcher_admission, takes_no_new_jobs_while_the_leader_is_far_behind_and_spreads_their_return) {
     dispatch_world world;
     add_workers(world);
@@ -63,31 +63,30 @@
     job.steps = {make_step()};
     world.scheduler.on_load({1.0, milliseconds{300}});
     job.id = 200;
-    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_taken())
-        << "late, but its start still comes in time";
+    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_taken()) << "late, but its start is still in time";
     world.scheduler.on_load({1.0, milliseconds{600}});
     std::set<duration> waits;
     for (job_id id = 300; id < 400; ++id) {
         job.id = id;
-        const auto decided = world.scheduler.admit(job, world.now);
-        EXPECT_EQ(decided.what, admission::verdict::overloaded);
-        EXPECT_EQ(decided.lag, milliseconds{600});
-        EXPECT_GE(decided.retry_after, seconds{1});
-        waits.insert(decided.retry_after);
+        const auto decision = world.scheduler.admit(job, world.now);
+        EXPECT_EQ(decision.what, admission::verdict::overloaded);
+        EXPECT_EQ(decision.lag, milliseconds{600});
+        EXPECT_GE(decision.retry_after, seconds{1});
+        waits.insert(decision.retry_after);
     }
     EXPECT_GT(waits.size(), 50U);
     world.scheduler.on_load({0.4, milliseconds{2}});
     EXPECT_TRUE(world.scheduler.admit(job, world.now).is_taken());
 }
 
-TEST(dispatcher_admission, tells_a_refused_job_what_it_was_refused_for_and_when_to_come_back) {
+TEST(dispatcher_admission, reports_why_a_job_was_refused_and_when_to_retry) {
     dispatch_world world;
     add_workers(world);
-    const auto decided = world.scheduler.admit(make_lasting(100, 40), world.now);
-    EXPECT_EQ(decided.what, admission::verdict::lasting_quota);
-    EXPECT_EQ(decided.wanted, 256'000);
-    EXPECT_EQ(decided.allowed, 204'800);
-    EXPECT_GE(decided.retry_after, seconds{5});
+    const auto decision = world.scheduler.admit(make_lasting(100, 40), world.now);
+    EXPECT_EQ(decision.what, admission::verdict::lasting_quota);
+    EXPECT_EQ(decision.wanted, 256'000);
+    EXPECT_EQ(decision.allowed, 204'800);
+    EXPECT_GE(decision.retry_after, seconds{5});
     EXPECT_EQ(world.scheduler.get_counts().refused_jobs, 1U);
 }
 
@@ -107,13 +106,13 @@
     world.submit(make_lasting(0, 30).steps);
     world.lead();
     for (int number = 0; number < workers; ++number) {
-        world.beat("w" + std::to_string(number));
+        world.send_heartbeat("w" + std::to_string(number));
     }
     world.advance(seconds{4});
     EXPECT_FALSE(world.scheduler.admit(make_lasting(101, 30), world.now).is_taken());
 }
 
-TEST(dispatcher_admission, takes_jobs_that_end_whatever_jobs_that_last_hold) {
+TEST(dispatcher_admission, admits_jobs_that_end_however_much_lasting_jobs_reserve) {
     dispatch_world world;
     add_workers(world);
     EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 32), world.now).is_taken());
--- a/unit_tests/dispatch/dispatcher_story_test.cpp
+++ b/unit_tests/dispatch/dispatcher_history_log_test.cpp
@@ -1,4 +1,4 @@
-// From the logs alone: on what ground each run was taken for started, taken over and ended.
+// The logs state for which reason each run was considered started, taken over and ended.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/log_capture.h"
 #include "unit_tests/dispatch/test_steps.h"
@@ -37,7 +37,7 @@
     world.answer_hold("w1", list);
 }
 
-TEST(dispatcher_story, names_the_list_that_told_an_end) {
+TEST(dispatcher_history_log, logs_the_list_that_contained_an_end) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -49,7 +49,7 @@
     EXPECT_NE(logs.find("run_ended")[0].find(" asked_ms="), std::string::npos);
 }
 
-TEST(dispatcher_story, names_that_a_run_was_first_seen_in_a_list_after_its_start_had_no_answer) {
+TEST(dispatcher_history_log, logs_that_a_run_was_first_seen_in_a_list_after_its_start_had_no_answer) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -62,7 +62,7 @@
     expect_one(logs, "run_started", {"ground=listed", "fence=1"});
 }
 
-TEST(dispatcher_story, names_a_run_that_its_worker_lacks_and_one_that_was_refused) {
+TEST(dispatcher_history_log, logs_a_run_that_its_worker_lacks_and_one_that_was_refused) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -78,26 +78,26 @@
     EXPECT_NE(logs.find("run_ended").back().find("ground=given_back"), std::string::npos);
 }
 
-TEST(dispatcher_story, names_what_a_new_leader_takes_over_and_what_became_of_each_run) {
+TEST(dispatcher_history_log, logs_what_a_new_leader_takes_over_and_the_outcome_of_each_run) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
-    const auto there = world.start_one();
+    const auto found = world.start_one();
     world.submit({make_step()});
-    const auto gone = world.start_one();
+    const auto missing = world.start_one();
     const log_capture logs;
     world.lead();
     expect_one(logs, "took_over", {"term=2", "fence=2", "open_jobs=2", "runs=2", "workers=1", "waiting=0"});
-    world.beat("w1");
-    answer_next(world, list_running(there));
+    world.send_heartbeat("w1");
+    answer_next(world, list_running(found));
     const auto lines = logs.find("run_taken_over");
     ASSERT_EQ(lines.size(), 2U);
     EXPECT_NE(lines[0].find("found=running of=former_leader term=2 fence=2"), std::string::npos) << lines[0];
     EXPECT_NE(lines[1].find("found=never_came of=former_leader term=2 fence=2"), std::string::npos);
-    expect_one(logs, "run_ended", {"job=" + format_job_id(gone.run.task.step.job), "ground=never_came"});
+    expect_one(logs, "run_ended", {"job=" + format_job_id(missing.run.task.step.job), "ground=never_came"});
 }
 
-TEST(dispatcher_story, names_an_end_of_a_run_that_it_does_not_know) {
+TEST(dispatcher_history_log, logs_the_end_of_an_unknown_run) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
--- a/unit_tests/dispatch/dispatcher_retry_test.cpp
+++ b/unit_tests/dispatch/dispatcher_retry_test.cpp
@@ -1,4 +1,4 @@
-// Orders that get no answer: how often they are repeated, and what an order says that never left.
+// Unanswered orders: how often they are repeated, and what follows from an order that was not sent.
 #include "poplarpitch/dispatch/order_backoff.h"
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
@@ -10,9 +10,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration shortest = milliseconds{120};
+constexpr duration base_pause = milliseconds{120};
 
-/// Fails every order to every worker for `length`, and counts the starts that were sent.
+/// Fails all starts and holds at every worker for `length`. Returns the number of starts sent.
 int count_starts_while_silent(dispatch_world& world, duration length, order_failure failure) {
     int starts = 0;
     const auto end = world.now + length;
@@ -33,13 +33,13 @@
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step(16)});
-    // Sixteen starts a pause of 120 ms would be 266; its holds say after two of them that it is silent.
+    // 16 starts per pause of 120 ms would be 266. After two failed holds the worker is known to be silent.
     const int starts = count_starts_while_silent(world, seconds{2}, order_failure::unreachable);
     EXPECT_GE(starts, 16);
     EXPECT_LE(starts, 18);
 }
 
-TEST(dispatcher_retry, goes_on_with_all_starts_once_the_worker_has_answered_one) {
+TEST(dispatcher_retry, resumes_all_starts_once_the_worker_has_answered_one) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step(16)});
@@ -54,7 +54,7 @@
     EXPECT_EQ(world.take<start_order>().size(), 15U);
 }
 
-TEST(dispatcher_retry, takes_no_worker_for_silent_because_an_order_did_not_leave) {
+TEST(dispatcher_retry, does_not_treat_a_worker_as_silent_because_an_order_was_not_sent) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
@@ -84,7 +84,7 @@
     ASSERT_EQ(first.size(), 1U);
     world.answer(first[0], order_failure::not_sent);
     world.add_worker("w2");
-    world.beat("w1", true, 5000); // it leaves before the start is sent again
+    world.send_heartbeat("w1", true, 5000); // it leaves before the start is repeated
     world.advance(milliseconds{200});
     EXPECT_TRUE(world.take<stop_order>().empty()) << "nothing of it can be on the way";
     const auto second = world.take<start_order>();
@@ -95,32 +95,32 @@
 TEST(order_backoff, doubles_its_pauses_up_to_eight_times_the_first) {
     duration last{};
     for (std::uint32_t failures = 1; failures <= 4; ++failures) {
-        const auto pause = get_backoff(failures, shortest, 7);
-        const auto middle = shortest * (1U << (failures - 1));
+        const auto pause = get_backoff(failures, base_pause, 7);
+        const auto middle = base_pause * (1U << (failures - 1));
         EXPECT_GE(pause, middle * 3 / 4);
         EXPECT_LE(pause, middle * 5 / 4);
         EXPECT_GT(pause, last);
         last = pause;
     }
-    EXPECT_LE(get_backoff(40, shortest, 7), shortest * 10);
+    EXPECT_LE(get_backoff(40, base_pause, 7), base_pause * 10);
 }
 
-TEST(order_backoff, sets_the_times_of_workers_apart) {
+TEST(order_backoff, spreads_the_retries_of_workers) {
     std::set<duration> pauses;
     for (std::uint64_t spread = 0; spread < 100; ++spread) {
-        pauses.insert(get_backoff(2, shortest, spread * 0x9E3779B97F4A7C15ULL));
+        pauses.insert(get_backoff(2, base_pause, spread * 0x9E3779B97F4A7C15ULL));
     }
     EXPECT_GT(pauses.size(), 90U);
 }
 
-TEST(order_backoff, counts_orders_that_were_under_way_together_once) {
+TEST(order_backoff, counts_orders_that_were_in_flight_together_once) {
     const time_point start{seconds{10}};
     order_backoff backoff;
     for (int order = 0; order < 16; ++order) {
-        backoff.on_failure(start + milliseconds{order}, shortest, 1);
+        backoff.on_failure(start + milliseconds{order}, base_pause, 1);
     }
     EXPECT_TRUE(backoff.has_just_failed());
-    EXPECT_LE(backoff.get_next() - start, shortest * 5 / 4);
+    EXPECT_LE(backoff.get_next() - start, base_pause * 5 / 4);
     backoff.on_answer();
     EXPECT_FALSE(backoff.is_closed(start));
 }
--- a/unit_tests/dispatch/dispatcher_waits_test.cpp
+++ b/unit_tests/dispatch/dispatcher_waits_test.cpp
@@ -1,4 +1,4 @@
-// Tasks that wait though there is room are found, with what keeps them from each worker.
+// Detection of tasks that wait although there is room, with the obstacle at each worker.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -7,14 +7,14 @@
 namespace poplarpitch {
 namespace {
 
-TEST(dispatcher_waits, tells_what_keeps_a_task_from_each_worker) {
+TEST(dispatcher_waits, reports_what_keeps_a_task_from_each_worker) {
     dispatch_world world;
     world.add_worker("full", {1000, 1000, 0});
     world.add_worker("leaves");
     world.add_worker("silent");
     world.submit({make_step()});
     ASSERT_EQ(world.start_one().target.worker.id, "full");
-    world.beat("leaves", true, 60'000);
+    world.send_heartbeat("leaves", true, 60'000);
     world.submit({make_step()});
     ASSERT_EQ(world.start_one().target.worker.id, "silent");
     world.wait_for_hold("silent");
@@ -27,7 +27,7 @@
     ASSERT_EQ(found.size(), 1U);
     EXPECT_EQ(found[0].task.step.job, waits);
     EXPECT_EQ(found[0].workers, 3U);
-    EXPECT_EQ(found[0].with_room, 1U) << "one that leaves has room for nothing";
+    EXPECT_EQ(found[0].with_room, 1U) << "one that leaves has no room";
     EXPECT_EQ(found[0].count(placement_obstacle::leaving), 1U);
     EXPECT_EQ(found[0].count(placement_obstacle::silent), 1U);
     EXPECT_EQ(found[0].count(placement_obstacle::room), 1U);
@@ -37,7 +37,7 @@
     dispatch_world world;
     world.add_worker("full", {1000, 1000, 0});
     world.add_worker("leaves");
-    world.beat("leaves", true, 60'000);
+    world.send_heartbeat("leaves", true, 60'000);
     world.submit({make_step(2)});
     ASSERT_EQ(world.take<start_order>().size(), 1U);
     world.advance(seconds{4});
--- a/unit_tests/dispatch/lasting_quota_test.cpp
+++ b/unit_tests/dispatch/lasting_quota_test.cpp
@@ -1,4 +1,4 @@
-// How much of a pool jobs that last may reserve.
+// How much of a pool long-running jobs may reserve.
 #include "poplarpitch/dispatch/lasting_quota.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 const std::string pool = "pool"; // NOLINT(cert-err58-cpp)
 constexpr time_point start{seconds{100}};
 
-TEST(lasting_quota, lets_jobs_reserve_their_share_and_no_more) {
+TEST(lasting_quota, allows_lasting_jobs_their_share_and_no_more) {
     lasting_quota quota(share);
     quota.clear(start);
     quota.observe(pool, {1000, 0}, start);
@@ -20,20 +20,20 @@
     quota.add(1, pool, 500);
     EXPECT_TRUE(quota.has_room(pool, 300, start));
     EXPECT_FALSE(quota.has_room(pool, 301, start));
-    quota.add(1, pool, 500); // told twice
+    quota.add(1, pool, 500); // added twice
     EXPECT_EQ(quota.get_reserved(pool), 500);
     quota.remove(1);
     quota.remove(1);
     EXPECT_TRUE(quota.has_room(pool, 800, start));
 }
 
-TEST(lasting_quota, takes_what_comes_while_no_worker_is_known) {
+TEST(lasting_quota, admits_all_jobs_while_no_worker_is_known) {
     lasting_quota quota(share);
     quota.clear(start);
     EXPECT_TRUE(quota.has_room(pool, 1'000'000, start));
 }
 
-TEST(lasting_quota, lets_more_in_where_others_were_seen_to_want_little) {
+TEST(lasting_quota, allows_a_larger_share_where_other_jobs_use_little) {
     lasting_quota quota(share);
     quota.clear(start);
     auto now = start;
@@ -41,27 +41,27 @@
         quota.observe(pool, {1000, 40}, now);
     }
     EXPECT_EQ(quota.get_allowed(pool, now), 940);
-    quota.observe(pool, {1000, 400}, now); // others come
+    quota.observe(pool, {1000, 400}, now); // other jobs arrive
     EXPECT_EQ(quota.get_allowed(pool, now), 800);
     quota.observe(pool, {1000, 40}, now + seconds{10}); // their peak is remembered
     EXPECT_EQ(quota.get_allowed(pool, now + seconds{10}), 800);
 }
 
-TEST(lasting_quota, tells_refused_callers_to_come_back_when_jobs_end_at_the_rate_seen) {
+TEST(lasting_quota, computes_the_retry_time_from_the_rate_at_which_jobs_end) {
     lasting_quota quota(share);
     quota.clear(start);
     quota.observe(pool, {1000, 0}, start);
     quota.add(1, pool, 400);
     quota.add(2, pool, 400);
     const auto now = start + seconds{20};
-    const auto blind = quota.get_retry_after(16, pool, 100, now);
-    EXPECT_EQ(blind, seconds{30});
+    const auto without_rate = quota.get_retry_after(16, pool, 100, now);
+    EXPECT_EQ(without_rate, seconds{30});
     quota.remove(1);
     quota.add(3, pool, 400); // 400 millicores in 20 s
     EXPECT_EQ(quota.get_retry_after(16, pool, 200, now), seconds{10});
 }
 
-TEST(lasting_quota, spreads_the_callers_that_it_refused) {
+TEST(lasting_quota, spreads_the_retries_of_refused_callers) {
     lasting_quota quota(share);
     quota.clear(start);
     const auto now = start + seconds{20};
@@ -73,7 +73,7 @@
     EXPECT_LT(*times.rbegin(), seconds{45});
 }
 
-TEST(lasting_quota, asks_for_patience_of_a_second_while_workers_are_still_heard_of) {
+TEST(lasting_quota, returns_one_second_to_retry_while_workers_are_still_registering) {
     lasting_quota quota(share);
     quota.clear(start);
     EXPECT_EQ(quota.get_retry_after(5, pool, 100, start + seconds{1}), seconds{1});
