--- a/performance_test/dispatch_benchmark.cpp
+++ b/performance_test/dispatch_benchmark.cpp
@@ -57,7 +57,7 @@
 private:
     void add_worker(int number) {
         worker_report report;
-        report.life = {"w" + std::to_string(number), 0};
+        report.incarnation = {"w" + std::to_string(number), 0};
         report.address = "10.0.0.1:80";
         report.pool = "mill";
         report.rack = "r" + std::to_string(number / 8);
@@ -66,7 +66,7 @@
         report.sequence = 1;
         m_dispatch.on_heartbeat(report, m_now);
         m_dispatch.tick(m_now, m_wall_ms);
-        m_dispatch.on_hold(report.life, {std::nullopt, {1'000'000, {}, {}}}, m_now);
+        m_dispatch.on_hold(report.incarnation, {std::nullopt, {1'000'000, {}, {}}}, m_now);
     }
 
     void submit(int id, bool is_serving) {
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -86,13 +86,14 @@
     /// one known here; a full heartbeat is then required.
     bool on_sign_of_life(const sign_of_life& sign, time_point now);
     /// Called when a worker deregisters.
-    void on_goodbye(const worker_life& worker, time_point now);
+    void on_goodbye(const worker_incarnation& worker, time_point now);
     /// Processes the answer to a hold that was sent to `worker`. Another incarnation of it may have answered.
-    void on_hold(const worker_life& worker, const hold_outcome& outcome, time_point now);
+    void on_hold(const worker_incarnation& worker, const hold_outcome& outcome, time_point now);
     /// Processes the answer to a start.
     void on_start(const run_key& key, const order_answer& answer, time_point now);
     /// Processes the answer to a stop of a run, including a run that is not in the job book.
-    void on_stop(const run_key& key, const worker_life& worker, const order_answer& answer, time_point now);
+    void on_stop(const run_key& key, const worker_incarnation& worker, const order_answer& answer,
+                 time_point now);
     /// Processes the answer to a pace order.
     void on_pace(const run_key& key, int percent, const order_answer& answer, time_point now);
     /// Processes the answer of the advice service.
@@ -118,15 +119,15 @@
     [[nodiscard]] std::uint64_t count_pending(const std::string& queue) const;
     /// Returns true when a task of the job has started.
     [[nodiscard]] bool has_started(job_id id) const;
-    [[nodiscard]] const std::map<worker_life, worker_state>& get_workers() const {
+    [[nodiscard]] const std::map<worker_incarnation, worker_state>& get_workers() const {
         return m_workers.get_map();
     }
     [[nodiscard]] const dispatch_counts& get_counts() const { return m_counts; }
     /// Returns how many tasks are suspected of having crashed a worker.
     [[nodiscard]] std::size_t count_suspects() const { return m_suspects.get_size(); }
     /// Returns the state of a worker, or null.
-    [[nodiscard]] const worker_state* find_worker_state(const worker_life& life) const {
-        return m_workers.find(life);
+    [[nodiscard]] const worker_state* find_worker_state(const worker_incarnation& incarnation) const {
+        return m_workers.find(incarnation);
     }
     /// Returns the tasks of open jobs that nothing will complete, in order. There are none unless the leader
     /// has a fault.
@@ -227,8 +228,9 @@
     void forget_old_jobs(time_point now);
 
     // runs
-    run_track& add_track(const run_key& key, std::shared_ptr<const step_job> job, const worker_life& worker,
-                         run_stage stage, isolation_level isolation, time_point now);
+    run_track& add_track(const run_key& key, std::shared_ptr<const step_job> job,
+                         const worker_incarnation& worker, run_stage stage, isolation_level isolation,
+                         time_point now);
     void drop_track(const run_key& key, time_point now);
     run_track* find(const run_key& key);
     void propose_end(run_track& track, run_end end, const end_evidence& evidence, time_point now,
@@ -249,7 +251,7 @@
     void handle_order_answer(run_track& track, const order_answer& answer, time_point now);
 
     // workers
-    worker_state* find_worker(const worker_life& life) { return m_workers.find(life); }
+    worker_state* find_worker(const worker_incarnation& incarnation) { return m_workers.find(incarnation); }
     /// Schedules the next hold for `when`, if it is not due earlier.
     void schedule_hold(worker_state& worker, time_point when);
     /// Returns the latest time of the worker's next check.
@@ -287,24 +289,24 @@
 
     // incarnations of workers
     /// Returns the state of an incarnation. Adds one if it is not known.
-    worker_state& get_or_add_worker(const worker_life& life, time_point now);
+    worker_state& get_or_add_worker(const worker_incarnation& incarnation, time_point now);
     /// Returns true when a message of this incarnation is late, since it is known to have ended.
-    [[nodiscard]] bool is_stale(const worker_life& life) const;
+    [[nodiscard]] bool is_stale(const worker_incarnation& incarnation) const;
     /// Returns a fence that only orders since the last raise have carried.
     [[nodiscard]] std::uint64_t get_fence() const { return m_term + m_book.get_fence_raises(); }
     void raise_fence(worker_state& worker);
     void on_fence_raised(time_point now);
     /// Processes a list from another incarnation than the addressed one.
-    void on_other_life(worker_state& addressed, const worker_life& answered, const hold_answer& answer,
-                       time_point now);
+    void on_other_incarnation(worker_state& addressed, const worker_incarnation& answered,
+                              const hold_answer& answer, time_point now);
     /// Ends all other incarnations that were known before the hold to `addressed` was sent, which `worker`
     /// answered.
-    void end_former_lives(worker_state& worker, const worker_state& addressed, const hold_answer& answer,
-                          time_point now);
+    void end_former_incarnations(worker_state& worker, const worker_state& addressed,
+                                 const hold_answer& answer, time_point now);
     /// Ends an incarnation. Runs that are on `successor`, the next incarnation, or may still start there,
     /// move there.
-    void end_former_life(worker_state& former, worker_state& successor, const requested_list& list,
-                         time_point now);
+    void end_former_incarnation(worker_state& former, worker_state& successor, const requested_list& list,
+                                time_point now);
     void mark_lost(worker_state& worker, const char* reason, time_point now);
     void move_run(run_track& track, worker_state& successor, const run_loss& loss, time_point now);
     void mark_run_lost(run_track& track, end_reason reason, const run_loss& loss, time_point now);
@@ -320,7 +322,7 @@
                                                          std::optional<duration> age) const;
     /// Returns the assessment of all runs of a worker that have not ended.
     [[nodiscard]] std::vector<lapsed_run> assess_runs(const worker_state& worker, time_point now) const;
-    void propose_crash(const lapsed_run& lapsed, const worker_life& worker);
+    void propose_crash(const lapsed_run& lapsed, const worker_incarnation& worker);
     void on_task_crashed(const book_event& event, time_point now);
     void clear_suspects(worker_state& worker, time_point now);
     /// Releases workers that are reserved for suspects by a former leader, except as many as may be reserved.
@@ -339,11 +341,11 @@
     void report_waits(time_point now);
 
     // advice
-    [[nodiscard]] std::string find_ticket(const step_key& step, const worker_life& worker,
+    [[nodiscard]] std::string find_ticket(const step_key& step, const worker_incarnation& worker,
                                           time_point now) const;
     void request_advice(const std::vector<std::pair<std::int64_t, step_key>>& ranked, time_point now);
-    std::vector<worker_life> pick_workers_to_advise(const ready_step& ready, const step_key& key,
-                                                    time_point now);
+    std::vector<worker_incarnation> pick_workers_to_advise(const ready_step& ready, const step_key& key,
+                                                           time_point now);
 
     // interference of filling tasks with serving ones
     void refresh_pressure(worker_state& worker);
@@ -402,13 +404,13 @@
     const job_book& m_book;
     log_term m_term = 0;
     worker_table m_workers;
-    std::set<worker_life>
+    std::set<worker_incarnation>
         m_lost_workers; ///< incarnations that are known to have ended, whose late heartbeats are ignored
     bool m_is_raising_fence = false; ///< a raise of the fence is being committed
     absl::node_hash_map<run_key, run_track> m_tracks;
     absl::node_hash_map<job_id, open_job> m_jobs;
     std::map<step_key, ready_step> m_ready;
-    std::map<task_key, std::vector<worker_life>> m_failed_on; ///< workers on which a task failed
+    std::map<task_key, std::vector<worker_incarnation>> m_failed_on; ///< workers on which a task failed
     suspect_watch m_suspects;
     std::map<step_key, step_advice> m_advice;
     bool m_is_advising = false; ///< a call to the advice service is in flight
--- a/poplarpitch/dispatch/dispatcher_advice.cpp
+++ b/poplarpitch/dispatch/dispatcher_advice.cpp
@@ -18,7 +18,8 @@
 
 } // namespace
 
-std::string dispatcher::find_ticket(const step_key& step, const worker_life& worker, time_point now) const {
+std::string dispatcher::find_ticket(const step_key& step, const worker_incarnation& worker,
+                                    time_point now) const {
     const auto found = m_advice.find(step);
     return found == m_advice.end() ? std::string{} : found->second.find_ticket(worker, now + ticket_margin);
 }
@@ -53,24 +54,25 @@
     }
 }
 
-std::vector<worker_life> dispatcher::pick_workers_to_advise(const ready_step& ready, const step_key& key,
-                                                            time_point now) {
+std::vector<worker_incarnation> dispatcher::pick_workers_to_advise(const ready_step& ready,
+                                                                   const step_key& key, time_point now) {
     const auto request = make_request(ready, {key, *ready.waiting.begin()}, now);
-    std::vector<std::pair<double, worker_life>> found;
+    std::vector<std::pair<double, worker_incarnation>> found;
     for (const auto* worker : m_workers.get_all()) {
-        const auto& life = worker->report.life;
+        const auto& incarnation = worker->report.incarnation;
         const bool is_open = worker->report.pool == ready.job->queue.pool && is_usable(*worker, now) &&
-                             !m_advice[key].is_denied(life) && find_ticket(key, life, now).empty();
+                             !m_advice[key].is_denied(incarnation) &&
+                             find_ticket(key, incarnation, now).empty();
         const auto cost = is_open ? get_placement_cost(*worker, request) : std::nullopt;
         if (cost.has_value()) {
-            found.emplace_back(*cost, life);
+            found.emplace_back(*cost, incarnation);
         }
     }
     std::sort(found.begin(), found.end());
-    std::vector<worker_life> workers;
-    for (const auto& [cost, life] : found) {
+    std::vector<worker_incarnation> workers;
+    for (const auto& [cost, incarnation] : found) {
         if (workers.size() < std::min(max_advised_workers, ready.waiting.size() + extra_advised_workers)) {
-            workers.push_back(life);
+            workers.push_back(incarnation);
         }
     }
     return workers;
--- a/poplarpitch/dispatch/dispatcher_audit.cpp
+++ b/poplarpitch/dispatch/dispatcher_audit.cpp
@@ -82,7 +82,7 @@
         line.add("reason", get_stuck_name(stuck[number].reason));
         const auto* track = find_track(stuck[number].run);
         if (track != nullptr) {
-            add_worker(line, track->host->report.life);
+            add_worker(line, track->host->report.incarnation);
         }
         line.add("stuck", static_cast<std::uint64_t>(stuck.size()));
     }
--- a/poplarpitch/dispatch/dispatcher_copies.cpp
+++ b/poplarpitch/dispatch/dispatcher_copies.cpp
@@ -58,7 +58,7 @@
     ready.job = slow.job;
     ready.since = pass.now;
     auto request = make_request(ready, slow.key.task, pass.now);
-    request.excluded = slow.host->report.life;
+    request.excluded = slow.host->report.incarnation;
     auto* worker = choose(pass, ready, request);
     if (worker == nullptr) {
         return;
@@ -66,8 +66,8 @@
     {
         auto line = log_event(log_level::info, "copy_started");
         add_run(line, slow.key);
-        line.add("slow_worker", slow.host->report.life.id);
-        add_worker(line, worker->report.life)
+        line.add("slow_worker", slow.host->report.incarnation.id);
+        add_worker(line, worker->report.incarnation)
             .add("percent", slow.percent)
             .add("age_ms", to_milliseconds(pass.now - slow.confirmed_at))
             .add("estimate_ms", slow.get_spec().estimate_ms);
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -60,7 +60,7 @@
     const bool is_confirmed = track.confirmed_at != time_point{};
     run_loss loss;
     loss.age_ms = is_confirmed && age.has_value() ? to_milliseconds(*age) : 0;
-    if (worker.is_leaving || m_book.is_retired(worker.report.life) || !may_have_begun(track)) {
+    if (worker.is_leaving || m_book.is_retired(worker.report.incarnation) || !may_have_begun(track)) {
         return loss;
     }
     const bool was_heard = worker.hold_failures > 0 ? worker.has_failed_early : !worker.is_hold_pending;
@@ -102,13 +102,13 @@
     return assessed;
 }
 
-void dispatcher::propose_crash(const lapsed_run& lapsed, const worker_life& worker) {
+void dispatcher::propose_crash(const lapsed_run& lapsed, const worker_incarnation& worker) {
     job_wire::job_command command;
     auto& message = *command.mutable_crash();
     encode(lapsed.run.task, *message.mutable_task());
     message.set_run(lapsed.run.run);
     message.set_worker(worker.id);
-    message.set_born_ms(worker.born_ms);
+    message.set_born_ms(worker.process_start_ms);
     message.set_crash(static_cast<std::uint32_t>(lapsed.loss.crash));
     message.set_age_ms(lapsed.loss.age_ms);
     m_commands.push_back(std::move(command));
@@ -154,7 +154,7 @@
         m_must_place = true;
         auto line = log_event(log_level::info, "task_cleared");
         add_run(line, key);
-        add_worker(line, worker.report.life).add("age_ms", to_milliseconds(now - track.confirmed_at));
+        add_worker(line, worker.report.incarnation).add("age_ms", to_milliseconds(now - track.confirmed_at));
     }
 }
 
--- a/poplarpitch/dispatch/dispatcher_lives.cpp
+++ b/poplarpitch/dispatch/dispatcher_incarnations.cpp
@@ -14,15 +14,15 @@
 
 } // namespace
 
-worker_state& dispatcher::get_or_add_worker(const worker_life& life, time_point now) {
-    if (auto* known = find_worker(life); known != nullptr) {
+worker_state& dispatcher::get_or_add_worker(const worker_incarnation& incarnation, time_point now) {
+    if (auto* known = find_worker(incarnation); known != nullptr) {
         return *known;
     }
-    const auto others = m_workers.find_other_lives(life);
-    const auto lost = m_lost_workers.lower_bound(worker_life::before_all(life.id));
-    auto& worker = m_workers.get(life);
+    const auto others = m_workers.find_other_incarnations(incarnation);
+    const auto lost = m_lost_workers.lower_bound(worker_incarnation::first_key_of(incarnation.id));
+    auto& worker = m_workers.get(incarnation);
     worker.known_since = now;
-    worker.needs_fence = !others.empty() || (lost != m_lost_workers.end() && lost->id == life.id);
+    worker.needs_fence = !others.empty() || (lost != m_lost_workers.end() && lost->id == incarnation.id);
     worker.fence = get_fence();
     if (worker.needs_fence) {
         grant_longest_lease(worker, now); // a lease for a former incarnation may have reached this one
@@ -38,12 +38,12 @@
     return worker;
 }
 
-bool dispatcher::is_stale(const worker_life& life) const {
-    if (m_lost_workers.contains(life)) {
+bool dispatcher::is_stale(const worker_incarnation& incarnation) const {
+    if (m_lost_workers.contains(incarnation)) {
         return true;
     }
     // The message comes from another writer, or from an instance whose version omits the start time.
-    return life.born_ms == 0 && !m_workers.find_other_lives(life).empty();
+    return incarnation.process_start_ms == 0 && !m_workers.find_other_incarnations(incarnation).empty();
 }
 
 /// Orders to former incarnations may still be in flight, for example in a relay that stalled. The next
@@ -77,30 +77,30 @@
 
 /// Incarnations follow one another, so the one that answered is later than any that was known before the hold
 /// was sent.
-void dispatcher::on_other_life(worker_state& addressed, const worker_life& answered,
-                               const hold_answer& answer, time_point now) {
+void dispatcher::on_other_incarnation(worker_state& addressed, const worker_incarnation& answered,
+                                      const hold_answer& answer, time_point now) {
     m_lost_workers.erase(answered);
     auto& worker = get_or_add_worker(answered, now);
     if (worker.report.address.empty()) {
         worker.report.address = addressed.report.address;
         worker.last_heartbeat = now;
     }
-    if (!worker.has_report && addressed.has_report && addressed.report.life.born_ms == 0) {
+    if (!worker.has_report && addressed.has_report && addressed.report.incarnation.process_start_ms == 0) {
         worker.report = addressed.report; // a report without a start time may come from any incarnation
-        worker.report.life = answered;
+        worker.report.incarnation = answered;
         worker.has_report = true;
         update_room_expiry(worker);
     }
     worker.is_lost = false;
-    end_former_lives(worker, addressed, answer, now);
+    end_former_incarnations(worker, addressed, answer, now);
     if (worker.needs_fence) {
         raise_fence(worker);
     }
 }
 
-void dispatcher::end_former_lives(worker_state& worker, const worker_state& addressed,
-                                  const hold_answer& answer, time_point now) {
-    const auto others = m_workers.find_other_lives(worker.report.life);
+void dispatcher::end_former_incarnations(worker_state& worker, const worker_state& addressed,
+                                         const hold_answer& answer, time_point now) {
+    const auto others = m_workers.find_other_incarnations(worker.report.incarnation);
     if (others.empty()) {
         return;
     }
@@ -109,23 +109,23 @@
         // The addressed one was known before, even if only since the same moment.
         const bool was_known = other == &addressed || other->known_since < addressed.hold_sent;
         if (!other->is_lost && was_known) {
-            end_former_life(*other, worker, {listed, addressed.hold_sent}, now);
+            end_former_incarnation(*other, worker, {listed, addressed.hold_sent}, now);
         }
     }
 }
 
-void dispatcher::end_former_life(worker_state& former, worker_state& successor, const requested_list& list,
-                                 time_point now) {
+void dispatcher::end_former_incarnation(worker_state& former, worker_state& successor,
+                                        const requested_list& list, time_point now) {
     log_event(log_level::warn, "worker_started_again")
-        .add("worker", successor.report.life.id)
-        .add("born_ms", successor.report.life.born_ms)
-        .add("former_born_ms", former.report.life.born_ms)
+        .add("worker", successor.report.incarnation.id)
+        .add("born_ms", successor.report.incarnation.process_start_ms)
+        .add("former_born_ms", former.report.incarnation.process_start_ms)
         .add("runs", static_cast<std::uint64_t>(former.runs.size()))
         .add("seen", former.seen)
         .add("acknowledged", former.acknowledged);
     const auto assessed = assess_runs(former, now);
     mark_lost(former, get_end_reason_name(started_again), now);
-    const bool is_surely_other = former.report.life.born_ms != 0;
+    const bool is_surely_other = former.report.incarnation.process_start_ms != 0;
     for (const auto& run : assessed) {
         auto& track = *former.runs.at(run.run);
         const auto loss = is_surely_other ? run.loss : run_loss{};
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -21,7 +21,8 @@
     for (auto* worker : m_workers.take_due(now, time_point::max())) {
         check_worker(*worker, now);
         if (may_forget(*worker, now)) {
-            m_workers.erase(worker_life{worker->report.life}); // a copy, since the state is erased
+            m_workers.erase(
+                worker_incarnation{worker->report.incarnation}); // a copy, since the state is erased
         } else {
             m_workers.schedule_check(*worker, get_next_check(*worker, now));
         }
@@ -39,7 +40,7 @@
 /// cut: the age of the run, and the number of runs on the worker.
 void dispatcher::add_loss(log_event& line, const run_track& track, time_point now) {
     add_run(line, track.key);
-    add_worker(line, track.host->report.life);
+    add_worker(line, track.host->report.incarnation);
     if (const auto age = get_age_at_loss(track, now); age.has_value()) {
         line.add("age_ms", to_milliseconds(*age));
     }
@@ -50,15 +51,15 @@
     worker.is_lost = true;
     worker.awaits_fence = false;
     worker.ends_committing = 0;
-    m_lost_workers.insert(worker.report.life);
+    m_lost_workers.insert(worker.report.incarnation);
     m_workers.schedule_check(worker, now);
     auto line = log_event(log_level::warn, "worker_lost");
-    add_worker(line, worker.report.life)
+    add_worker(line, worker.report.incarnation)
         .add("reason", reason)
         .add("runs", static_cast<std::uint64_t>(worker.runs.size()));
     for (const auto& run : worker.lapsed) {
         if (run.loss.crash != crash_evidence::none) {
-            propose_crash(run, worker.report.life);
+            propose_crash(run, worker.report.incarnation);
         }
     }
     worker.lapsed.clear();
@@ -91,7 +92,7 @@
     const auto& worker = *track.host;
     const bool is_start_known = !track.may_yet_start() && track.stage != run_stage::adopting;
     const bool may_be_elsewhere = !track.get_spec().long_running || !is_start_known;
-    if (worker.report.life.born_ms == 0 || !may_be_elsewhere) {
+    if (worker.report.incarnation.process_start_ms == 0 || !may_be_elsewhere) {
         return worker.lease_end;
     }
     return std::max(worker.lease_end, worker.granted_at + get_lease_span(m_settings.longest_lease));
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -309,7 +309,7 @@
         return placement_obstacle::kept_open;
     }
     const bool needs_ticket = ready.job->queue.advice.has_value();
-    if (needs_ticket && find_ticket(request.step, worker.report.life, now).empty()) {
+    if (needs_ticket && find_ticket(request.step, worker.report.incarnation, now).empty()) {
         return placement_obstacle::ticket;
     }
     return placement_obstacle::none;
@@ -324,7 +324,7 @@
         return best;
     }
     for (auto* worker : usable->second) {
-        if (worker->report.life == request.excluded ||
+        if (worker->report.incarnation == request.excluded ||
             find_policy_obstacle(*worker, ready, request, pass.now) != placement_obstacle::none) {
             continue;
         }
@@ -376,7 +376,7 @@
                 break;
             }
             const run_key member{{key, index}, run};
-            add_track(member, ready.job, chosen->report.life, run_stage::committing,
+            add_track(member, ready.job, chosen->report.incarnation, run_stage::committing,
                       request.get_run_isolation(), pass.now);
             placed.emplace_back(member, chosen);
         }
@@ -409,7 +409,7 @@
     if (ready.job->steps[key.step.step].is_serving() && worker.servings == 0) {
         m_open_millicores -= worker.report.capacity.millicores;
     }
-    add_track(run, ready.job, worker.report.life, run_stage::committing, isolation, now);
+    add_track(run, ready.job, worker.report.incarnation, run_stage::committing, isolation, now);
     propose_assignment(run, worker);
 }
 
@@ -417,8 +417,8 @@
     job_wire::job_command command;
     encode(key.task, *command.mutable_assign()->mutable_task());
     command.mutable_assign()->set_run(key.run);
-    command.mutable_assign()->set_worker(worker.report.life.id);
-    command.mutable_assign()->set_born_ms(worker.report.life.born_ms);
+    command.mutable_assign()->set_worker(worker.report.incarnation.id);
+    command.mutable_assign()->set_born_ms(worker.report.incarnation.process_start_ms);
     command.mutable_assign()->set_address(worker.report.address);
     m_commands.push_back(std::move(command));
     ++m_counts.assigned;
--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -126,7 +126,8 @@
 void dispatcher::leave_unsound(worker_state& worker, time_point now) {
     if (!worker.trust.is_set_aside(now)) {
         auto line = log_event(log_level::warn, "worker_unsound");
-        add_worker(line, worker.report.life).add("runs", static_cast<std::uint64_t>(worker.runs.size()));
+        add_worker(line, worker.report.incarnation)
+            .add("runs", static_cast<std::uint64_t>(worker.runs.size()));
     }
     worker.trust.on_unsound(now);
     for (const auto& [key, run] : worker.runs) {
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 run_track& dispatcher::add_track(const run_key& key, std::shared_ptr<const step_job> job,
-                                 const worker_life& worker, run_stage stage, isolation_level isolation,
+                                 const worker_incarnation& worker, run_stage stage, isolation_level isolation,
                                  time_point now) {
     auto& track = m_tracks[key];
     track.key = key;
@@ -84,7 +84,7 @@
     encode(track.key.task, *message.mutable_task());
     message.set_run(track.key.run);
     message.set_worker(track.assigned_to.id);
-    message.set_born_ms(track.assigned_to.born_ms);
+    message.set_born_ms(track.assigned_to.process_start_ms);
     message.set_kind(static_cast<std::uint32_t>(end));
     message.set_saved(saved);
     message.set_number(evidence.number);
@@ -97,7 +97,7 @@
 
 order_target dispatcher::make_target(const worker_state& worker, duration timeout) const {
     const bool is_fresh = worker.hold_failures == 1 || worker.backoff.has_just_failed();
-    return {worker.report.life, worker.report.address, worker.fence, is_fresh, timeout};
+    return {worker.report.incarnation, worker.report.address, worker.fence, is_fresh, timeout};
 }
 
 void dispatcher::send_due_order(run_track& track, time_point now) {
@@ -156,7 +156,7 @@
     }
     std::string ticket;
     if (track.job->queue.advice.has_value()) {
-        ticket = find_ticket(track.key.task.step, worker.report.life, now);
+        ticket = find_ticket(track.key.task.step, worker.report.incarnation, now);
         if (ticket.empty()) { // the ticket expired meanwhile; a new one may be granted
             on_start_refused(track, order_failure::no_ticket, now);
             return;
@@ -265,7 +265,7 @@
     {
         auto event = log_event(log_level::warn, "start_refused");
         add_run(event, track.key);
-        add_worker(event, worker.report.life)
+        add_worker(event, worker.report.incarnation)
             .add("reason", get_failure_name(failure))
             .add("fence", track.start_fence)
             .add("starts", static_cast<std::uint64_t>(track.starts));
@@ -289,8 +289,8 @@
         track.listed_at = now;
         schedule_hold(worker, now);
         return;
-    case order_failure::other_life:
-        on_worker_lost(worker, end_reason::another_life_answers, now);
+    case order_failure::other_incarnation:
+        on_worker_lost(worker, end_reason::another_incarnation_answers, now);
         return;
     case order_failure::no_room:
         ++m_counts.refused_room;
@@ -298,7 +298,7 @@
     case order_failure::no_ticket:
         ++m_counts.refused_other;
         if (const auto found = m_advice.find(track.key.task.step); found != m_advice.end()) {
-            found->second.drop(worker.report.life);
+            found->second.drop(worker.report.incarnation);
         }
         break;
     case order_failure::unhealthy:
@@ -324,10 +324,10 @@
     propose_end(track, run_end::not_started, {end_reason::given_back, track.start_sent, 0}, now);
 }
 
-void dispatcher::on_stop(const run_key& key, const worker_life& worker, const order_answer& answer,
+void dispatcher::on_stop(const run_key& key, const worker_incarnation& worker, const order_answer& answer,
                          time_point now) {
     auto* track = find(key);
-    if (track == nullptr || !is_leading() || track->host->report.life != worker) {
+    if (track == nullptr || !is_leading() || track->host->report.incarnation != worker) {
         return;
     }
     handle_order_answer(*track, answer, now);
@@ -337,8 +337,8 @@
         if (!track->host->is_hold_pending) {
             schedule_hold(*track->host, now); // the list shows whether the run existed
         }
-    } else if (answer.failure == order_failure::other_life) {
-        on_worker_lost(*track->host, end_reason::another_life_answers, now);
+    } else if (answer.failure == order_failure::other_incarnation) {
+        on_worker_lost(*track->host, end_reason::another_incarnation_answers, now);
     } else {
         track->next_order = std::max(track->next_order, now + m_settings.retry_pause);
         schedule_order(*track);
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -21,8 +21,9 @@
 
 /// Returns why the answer to a hold cannot be used to identify the worker's incarnation, or nothing.
 std::optional<order_failure> get_hold_failure(const worker_state& worker, const hold_outcome& outcome) {
-    const bool omits_birth_time = outcome.answer.born_ms == 0 && worker.report.life.born_ms != 0;
-    if (!outcome.failure.has_value() && omits_birth_time) {
+    const bool omits_start_time =
+        outcome.answer.process_start_ms == 0 && worker.report.incarnation.process_start_ms != 0;
+    if (!outcome.failure.has_value() && omits_start_time) {
         return order_failure::unanswered;
     }
     return outcome.failure;
@@ -67,12 +68,13 @@
 // ---- heartbeats
 
 bool dispatcher::on_heartbeat(const worker_report& report, time_point now) {
-    if (!is_leading() || is_stale(report.life)) {
+    if (!is_leading() || is_stale(report.incarnation)) {
         return false;
     }
-    auto& worker = get_or_add_worker(report.life, now);
+    auto& worker = get_or_add_worker(report.incarnation, now);
     if (worker.has_report && report.sequence <= worker.report.sequence) {
-        return worker.is_leaving && !m_book.is_retired(report.life); // late; only the request to leave counts
+        return worker.is_leaving &&
+               !m_book.is_retired(report.incarnation); // late; only the request to leave counts
     }
     const bool is_new = !worker.has_report;
     worker.report = report;
@@ -85,30 +87,30 @@
         worker.next_hold = now;
         m_workers.schedule_check(worker, now);
         auto line = log_event(log_level::info, "worker_seen");
-        add_worker(line, report.life)
+        add_worker(line, report.incarnation)
             .add("address", report.address)
             .add("pool", report.pool)
             .add("rack", report.rack)
             .add("millicores", report.capacity.millicores)
             .add("memory_mb", report.capacity.memory_mb);
-        for (const auto& life : m_workers.add_address(worker)) {
-            if (auto* other = find_worker(life); other != nullptr && other != &worker) {
+        for (const auto& incarnation : m_workers.add_address(worker)) {
+            if (auto* other = find_worker(incarnation); other != nullptr && other != &worker) {
                 schedule_hold(*other, now); // its answer shows which of the two is alive
             }
         }
     }
-    const bool is_leaving = report.is_leaving || m_book.is_retired(report.life);
+    const bool is_leaving = report.is_leaving || m_book.is_retired(report.incarnation);
     if (is_leaving && !worker.is_leaving) {
         worker.is_leaving = true;
         worker.leaves_at = now + milliseconds{report.remaining_ms};
         auto line = log_event(log_level::info, "worker_leaving");
-        add_worker(line, report.life)
+        add_worker(line, report.incarnation)
             .add("remaining_ms", report.remaining_ms)
             .add("runs", static_cast<std::uint64_t>(worker.runs.size()));
         evacuate(worker, now);
         m_workers.schedule_check(worker, now);
     }
-    return is_leaving && !m_book.is_retired(report.life);
+    return is_leaving && !m_book.is_retired(report.incarnation);
 }
 
 /// Heartbeats of one worker may arrive through several relays. Each relay compares them with the reports that
@@ -148,16 +150,16 @@
     }
 }
 
-void dispatcher::on_goodbye(const worker_life& life, time_point now) {
-    if (!is_leading() || is_stale(life)) {
+void dispatcher::on_goodbye(const worker_incarnation& incarnation, time_point now) {
+    if (!is_leading() || is_stale(incarnation)) {
         return;
     }
-    auto* worker = find_worker(life);
+    auto* worker = find_worker(incarnation);
     if (worker == nullptr) {
         return;
     }
     auto line = log_event(log_level::info, "worker_deregistered");
-    add_worker(line, life).add("runs", static_cast<std::uint64_t>(worker->runs.size()));
+    add_worker(line, incarnation).add("runs", static_cast<std::uint64_t>(worker->runs.size()));
     worker->is_leaving = true;
     worker->leaves_at = now;
     worker->next_hold = now; // its answer, or the lack of one, shows when it has ended
@@ -178,7 +180,7 @@
     worker.granted_at = now;
     worker.lease_end = std::max(worker.lease_end, now + get_lease_span(m_settings.lease));
     // The grant may reach another incarnation of that id, which applies it to its own clock.
-    for (auto* other : m_workers.find_other_lives(worker.report.life)) {
+    for (auto* other : m_workers.find_other_incarnations(worker.report.incarnation)) {
         grant_longest_lease(*other, now);
     }
 }
@@ -228,8 +230,8 @@
     m_orders.emplace_back(std::move(order));
 }
 
-void dispatcher::on_hold(const worker_life& life, const hold_outcome& outcome, time_point now) {
-    auto* worker = find_worker(life);
+void dispatcher::on_hold(const worker_incarnation& incarnation, const hold_outcome& outcome, time_point now) {
+    auto* worker = find_worker(incarnation);
     if (worker == nullptr || !is_leading() || !worker->is_hold_pending) {
         return;
     }
@@ -240,8 +242,8 @@
     }
     const auto failure = get_hold_failure(*worker, outcome);
     if (failure.has_value()) {
-        if (failure == order_failure::other_life) {
-            on_worker_lost(*worker, end_reason::another_life_answers, now);
+        if (failure == order_failure::other_incarnation) {
+            on_worker_lost(*worker, end_reason::another_incarnation_answers, now);
             return;
         }
         worker->acknowledged_sent = 0;            // the last acknowledgement may have been lost
@@ -258,21 +260,21 @@
                                               m_settings.retry_pause, worker->spread);
         if (worker->hold_failures == silent_after_failures) {
             auto line = log_event(log_level::warn, "worker_silent");
-            add_worker(line, life)
+            add_worker(line, incarnation)
                 .add("reason", get_failure_name(*failure))
                 .add("runs", static_cast<std::uint64_t>(worker->runs.size()))
                 .add("lease_left_ms", to_milliseconds(worker->lease_end - now));
         }
         return;
     }
-    const worker_life answered{life.id, outcome.answer.born_ms};
-    if (answered != life) {
-        on_other_life(*worker, answered, outcome.answer, now);
+    const worker_incarnation answered{incarnation.id, outcome.answer.process_start_ms};
+    if (answered != incarnation) {
+        on_other_incarnation(*worker, answered, outcome.answer, now);
         return;
     }
     if (worker->is_silent()) {
         auto line = log_event(log_level::info, "worker_heard_again");
-        add_worker(line, life);
+        add_worker(line, incarnation);
     }
     worker->lapsed.clear(); // it was out of reach and has not crashed
     worker->hold_failures = 0;
@@ -281,7 +283,7 @@
         worker->clock_ms = outcome.answer.clock_ms;
         worker->clock_at = now;
     }
-    end_former_lives(*worker, *worker, outcome.answer, now);
+    end_former_incarnations(*worker, *worker, outcome.answer, now);
     if (worker->needs_fence) {
         raise_fence(*worker);
         return;
@@ -355,7 +357,7 @@
         if (track != nullptr && !track->is_ending) {
             auto line = log_event(log_level::warn, "end_passed_over");
             add_run(line, row.run);
-            add_worker(line, worker.report.life)
+            add_worker(line, worker.report.incarnation)
                 .add("end", get_end_name(row.end))
                 .add("number", row.number)
                 .add("seen", worker.seen);
@@ -393,7 +395,7 @@
         if (never_came || was_there || was_stopped) {
             auto line = log_event(log_level::info, "run_not_listed", log_weight::history);
             add_run(line, key);
-            add_worker(line, worker.report.life)
+            add_worker(line, worker.report.incarnation)
                 .add("seen", worker.seen)
                 .add("told", worker.acknowledged_sent)
                 .add("was_there", was_there ? "yes" : "no");
@@ -414,7 +416,7 @@
         .add("job", format_job_id(key.task.step.job))
         .add("task", static_cast<std::uint64_t>(key.task.index))
         .add("run", static_cast<std::uint64_t>(key.run))
-        .add("worker", worker.report.life.id);
+        .add("worker", worker.report.incarnation.id);
     ++m_counts.stops;
     stop_order order;
     order.target = make_target(worker, m_settings.order_timeout);
--- a/poplarpitch/dispatch/end_evidence.h
+++ b/poplarpitch/dispatch/end_evidence.h
@@ -16,8 +16,8 @@
     stop_answered, ///< the worker answered the stop before a list was requested, and the list lacks the run
     given_back,    ///< the start was certainly not sent, or the worker refused it
     lease_lapsed,  ///< the worker was unreachable until its lease had certainly expired
-    another_life_answers, ///< another incarnation answered an order sent to the worker
-    started_again,        ///< a later incarnation of the worker answered, and the run cannot start there
+    another_incarnation_answers, ///< another incarnation answered an order sent to the worker
+    started_again, ///< a later incarnation of the worker answered, and the run cannot start there
 };
 
 /// Returns the reason's name for logs. Thread safety: any thread.
@@ -37,7 +37,7 @@
         return "given_back";
     case end_reason::lease_lapsed:
         return "lease_lapsed";
-    case end_reason::another_life_answers:
+    case end_reason::another_incarnation_answers:
         return "another_life_answers";
     case end_reason::started_again:
         return "started_again";
--- a/poplarpitch/dispatch/history_log.cpp
+++ b/poplarpitch/dispatch/history_log.cpp
@@ -11,7 +11,7 @@
 void log_run_started(const run_track& track, const char* reason, log_term term, time_point now) {
     auto line = log_event(log_level::info, "run_started", log_weight::history);
     add_run(line, track.key);
-    add_worker(line, track.host->report.life)
+    add_worker(line, track.host->report.incarnation)
         .add("wait_ms", to_milliseconds(now - track.claimed_at))
         .add("ground", reason)
         .add("term", term)
@@ -25,7 +25,7 @@
 void log_run_taken_over(const run_track& track, const char* found, log_term term) {
     auto line = log_event(log_level::info, "run_taken_over", log_weight::history);
     add_run(line, track.key);
-    add_worker(line, track.host->report.life)
+    add_worker(line, track.host->report.incarnation)
         .add("found", found)
         .add("of", track.former_loss.has_value() ? "former_life" : "former_leader")
         .add("term", term)
@@ -54,7 +54,7 @@
     }
     auto line = log_event(log_level::info, "end_of_unknown_run", log_weight::history);
     add_run(line, row.run);
-    add_worker(line, worker.report.life)
+    add_worker(line, worker.report.incarnation)
         .add("end", get_end_name(row.end))
         .add("number", row.number)
         .add("seen", worker.seen)
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -184,7 +184,7 @@
         cost += doubtful_cost;
     }
     if (request.avoided != nullptr && std::find(request.avoided->begin(), request.avoided->end(),
-                                                worker.report.life) != request.avoided->end()) {
+                                                worker.report.incarnation) != request.avoided->end()) {
         cost += failed_there_cost;
     }
     return cost;
--- a/poplarpitch/dispatch/placement.h
+++ b/poplarpitch/dispatch/placement.h
@@ -24,14 +24,15 @@
     image_number image = 0;      ///< image of the task; only for tasks that fill or serve
     std::vector<double> factors; ///< for filling tasks: interference factor of the task's image beside each
                                  ///< serving image, by number
-    const std::vector<worker_life>* avoided = nullptr; ///< workers on which the task failed; null for none
-    bool is_last_attempt = false;                      ///< excludes workers whose last run failed
-    bool is_starving = false; ///< no task of the job runs: a filling task accepts less than it requests
+    const std::vector<worker_incarnation>* avoided =
+        nullptr;                  ///< workers on which the task failed; null for none
+    bool is_last_attempt = false; ///< excludes workers whose last run failed
+    bool is_starving = false;     ///< no task of the job runs: a filling task accepts less than it requests
     isolation_level isolation = isolation_level::none;
-    bool may_wait = false;   ///< a task to be placed alone waits for a worker without other runs
-    bool is_overdue = false; ///< the task has waited too long: workers kept for a suspect are allowed too
-    std::string rack;        ///< restricts the choice to this rack; empty for any
-    worker_life excluded;    ///< this worker is not allowed: a copy has to run elsewhere
+    bool may_wait = false;       ///< a task to be placed alone waits for a worker without other runs
+    bool is_overdue = false;     ///< the task has waited too long: workers kept for a suspect are allowed too
+    std::string rack;            ///< restricts the choice to this rack; empty for any
+    worker_incarnation excluded; ///< this worker is not allowed: a copy has to run elsewhere
 
     friend bool operator==(const placement_request&, const placement_request&) = default;
 
--- a/poplarpitch/dispatch/run_log.cpp
+++ b/poplarpitch/dispatch/run_log.cpp
@@ -1,7 +1,7 @@
 #include "poplarpitch/dispatch/run_log.h"
 
 #include "poplarpitch/scheduling/task_key.h"
-#include "poplarpitch/scheduling/worker_life.h"
+#include "poplarpitch/scheduling/worker_incarnation.h"
 #include "poplarpitch/telemetry/log_event.h"
 
 #include <cstdint>
@@ -16,10 +16,10 @@
         .add("run", static_cast<std::uint64_t>(key.run));
 }
 
-log_event& add_worker(log_event& event, const worker_life& life) {
-    event.add("worker", life.id);
-    if (life.born_ms != 0) {
-        event.add("born_ms", life.born_ms);
+log_event& add_worker(log_event& event, const worker_incarnation& incarnation) {
+    event.add("worker", incarnation.id);
+    if (incarnation.process_start_ms != 0) {
+        event.add("born_ms", incarnation.process_start_ms);
     }
     return event;
 }
--- a/poplarpitch/dispatch/worker_table.cpp
+++ b/poplarpitch/dispatch/worker_table.cpp
@@ -7,15 +7,15 @@
 
 namespace poplarpitch {
 
-worker_state& worker_table::get(const worker_life& life) {
-    if (auto* known = find(life); known != nullptr) {
+worker_state& worker_table::get(const worker_incarnation& incarnation) {
+    if (auto* known = find(incarnation); known != nullptr) {
         return *known;
     }
-    auto& worker = m_workers[life];
-    worker.report.life = life;
-    worker.spread = hash_bytes(life.id);
-    m_by_life[life] = &worker;
-    const auto position = find_position(life);
+    auto& worker = m_workers[incarnation];
+    worker.report.incarnation = incarnation;
+    worker.spread = hash_bytes(incarnation.id);
+    m_by_incarnation[incarnation] = &worker;
+    const auto position = find_position(incarnation);
     const auto index = static_cast<std::size_t>(std::distance(m_all.cbegin(), position));
     m_all.insert(position, &worker);
     m_check_times.insert(m_check_times.begin() + static_cast<std::ptrdiff_t>(index), time_point{});
@@ -23,42 +23,46 @@
     return worker;
 }
 
-std::vector<worker_state*>::const_iterator worker_table::find_position(const worker_life& life) const {
-    return std::lower_bound(
-        m_all.begin(), m_all.end(), life,
-        [](const worker_state* other, const worker_life& wanted) { return other->report.life < wanted; });
+std::vector<worker_state*>::const_iterator
+worker_table::find_position(const worker_incarnation& incarnation) const {
+    return std::lower_bound(m_all.begin(), m_all.end(), incarnation,
+                            [](const worker_state* other, const worker_incarnation& wanted) {
+                                return other->report.incarnation < wanted;
+                            });
 }
 
-worker_state* worker_table::find(const worker_life& life) const {
-    const auto found = m_by_life.find(life);
-    return found == m_by_life.end() ? nullptr : found->second;
+worker_state* worker_table::find(const worker_incarnation& incarnation) const {
+    const auto found = m_by_incarnation.find(incarnation);
+    return found == m_by_incarnation.end() ? nullptr : found->second;
 }
 
-void worker_table::erase(const worker_life& life) {
-    const auto found = m_workers.find(life);
+void worker_table::erase(const worker_incarnation& incarnation) {
+    const auto found = m_workers.find(incarnation);
     if (found == m_workers.end()) {
         return;
     }
     const auto position = found->second.position;
     m_all.erase(m_all.begin() + static_cast<std::ptrdiff_t>(position));
     m_check_times.erase(m_check_times.begin() + static_cast<std::ptrdiff_t>(position));
-    m_by_life.erase(life);
+    m_by_incarnation.erase(incarnation);
     m_workers.erase(found);
     renumber_from(position);
 }
 
-const std::vector<worker_life>& worker_table::add_address(const worker_state& worker) {
-    auto& lives = m_lives[worker.report.address];
-    std::erase_if(lives, [this](const worker_life& life) { return find(life) == nullptr; });
-    lives.push_back(worker.report.life);
-    return lives;
+const std::vector<worker_incarnation>& worker_table::add_address(const worker_state& worker) {
+    auto& incarnations = m_incarnations[worker.report.address];
+    std::erase_if(incarnations,
+                  [this](const worker_incarnation& incarnation) { return find(incarnation) == nullptr; });
+    incarnations.push_back(worker.report.incarnation);
+    return incarnations;
 }
 
-std::vector<worker_state*> worker_table::find_other_lives(const worker_life& life) const {
+std::vector<worker_state*>
+worker_table::find_other_incarnations(const worker_incarnation& incarnation) const {
     std::vector<worker_state*> others;
-    for (auto position = find_position(worker_life::before_all(life.id));
-         position != m_all.end() && (*position)->report.life.id == life.id; ++position) {
-        if ((*position)->report.life != life) {
+    for (auto position = find_position(worker_incarnation::first_key_of(incarnation.id));
+         position != m_all.end() && (*position)->report.incarnation.id == incarnation.id; ++position) {
+        if ((*position)->report.incarnation != incarnation) {
             others.push_back(*position);
         }
     }
@@ -66,10 +70,10 @@
 }
 
 void worker_table::clear() {
-    m_lives.clear();
+    m_incarnations.clear();
     m_all.clear();
     m_check_times.clear();
-    m_by_life.clear();
+    m_by_incarnation.clear();
     m_workers.clear();
 }
 
--- a/poplarpitch/dispatch/worker_table.h
+++ b/poplarpitch/dispatch/worker_table.h
@@ -20,24 +20,25 @@
 class worker_table {
 public:
     /// Returns a worker's state. Adds a new one, which is due at once, if the worker is not known.
-    worker_state& get(const worker_life& life);
+    worker_state& get(const worker_incarnation& incarnation);
     /// Returns a worker's state, or null.
-    [[nodiscard]] worker_state* find(const worker_life& life) const;
+    [[nodiscard]] worker_state* find(const worker_incarnation& incarnation) const;
     /// Removes a worker. Precondition: nothing points to it.
-    void erase(const worker_life& life);
+    void erase(const worker_incarnation& incarnation);
     void clear();
 
     /// Returns the other known incarnations of this worker, in order.
-    [[nodiscard]] std::vector<worker_state*> find_other_lives(const worker_life& life) const;
+    [[nodiscard]] std::vector<worker_state*>
+    find_other_incarnations(const worker_incarnation& incarnation) const;
 
     /// Returns all workers, ordered by incarnation.
     [[nodiscard]] const std::vector<worker_state*>& get_all() const { return m_all; }
     /// Returns all workers by incarnation.
-    [[nodiscard]] const std::map<worker_life, worker_state>& get_map() const { return m_workers; }
+    [[nodiscard]] const std::map<worker_incarnation, worker_state>& get_map() const { return m_workers; }
 
     /// Adds a worker's address. Returns all incarnations that were seen at that address; some may have been
     /// removed.
-    const std::vector<worker_life>& add_address(const worker_state& worker);
+    const std::vector<worker_incarnation>& add_address(const worker_state& worker);
 
     /// Makes a worker due at `when` unless it is due earlier.
     void schedule_check(const worker_state& worker, time_point when);
@@ -47,13 +48,14 @@
 
 private:
     /// Returns the position of an incarnation in `m_all`, or where it would be inserted.
-    [[nodiscard]] std::vector<worker_state*>::const_iterator find_position(const worker_life& life) const;
+    [[nodiscard]] std::vector<worker_state*>::const_iterator
+    find_position(const worker_incarnation& incarnation) const;
     void renumber_from(std::size_t place);
 
-    std::map<worker_life, worker_state> m_workers;
-    absl::flat_hash_map<worker_life, worker_state*> m_by_life;
-    absl::flat_hash_map<std::string, std::vector<worker_life>> m_lives; ///< by address
-    std::vector<worker_state*> m_all;                                   ///< by incarnation
+    std::map<worker_incarnation, worker_state> m_workers;
+    absl::flat_hash_map<worker_incarnation, worker_state*> m_by_incarnation;
+    absl::flat_hash_map<std::string, std::vector<worker_incarnation>> m_incarnations; ///< by address
+    std::vector<worker_state*> m_all;                                                 ///< by incarnation
     std::vector<time_point> m_check_times; ///< when each is due, at the same positions as `m_all`
 };
 
--- a/poplarpitch/relay/order_name.h
+++ b/poplarpitch/relay/order_name.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "poplarpitch/scheduling/task_key.h"
-#include "poplarpitch/scheduling/worker_life.h"
+#include "poplarpitch/scheduling/worker_incarnation.h"
 
 #include <compare>
 #include <cstdint>
@@ -13,7 +13,7 @@
     enum class kind : std::uint8_t { hold, start, stop, pace };
 
     kind what = kind::hold;
-    worker_life worker;
+    worker_incarnation worker;
     run_key run;     ///< unused for a hold order
     int percent = 0; ///< only for a pace order
 
--- a/poplarpitch/relay/relay_agent.cpp
+++ b/poplarpitch/relay/relay_agent.cpp
@@ -63,7 +63,7 @@
         }
     }
     for (const auto& worker : frame.unknown_workers()) {
-        for (auto known = m_reports.lower_bound(worker_life::before_all(worker));
+        for (auto known = m_reports.lower_bound(worker_incarnation::first_key_of(worker));
              known != m_reports.end() && known->first.id == worker; ++known) {
             add_full_report(known->second);
         }
@@ -150,17 +150,17 @@
         m_next_sweep = now + m_settings.report_lifetime;
         remove_expired_reports(now);
     }
-    auto& known = m_reports[report.life];
+    auto& known = m_reports[report.incarnation];
     known.is_reported = known.is_reported && is_unchanged(known.report, report);
     known.report = report;
     known.received_at = now;
     if (known.is_reported) {
         auto& message = *open_frame().add_reports();
-        message.set_worker(report.life.id);
+        message.set_worker(report.incarnation.id);
         message.set_sequence(report.sequence);
         message.set_clock_ms(report.clock_ms);
         message.set_told(known.reported_sequence);
-        message.set_born_ms(report.life.born_ms);
+        message.set_born_ms(report.incarnation.process_start_ms);
         return;
     }
     add_full_report(known);
@@ -200,7 +200,7 @@
 }
 
 std::uint32_t relay_agent::pick(const worker_report& report) const {
-    return pick_relay(m_places, report.data_centre, hash_bytes(report.life.id)).value_or(m_place.ip);
+    return pick_relay(m_places, report.data_centre, hash_bytes(report.incarnation.id)).value_or(m_place.ip);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_agent.h
+++ b/poplarpitch/relay/relay_agent.h
@@ -92,7 +92,7 @@
     bool m_must_answer = false; ///< a frame arrived and no answer was sent since
     time_point m_next_sweep{};
     std::vector<relay_place> m_places;
-    absl::btree_map<worker_life, known_report> m_reports;
+    absl::btree_map<worker_incarnation, known_report> m_reports;
     std::unique_ptr<job_wire::relay_answers> m_frame; ///< null while empty
     std::size_t m_open = 0;
     std::uint64_t m_received = 0;
--- a/poplarpitch/relay/relay_codec.cpp
+++ b/poplarpitch/relay/relay_codec.cpp
@@ -125,7 +125,7 @@
     const auto& target = *get_order_target(order);
     message.set_number(number);
     message.set_worker(target.worker.id);
-    message.set_born_ms(target.worker.born_ms);
+    message.set_born_ms(target.worker.process_start_ms);
     message.set_fence(target.fence);
     message.set_address(target.address);
     message.set_timeout_ms(to_milliseconds(target.timeout));
@@ -175,7 +175,7 @@
 void encode(const hold_outcome& outcome, job_wire::relayed_answer& message) {
     message.set_failure(outcome.failure.has_value() ? static_cast<std::uint32_t>(*outcome.failure) : 0);
     message.set_clock_ms(outcome.answer.clock_ms);
-    message.set_born_ms(outcome.answer.born_ms);
+    message.set_born_ms(outcome.answer.process_start_ms);
     for (const auto& row : outcome.answer.running) {
         auto& item = *message.add_running();
         encode_run(row.run, item);
@@ -198,7 +198,7 @@
         outcome.failure = static_cast<order_failure>(message.failure());
     }
     outcome.answer.clock_ms = message.clock_ms();
-    outcome.answer.born_ms = message.born_ms();
+    outcome.answer.process_start_ms = message.born_ms();
     outcome.answer.running.reserve(static_cast<std::size_t>(message.running_size()));
     for (const auto& item : message.running()) {
         outcome.answer.running.push_back({decode_run(item), item.saved(), item.percent(), item.level()});
@@ -212,8 +212,8 @@
 }
 
 void encode(const worker_report& report, job_wire::relayed_report& message) {
-    message.set_worker(report.life.id);
-    message.set_born_ms(report.life.born_ms);
+    message.set_worker(report.incarnation.id);
+    message.set_born_ms(report.incarnation.process_start_ms);
     message.set_sequence(report.sequence);
     message.set_clock_ms(report.clock_ms);
     message.set_is_whole(true);
@@ -236,7 +236,7 @@
 
 worker_report decode(const job_wire::relayed_report& message) {
     worker_report report;
-    report.life = {message.worker(), message.born_ms()};
+    report.incarnation = {message.worker(), message.born_ms()};
     report.sequence = message.sequence();
     report.clock_ms = message.clock_ms();
     report.address = message.address();
--- a/poplarpitch/relay/relay_hub.cpp
+++ b/poplarpitch/relay/relay_hub.cpp
@@ -68,7 +68,7 @@
 std::vector<relayed_outcome> relay_hub::on_answers(const job_wire::relay_answers& frame, time_point now) {
     std::vector<relayed_outcome> outcomes;
     // A relay of an older version would send orders with fences that workers refuse, and would not say which
-    // life of a worker its lists belong to.
+    // incarnation of a worker its lists belong to.
     if (m_term == 0 || frame.term() != m_term || frame.version() < relay_version) {
         return outcomes;
     }
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -91,15 +91,15 @@
 
     void answer(const heartbeat_call& call, http_responder respond) {
         const auto& report = call.report;
-        const auto relay = m_parts.relays.pick(report.data_centre, hash_bytes(report.life.id));
+        const auto relay = m_parts.relays.pick(report.data_centre, hash_bytes(report.incarnation.id));
         auto body = make_heartbeat_answer(relay.value_or(read_ip(m_parts.settings.replica.host).value_or(0)));
         if (!m_parts.dispatch.on_heartbeat(call.report, m_parts.loop.now())) {
             respond(make_response(200, std::move(body)));
             return;
         }
         job_wire::job_command command;
-        command.mutable_retire()->set_worker(call.report.life.id);
-        command.mutable_retire()->set_born_ms(call.report.life.born_ms);
+        command.mutable_retire()->set_worker(call.report.incarnation.id);
+        command.mutable_retire()->set_born_ms(call.report.incarnation.process_start_ms);
         m_parts.batcher.add(std::move(command), make_result_handler(std::move(body), std::move(respond)));
     }
 
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -19,12 +19,13 @@
 
 /// Sends orders to workers with the deployment's HTTP requests.
 ///
-/// An acknowledgement of ended runs carries a worker's id on the wire, but not which life (process) of the
-/// worker it is for. Received by the next life, it would make that life drop ends that it has not listed yet.
-/// So an acknowledgement is sent only over a connection that was open before the intended life answered a
-/// request for its list: the lives of a worker follow one another, and a connection ends with the life that
-/// accepted it. Where there is no such connection, the list is requested without an acknowledgement, and the
-/// life that answers gets it later. Thread safety: the loop's thread.
+/// An acknowledgement of ended runs carries a worker's id on the wire, but not which incarnation (process) of
+/// the worker it is for. Received by the next incarnation, it would make that incarnation drop ends that it
+/// has not listed yet. So an acknowledgement is sent only over a connection that was open before the intended
+/// incarnation answered a request for its list: the incarnations of a worker follow one another, and a
+/// connection ends with the incarnation that accepted it. Where there is no such connection, the list is
+/// requested without an acknowledgement, and the incarnation that answers gets it later. Thread safety: the
+/// loop's thread.
 template <scheduler_dialect Dialect>
 class worker_link {
 public:
@@ -64,10 +65,10 @@
     static call_importance get_importance(const pace_order& /*order*/) { return call_importance::low; }
 
     /// Returns true when the refusal of a repeated start does not tell whether the earlier attempt succeeded.
-    /// A refusal because the run is old, or because another life of the worker answered, does tell.
+    /// A refusal because the run is old, or because another incarnation of the worker answered, does tell.
     static bool is_inconclusive(const http_response& response, const std::optional<order_failure>& failure) {
-        const bool is_refused =
-            failure.has_value() && failure != order_failure::old_run && failure != order_failure::other_life;
+        const bool is_refused = failure.has_value() && failure != order_failure::old_run &&
+                                failure != order_failure::other_incarnation;
         return response.is_repeated && is_refused;
     }
 
@@ -90,20 +91,21 @@
         }
     }
 
-    /// The life of a worker that answered a request for its list, and when the request was sent.
+    /// The incarnation of a worker that answered a request for its list, and when the request was sent.
     struct answered_list {
-        worker_life life;
+        worker_incarnation incarnation;
         time_point requested_at{};
     };
 
     void send_hold(const hold_order& order, outcome_handler on_outcome) {
-        const bool has_one_life = order.target.worker.born_ms == 0; // the id alone identifies it
-        if (order.acknowledged == 0 || has_one_life) {
+        const bool has_one_incarnation =
+            order.target.worker.process_start_ms == 0; // the id alone identifies it
+        if (order.acknowledged == 0 || has_one_incarnation) {
             request_list(order, make_call(order), std::move(on_outcome));
             return;
         }
         const auto last = m_lists.find(order.target.address);
-        if (last == m_lists.end() || last->second.life != order.target.worker) {
+        if (last == m_lists.end() || last->second.incarnation != order.target.worker) {
             request_without_acknowledgement(order, std::move(on_outcome));
             return;
         }
@@ -130,17 +132,17 @@
         call<hold_order>(std::move(request), [this, target = order.target, requested_at = m_loop.now(),
                                               on_outcome = std::move(on_outcome)](hold_outcome outcome) {
             if (!outcome.failure.has_value()) {
-                record_list(target, outcome.answer.born_ms, requested_at);
+                record_list(target, outcome.answer.process_start_ms, requested_at);
             }
             on_outcome(std::move(outcome));
         });
     }
 
-    void record_list(const order_target& target, std::int64_t born_ms, time_point requested_at) {
+    void record_list(const order_target& target, std::int64_t process_start_ms, time_point requested_at) {
         if (m_lists.size() >= max_lists) {
             m_lists.clear(); // acknowledgements are delayed until the next list
         }
-        m_lists[target.address] = {{target.worker.id, born_ms}, requested_at};
+        m_lists[target.address] = {{target.worker.id, process_start_ms}, requested_at};
     }
 
     template <class Order>
--- a/poplarpitch/scheduling/book_event.h
+++ b/poplarpitch/scheduling/book_event.h
@@ -3,7 +3,7 @@
 #include "poplarpitch/scheduling/crash_evidence.h"
 #include "poplarpitch/scheduling/run_end.h"
 #include "poplarpitch/scheduling/task_key.h"
-#include "poplarpitch/scheduling/worker_life.h"
+#include "poplarpitch/scheduling/worker_incarnation.h"
 
 #include <compare>
 #include <cstdint>
@@ -29,7 +29,7 @@
 
     kind what = kind::job_accepted;
     run_key run;
-    worker_life worker;
+    worker_incarnation worker;
     run_end end = run_end::done;
     std::uint64_t number = 0;
     crash_evidence crash = crash_evidence::none; ///< of `run_ended` or `task_crashed`
--- a/poplarpitch/scheduling/control_call.h
+++ b/poplarpitch/scheduling/control_call.h
@@ -15,7 +15,7 @@
 };
 /// A worker deregisters because its process ends.
 struct goodbye_call {
-    worker_life worker;
+    worker_incarnation worker;
 };
 /// An operator's new configuration.
 struct put_config_call {
--- a/poplarpitch/scheduling/hold_answer.h
+++ b/poplarpitch/scheduling/hold_answer.h
@@ -37,7 +37,8 @@
     std::int64_t clock_ms = 0; ///< the worker's clock
     std::vector<run_row> running;
     std::vector<end_row> ended; ///< at most `max_ended_rows` in one answer
-    std::int64_t born_ms = 0;   ///< Unix time at which the worker's process started; 0 when not reported
+    std::int64_t process_start_ms =
+        0; ///< Unix time at which the worker's process started; 0 when not reported
 
     friend bool operator==(const hold_answer&, const hold_answer&) = default;
 
--- a/poplarpitch/scheduling/job_book.cpp
+++ b/poplarpitch/scheduling/job_book.cpp
@@ -137,7 +137,7 @@
     return command_outcome::applied;
 }
 
-command_outcome job_book::retire(const worker_life& worker, std::vector<book_event>& events) {
+command_outcome job_book::retire(const worker_incarnation& worker, std::vector<book_event>& events) {
     m_retired.insert(worker);
     book_event event;
     event.what = book_event::kind::worker_retired;
@@ -335,9 +335,9 @@
         encode(*record, *snapshot.add_jobs());
     }
     for (const auto& worker : m_retired) {
-        auto& life = *snapshot.add_retired_lives();
-        life.set_id(worker.id);
-        life.set_born_ms(worker.born_ms);
+        auto& incarnation = *snapshot.add_retired_lives();
+        incarnation.set_id(worker.id);
+        incarnation.set_born_ms(worker.process_start_ms);
     }
     snapshot.set_fence_raises(m_fence_raises);
     snapshot.set_next_sequence(m_next_sequence);
@@ -358,8 +358,8 @@
     for (const auto& id : snapshot.retired()) {
         m_retired.insert({id, 0});
     }
-    for (const auto& life : snapshot.retired_lives()) {
-        m_retired.insert({life.id(), life.born_ms()});
+    for (const auto& incarnation : snapshot.retired_lives()) {
+        m_retired.insert({incarnation.id(), incarnation.born_ms()});
     }
     m_fence_raises = snapshot.fence_raises();
     m_next_sequence = snapshot.next_sequence();
--- a/poplarpitch/scheduling/job_book.h
+++ b/poplarpitch/scheduling/job_book.h
@@ -45,7 +45,9 @@
     /// Returns the task, or null when it is not known or no longer kept.
     [[nodiscard]] const task_record* find_task(const task_key& key) const;
     /// Returns true when the worker has announced that it leaves; nothing more is started on it.
-    [[nodiscard]] bool is_retired(const worker_life& worker) const { return m_retired.contains(worker); }
+    [[nodiscard]] bool is_retired(const worker_incarnation& worker) const {
+        return m_retired.contains(worker);
+    }
     /// Returns how often the fence was raised within the terms of leaders. Added to the leader's term, it
     /// gives a fence that is higher than any that an earlier leader used, or that this leader used before the
     /// last raise.
@@ -59,7 +61,7 @@
     command_outcome submit(const job_wire::step_job& message, std::vector<book_event>& events);
     command_outcome cancel(job_id id, std::vector<book_event>& events);
     command_outcome assign(const run_key& key, assigned_run run, std::vector<book_event>& events);
-    command_outcome retire(const worker_life& worker, std::vector<book_event>& events);
+    command_outcome retire(const worker_incarnation& worker, std::vector<book_event>& events);
     command_outcome end(const book_event& ended, const std::string& saved, std::vector<book_event>& events);
     /// Records a crash that was detected after its run had been given up.
     command_outcome record_crash(const book_event& crashed, std::vector<book_event>& events);
@@ -74,7 +76,7 @@
 
     job_configuration m_configuration;
     absl::node_hash_map<job_id, job_record> m_jobs;
-    std::set<worker_life> m_retired;
+    std::set<worker_incarnation> m_retired;
     std::uint64_t m_fence_raises = 0;
     std::vector<pressure_factor> m_pressure;
     std::uint64_t m_next_sequence = 1;
--- a/poplarpitch/scheduling/job_codec.cpp
+++ b/poplarpitch/scheduling/job_codec.cpp
@@ -100,7 +100,7 @@
         auto& item = *message.add_runs();
         item.set_run(run.run);
         item.set_worker(run.worker.id);
-        item.set_born_ms(run.worker.born_ms);
+        item.set_born_ms(run.worker.process_start_ms);
         item.set_address(run.address);
     }
     if (task.crash != crash_history{}) {
--- a/poplarpitch/scheduling/job_record.h
+++ b/poplarpitch/scheduling/job_record.h
@@ -3,7 +3,7 @@
 #include "poplarpitch/scheduling/crash_history.h"
 #include "poplarpitch/scheduling/job_phase.h"
 #include "poplarpitch/scheduling/step_job.h"
-#include "poplarpitch/scheduling/worker_life.h"
+#include "poplarpitch/scheduling/worker_incarnation.h"
 
 #include <cstdint>
 #include <map>
@@ -16,7 +16,7 @@
 /// A run that was assigned to a worker and has not ended.
 struct assigned_run {
     std::uint32_t run = 0;
-    worker_life worker;
+    worker_incarnation worker;
     std::string address; ///< of the worker, so that a new leader can ask it about the run
 
     friend auto operator<=>(const assigned_run&, const assigned_run&) = default;
--- a/poplarpitch/scheduling/order_failure.h
+++ b/poplarpitch/scheduling/order_failure.h
@@ -6,13 +6,13 @@
 
 /// Why an order to a worker was not carried out, or why its result is unknown.
 enum class order_failure : std::uint8_t {
-    unreachable = 1, ///< no connection; nothing was sent
-    not_sent,        ///< surely not sent; nothing is known about the worker
-    unanswered,      ///< sent without an answer: it may have been carried out, or may be seconds later
-    other_life,      ///< another incarnation of a worker answers at that address
-    lower_fence,     ///< the worker has seen a higher fence
-    old_run,         ///< a run with the same or a higher number was stopped or ended there
-    late_lease,      ///< the lease in the order had expired
+    unreachable = 1,   ///< no connection; nothing was sent
+    not_sent,          ///< surely not sent; nothing is known about the worker
+    unanswered,        ///< sent without an answer: it may have been carried out, or may be seconds later
+    other_incarnation, ///< another incarnation of a worker answers at that address
+    lower_fence,       ///< the worker has seen a higher fence
+    old_run,           ///< a run with the same or a higher number was stopped or ended there
+    late_lease,        ///< the lease in the order had expired
     no_room,
     no_ticket,
     unhealthy, ///< the worker refuses all orders at present and did not carry this one out
@@ -28,7 +28,7 @@
         return "not_sent";
     case order_failure::unanswered:
         return "unanswered";
-    case order_failure::other_life:
+    case order_failure::other_incarnation:
         return "other_life";
     case order_failure::lower_fence:
         return "lower_fence";
--- a/poplarpitch/scheduling/worker_order.h
+++ b/poplarpitch/scheduling/worker_order.h
@@ -4,7 +4,7 @@
 #include "poplarpitch/scheduling/hold_answer.h"
 #include "poplarpitch/scheduling/order_failure.h"
 #include "poplarpitch/scheduling/task_key.h"
-#include "poplarpitch/scheduling/worker_life.h"
+#include "poplarpitch/scheduling/worker_incarnation.h"
 
 #include <cstdint>
 #include <memory>
@@ -19,7 +19,7 @@
 
 /// The fields that every order to a worker has.
 struct order_target {
-    worker_life worker; ///< the incarnation it is meant for; a worker with another id refuses it
+    worker_incarnation worker; ///< the incarnation it is meant for; a worker with another id refuses it
     std::string address;
     std::uint64_t fence = 0; ///< fencing token: increases with each leader and each incarnation of the
                              ///< worker, which refuses a lower one
@@ -74,7 +74,7 @@
 struct advise_order {
     std::uint64_t fence = 0; ///< term of the leader that asks
     step_key step;
-    std::vector<worker_life> workers;
+    std::vector<worker_incarnation> workers;
     duration timeout{};
 
     friend bool operator==(const advise_order&, const advise_order&) = default;
--- a/poplarpitch/scheduling/worker_report.h
+++ b/poplarpitch/scheduling/worker_report.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "poplarpitch/scheduling/worker_life.h"
+#include "poplarpitch/scheduling/worker_incarnation.h"
 
 #include <algorithm>
 #include <compare>
@@ -42,7 +42,7 @@
 
 /// A heartbeat that repeats an earlier report and changes only its time.
 struct sign_of_life {
-    worker_life worker;
+    worker_incarnation worker;
     std::uint64_t sequence = 0; ///< as in a full report
     std::uint64_t told = 0;     ///< sequence of the full report that it repeats
     std::int64_t clock_ms = 0;  ///< the worker's own clock
@@ -52,7 +52,7 @@
 
 /// A worker's full report in a heartbeat.
 struct worker_report {
-    worker_life life;
+    worker_incarnation incarnation;
     std::string address; ///< IPv4 address and port for orders
     std::string pool;
     std::string data_centre;
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -60,13 +60,13 @@
     return text == nullptr ? default_seed_count : std::strtoull(text, nullptr, 10);
 }
 
-/// A worker machine and its current life.
+/// A worker machine and its current incarnation.
 struct crash_world::worker {
     std::string address;
     std::string id;
-    int life = 0;                       ///< number of the current life, unique among all workers
-    std::int64_t born_ms = 0;           ///< start time that this life reports
-    std::set<std::int64_t> start_times; ///< start times of all its lives
+    int incarnation = 0;                ///< number of the current incarnation, unique among all workers
+    std::int64_t process_start_ms = 0;  ///< start time that this incarnation reports
+    std::set<std::int64_t> start_times; ///< start times of all its incarnations
     time_point clock_start{};           ///< time at which the worker's clock started
     std::int64_t clock_offset_ms = 0;   ///< offset of the worker's wall clock
     bool is_up = false;
@@ -85,7 +85,7 @@
     std::optional<hold_order> hold;
     sent_order_ptr sent_hold;
     std::uint64_t hold_number = 0; ///< number of the pending hold, so that its timer does not end a later one
-    std::vector<reported_capacity> capacities; ///< all capacities of this life, the newest last
+    std::vector<reported_capacity> capacities; ///< all capacities of this incarnation, the newest last
     std::string data_centre;
     double clock_rate = 1;
     bool is_leaving = false;
@@ -124,7 +124,7 @@
             target->data_centre = "dc" + std::to_string(number % settings.data_centres + 1);
         }
         m_workers.push_back(std::move(target));
-        start_life(*m_workers.back());
+        start_incarnation(*m_workers.back());
     }
     run(seconds{1});
 }
@@ -291,8 +291,8 @@
         for (const auto& [key, run] : target->running) {
             if (m_settings.failures_after_power_loss > 0 && is_chosen(m_settings.failures_after_power_loss)) {
                 schedule_call(pick_time(milliseconds{1}, power_loss_failure_time),
-                              [this, &target, key = key, life = target->life] {
-                                  if (target->life == life && target->running.contains(key)) {
+                              [this, &target, key = key, incarnation = target->incarnation] {
+                                  if (target->incarnation == incarnation && target->running.contains(key)) {
                                       end_run(*target, key, run_end::failed);
                                   }
                               });
@@ -307,18 +307,18 @@
     }
     target.is_leaving = true;
     target.leaves_at = m_now + drain_time;
-    const auto life = target.life;
-    schedule_call(drain_time, [this, &target, life] {
-        if (target.life != life || !target.is_up) {
+    const auto incarnation = target.incarnation;
+    schedule_call(drain_time, [this, &target, incarnation] {
+        if (target.incarnation != incarnation || !target.is_up) {
             return;
         }
         target.is_refusing = true;
         if (m_has_leader && m_now >= target.partitioned_until && m_now >= target.one_way_partition_until) {
-            m_scheduler.on_goodbye({target.id, target.born_ms}, m_now);
+            m_scheduler.on_goodbye({target.id, target.process_start_ms}, m_now);
         }
-        schedule_call(pick_time(milliseconds{1}, max_refusal_time), [this, &target, life] {
-            if (target.life == life && target.is_up) {
-                end_life(target);
+        schedule_call(pick_time(milliseconds{1}, max_refusal_time), [this, &target, incarnation] {
+            if (target.incarnation == incarnation && target.is_up) {
+                end_incarnation(target);
             }
         });
     });
@@ -498,7 +498,7 @@
         return;
     }
     worker_report report;
-    report.life = {target.id, target.born_ms};
+    report.incarnation = {target.id, target.process_start_ms};
     report.address = target.address;
     report.pool = pool;
     report.rack = "r1";
@@ -616,10 +616,10 @@
     for (const auto& [key, run] : target.running) {
         ++m_histories[key.task].crashes;
     }
-    end_life(target);
+    end_incarnation(target);
 }
 
-void crash_world::end_life(worker& target) {
+void crash_world::end_incarnation(worker& target) {
     target.is_up = false;
     for (const auto& [key, run] : target.running) {
         --m_histories[key.task].running;
@@ -637,17 +637,17 @@
     }
     const auto spread = static_cast<std::size_t>(to_milliseconds(m_settings.restart_spread));
     schedule_call(m_settings.restart_time + milliseconds{spread == 0 ? 0 : pick(spread)},
-                  [this, &target] { start_life(target); });
+                  [this, &target] { start_incarnation(target); });
 }
 
-void crash_world::start_life(worker& target) {
-    target.life = ++m_life_count;
+void crash_world::start_incarnation(worker& target) {
+    target.incarnation = ++m_incarnation_count;
     if (target.id.empty() || !m_settings.keeps_ids) {
-        target.id = "w" + std::to_string(m_life_count);
+        target.id = "w" + std::to_string(m_incarnation_count);
     }
-    target.born_ms = m_settings.keeps_ids ? m_wall_ms + target.clock_offset_ms : 0;
-    while (m_settings.keeps_ids && !target.start_times.insert(target.born_ms).second) {
-        ++target.born_ms; // lives with equal start times would be the same life
+    target.process_start_ms = m_settings.keeps_ids ? m_wall_ms + target.clock_offset_ms : 0;
+    while (m_settings.keeps_ids && !target.start_times.insert(target.process_start_ms).second) {
+        ++target.process_start_ms; // incarnations with equal start times would be the same incarnation
     }
     target.clock_start = m_now;
     target.is_up = true;
@@ -798,7 +798,7 @@
     } else if (is_partitioned || !target.is_up || target.is_refusing) {
         complete(sent, {order_failure::unreachable, {}});
     } else if (target.id != order.target.worker.id) {
-        send_answer(target, sent, {order_failure::other_life, {}});
+        send_answer(target, sent, {order_failure::other_incarnation, {}});
     } else if (m_now < target.unhealthy_until) {
         send_answer(target, sent, {order_failure::unhealthy, {}});
     } else if (order.target.fence < target.fence) {
@@ -812,7 +812,8 @@
 void crash_world::execute(const hold_order& order, worker& target, const sent_order_ptr& sent) {
     target.lease_ms =
         std::max(target.lease_ms, std::min(order.until_ms.value_or(0), get_clock(target) + max_lease_ms));
-    if (order.target.worker.born_ms == target.born_ms) { // it is valid only for the life it names
+    if (order.target.worker.process_start_ms ==
+        target.process_start_ms) { // it is valid only for the incarnation it names
         acknowledge(target, order.acknowledged);
     }
     if (target.hold.has_value()) {
@@ -862,7 +863,7 @@
 hold_answer crash_world::make_list(const worker& target) {
     hold_answer answer;
     answer.clock_ms = get_clock(target);
-    answer.born_ms = target.born_ms;
+    answer.process_start_ms = target.process_start_ms;
     for (const auto& [key, run] : target.running) {
         answer.running.push_back({key, "", 50, 0});
     }
@@ -921,10 +922,10 @@
     if (!m_settings.enforces_capacity) {
         check_capacity(target);
     }
-    const auto life = target.life;
+    const auto incarnation = target.incarnation;
     if (m_crashing_tasks.contains(key.task)) {
-        schedule_call(m_settings.crash_after, [this, &target, key, life] {
-            if (target.life == life && target.running.contains(key)) {
+        schedule_call(m_settings.crash_after, [this, &target, key, incarnation] {
+            if (target.incarnation == incarnation && target.running.contains(key)) {
                 crash(target);
             }
         });
@@ -935,8 +936,8 @@
         return std::nullopt;
     }
     if (!spec.long_running) {
-        schedule_call(m_lengths.at(key.task.step.job), [this, &target, key, life] {
-            if (target.life == life && target.running.contains(key)) {
+        schedule_call(m_lengths.at(key.task.step.job), [this, &target, key, incarnation] {
+            if (target.incarnation == incarnation && target.running.contains(key)) {
                 end_run(target, key, run_end::done);
             }
         });
@@ -1006,12 +1007,12 @@
 void crash_world::execute(const stop_order& order, worker& target, const sent_order_ptr& sent) {
     auto& highest_runs = target.highest_runs[order.run.task];
     highest_runs = std::max(highest_runs, order.run.run);
-    const auto life = target.life;
+    const auto incarnation = target.incarnation;
     if (const auto found = target.running.find(order.run);
         found != target.running.end() && !found->second.is_stopping) {
         found->second.is_stopping = true;
-        schedule_call(m_settings.stop_time, [this, &target, key = order.run, life] {
-            if (target.life == life && target.running.contains(key)) {
+        schedule_call(m_settings.stop_time, [this, &target, key = order.run, incarnation] {
+            if (target.incarnation == incarnation && target.running.contains(key)) {
                 end_run(target, key, run_end::stopped);
             }
         });
--- a/unit_tests/dispatch/crash_world.h
+++ b/unit_tests/dispatch/crash_world.h
@@ -38,8 +38,8 @@
     bool keeps_ids = false;       ///< a worker restarts under the same id
     duration restart_spread{};    ///< up to this is added to `restart_time`
     double clock_steps = 0;       ///< a worker's wall clock steps back by up to a minute
-    double late_orders = 0;       ///< share of orders that arrive up to `max_order_delay` late, at any life
-    double late_heartbeats = 0;   ///< share of heartbeats that arrive up to 4 s late
+    double late_orders = 0; ///< share of orders that arrive up to `max_order_delay` late, at any incarnation
+    double late_heartbeats = 0;                   ///< share of heartbeats that arrive up to 4 s late
     duration max_order_delay = milliseconds{800}; ///< less than the timeout of an order
     double failures = 0;                          ///< of any run, so that long-running tasks end too
 
@@ -69,9 +69,9 @@
 };
 
 /// Simulates a dispatcher, its job book and its workers in virtual time, with injected faults: tasks crash
-/// their workers, workers restart as new lives, are partitioned or change their capacity, and leaders are
-/// lost. Records what the workers observe, so that a test can check invariants for any order of events. The
-/// simulation is deterministic: the same seed gives the same run.
+/// their workers, workers restart as new incarnations, are partitioned or change their capacity, and leaders
+/// are lost. Records what the workers observe, so that a test can check invariants for any order of events.
+/// The simulation is deterministic: the same seed gives the same run.
 class crash_world {
 public:
     crash_world(const crash_world_settings& settings, std::uint64_t seed);
@@ -132,7 +132,7 @@
         int crashes = 0;
         int starts_after_three_crashes = 0;
         int running = 0;
-        bool is_done = false;          ///< a run ended as done, and its worker's life has not ended since
+        bool is_done = false; ///< a run ended as done, and its worker's incarnation has not ended since
         bool is_started_since = false; ///< the task was started again after that end
         bool is_acknowledged = false;  ///< that end was acknowledged before the worker's lease expired
     };
@@ -163,7 +163,7 @@
     void inject_faults();
     void send_heartbeat(worker& target);
     void crash(worker& target);
-    void start_life(worker& target);
+    void start_incarnation(worker& target);
     void change_capacity(worker& target);
     void send_report(const worker_report& report);
     void send(const worker_order& order);
@@ -203,7 +203,7 @@
     void lose_power();
     void fail_runs_after_power_loss();
     void leave(worker& target);
-    void end_life(worker& target);
+    void end_incarnation(worker& target);
     void commit();
     void drop_uncommitted_commands();
     void start_relay(relay& node);
@@ -240,7 +240,7 @@
     int m_crashed = 0;
     int m_lapsed_runs = 0;
     int m_late_leases = 0;
-    int m_life_count = 0;
+    int m_incarnation_count = 0;
 };
 
 } // namespace poplarpitch
--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -57,7 +57,7 @@
 void dispatch_world::add_worker(const std::string& id, const worker_amounts& capacity,
                                 const std::string& rack) {
     worker_report report;
-    report.life = {id, 0};
+    report.incarnation = {id, 0};
     report.address = "10.0.0." + std::to_string(m_reports.size() + 1) + ":80";
     report.pool = world_pool;
     report.labels = {"a", rack};
@@ -67,7 +67,7 @@
 }
 
 void dispatch_world::register_worker(worker_report report) {
-    const auto id = report.life.id;
+    const auto id = report.incarnation.id;
     m_reports[id] = std::move(report);
     send_heartbeat(id);
     wait_for_hold(id);
@@ -77,12 +77,12 @@
 void dispatch_world::restart_with_new_id(const std::string& id, const std::string& next_id) {
     end_process(id);
     auto report = m_reports.at(id);
-    report.life.id = next_id;
+    report.incarnation.id = next_id;
     report.sequence = 0;
     register_worker(std::move(report));
     if (find_worker(id) != nullptr) {
         wait_for_hold(id);
-        fail_hold(id, order_failure::other_life);
+        fail_hold(id, order_failure::other_incarnation);
     }
 }
 
@@ -95,7 +95,7 @@
     if (scheduler.on_heartbeat(report, now)) {
         job_wire::job_command command;
         command.mutable_retire()->set_worker(id);
-        command.mutable_retire()->set_born_ms(report.life.born_ms);
+        command.mutable_retire()->set_born_ms(report.incarnation.process_start_ms);
         std::vector<book_event> events;
         book.apply(command, events);
         for (const auto& event : events) {
@@ -179,13 +179,13 @@
 void dispatch_world::answer_hold(const std::string& worker, const hold_answer& answer) {
     auto stamped_answer = answer;
     stamped_answer.clock_ms = to_milliseconds(now.time_since_epoch());
-    stamped_answer.born_ms = get_life(worker).born_ms;
-    scheduler.on_hold(get_life(worker), {std::nullopt, stamped_answer}, now);
+    stamped_answer.process_start_ms = get_incarnation(worker).process_start_ms;
+    scheduler.on_hold(get_incarnation(worker), {std::nullopt, stamped_answer}, now);
     run_until_idle();
 }
 
 void dispatch_world::fail_hold(const std::string& worker, order_failure failure) {
-    scheduler.on_hold(get_life(worker), {failure, {}}, now);
+    scheduler.on_hold(get_incarnation(worker), {failure, {}}, now);
     run_until_idle();
 }
 
@@ -207,21 +207,21 @@
     }
 }
 
-void dispatch_world::restart_with_same_id(const std::string& id, std::int64_t born_ms) {
+void dispatch_world::restart_with_same_id(const std::string& id, std::int64_t process_start_ms) {
     end_process(id);
     auto& report = m_reports.at(id);
-    report.life.born_ms = born_ms;
+    report.incarnation.process_start_ms = process_start_ms;
     report.sequence = 0;
     send_heartbeat(id);
 }
 
-worker_life dispatch_world::get_life(const std::string& id) const {
+worker_incarnation dispatch_world::get_incarnation(const std::string& id) const {
     const auto found = m_reports.find(id);
-    return found == m_reports.end() ? worker_life{id, 0} : found->second.life;
+    return found == m_reports.end() ? worker_incarnation{id, 0} : found->second.incarnation;
 }
 
 const worker_state* dispatch_world::find_worker(const std::string& id) const {
-    return scheduler.find_worker_state(get_life(id));
+    return scheduler.find_worker_state(get_incarnation(id));
 }
 
 hold_answer dispatch_world::make_empty_list() {
--- a/unit_tests/dispatch/dispatch_world.h
+++ b/unit_tests/dispatch/dispatch_world.h
@@ -26,15 +26,16 @@
     /// Registers a worker: sends a heartbeat and answers the first hold with an empty list.
     void add_worker(const std::string& id, const worker_amounts& capacity = {64000, 256000, 0},
                     const std::string& rack = "r1");
-    /// Restarts a worker under a new id at the same address, without deregistering the old life. The new life
-    /// runs nothing. It sends a heartbeat and a list, and a hold for the old id is refused with `other_life`.
+    /// Restarts a worker under a new id at the same address, without deregistering the old incarnation. The
+    /// new incarnation runs nothing. It sends a heartbeat and a list, and a hold for the old id is refused
+    /// with `other_incarnation`.
     void restart_with_new_id(const std::string& id, const std::string& next_id);
-    /// Restarts a worker under the same id, with start time `born_ms` by its own clock, without deregistering
-    /// the old life. Sends only the first heartbeat of the new life.
-    void restart_with_same_id(const std::string& id, std::int64_t born_ms);
-    /// Returns the worker's current life.
-    [[nodiscard]] worker_life get_life(const std::string& id) const;
-    /// Returns the dispatcher's state of the worker's current life, or null.
+    /// Restarts a worker under the same id, with start time `process_start_ms` by its own clock, without
+    /// deregistering the old incarnation. Sends only the first heartbeat of the new incarnation.
+    void restart_with_same_id(const std::string& id, std::int64_t process_start_ms);
+    /// Returns the worker's current incarnation.
+    [[nodiscard]] worker_incarnation get_incarnation(const std::string& id) const;
+    /// Returns the dispatcher's state of the worker's current incarnation, or null.
     [[nodiscard]] const worker_state* find_worker(const std::string& id) const;
     /// Sends a heartbeat. Precondition: the worker was added.
     void send_heartbeat(const std::string& id, bool is_leaving = false, std::int64_t remaining_ms = 0);
--- a/unit_tests/dispatch/dispatcher_advice_test.cpp
+++ b/unit_tests/dispatch/dispatcher_advice_test.cpp
@@ -39,7 +39,7 @@
     world.advance(milliseconds{200});
     const auto again = world.take<advise_order>();
     ASSERT_EQ(again.size(), 1U);
-    EXPECT_EQ(again[0].workers, std::vector<worker_life>{world.get_life("w2")});
+    EXPECT_EQ(again[0].workers, std::vector<worker_incarnation>{world.get_incarnation("w2")});
 }
 
 TEST(dispatcher_advice, requests_advice_again_after_an_unanswered_call_and_a_refused_ticket) {
--- a/unit_tests/dispatch/dispatcher_audit_test.cpp
+++ b/unit_tests/dispatch/dispatcher_audit_test.cpp
@@ -68,7 +68,7 @@
     world.wait_for_hold("w1");
     hold_answer list;
     list.ended.push_back({1, starts[0].run, run_end::done, ""});
-    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
+    world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, list}, world.now);
     EXPECT_EQ(world.scheduler.take_commands().size(), 1U); // the command is lost
     EXPECT_TRUE(world.scheduler.find_stuck(world.now + seconds{5}).empty()) << "a disk may hang for seconds";
     const std::vector<stuck_task> expected = {{starts[0].run, stuck_reason::end_not_committed}};
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -1,10 +1,10 @@
 // Tasks that crash their workers.
 //
 // Two tasks were started 31 times each within 126 s. Each start crashed a worker within 10 ms, together with
-// eight other runs on average; 286 workers restarted as new lives, each three seconds later. The leader
-// attributed every loss to the worker: a run that ended because its worker was lost counted against nothing.
-// So the task was ready again at once and was assigned to the next worker, before and after a change of the
-// leader. These log lines showed it:
+// eight other runs on average; 286 workers restarted as new incarnations, each three seconds later. The
+// leader attributed every loss to the worker: a run that ended because its worker was lost counted against
+// nothing. So the task was ready again at once and was assigned to the next worker, before and after a change
+// of the leader. These log lines showed it:
 //   event=run_started ... run=6 worker=i-57a91c9ea3 wait_ms=19
 //   event=worker_silent worker=i-57a91c9ea3 reason=unreachable runs=9     (0.14 s later)
 //   event=worker_lost worker=i-57a91c9ea3 reason=another_life_answers runs=9     (3.1 s later)
@@ -34,7 +34,8 @@
     }
 }
 
-/// Crashes the worker at each start of the job and restarts it as a new life. Returns the number of starts.
+/// Crashes the worker at each start of the job and restarts it as a new incarnation. Returns the number of
+/// starts.
 int crash_at_each_start(dispatch_world& world, job_id crashing_job, int rounds) {
     int starts = 0;
     for (int round = 0; round < rounds; ++round) {
@@ -68,12 +69,12 @@
     for (int leader = 0; leader < round_count; ++leader) {
         starts += crash_at_each_start(world, crashing_job, 1);
         world.lead();
-        for (const auto& [life, worker] : std::map(world.scheduler.get_workers())) {
-            world.send_heartbeat(life.id);
+        for (const auto& [incarnation, worker] : std::map(world.scheduler.get_workers())) {
+            world.send_heartbeat(incarnation.id);
         }
-        for (const auto& [life, worker] : std::map(world.scheduler.get_workers())) {
-            world.wait_for_hold(life.id);
-            world.answer_hold(life.id, dispatch_world::make_empty_list());
+        for (const auto& [incarnation, worker] : std::map(world.scheduler.get_workers())) {
+            world.wait_for_hold(incarnation.id);
+            world.answer_hold(incarnation.id, dispatch_world::make_empty_list());
         }
     }
     EXPECT_LE(starts, max_starts);
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -7,16 +7,16 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::int64_t first_life = 1'700'000'000'000;
-constexpr std::int64_t second_life = first_life + 5000;
+constexpr std::int64_t first_process_start_ms = 1'700'000'000'000;
+constexpr std::int64_t second_process_start_ms = first_process_start_ms + 5000;
 constexpr std::int64_t clock_lag_ms = 900; // how far the clock of a late heartbeat is behind the newest one
 
 /// Adds a worker that reports its start time.
 void add_worker_with_start_time(dispatch_world& world) {
     world.add_worker("w1");
-    world.restart_with_same_id("w1", first_life);
+    world.restart_with_same_id("w1", first_process_start_ms);
     for (int round = 0; round < 2;
-         ++round) { // the first identifies the life, the second is under its own fence
+         ++round) { // the first identifies the incarnation, the second is under its own fence
         world.wait_for_hold("w1");
         world.answer_hold("w1", dispatch_world::make_empty_list());
     }
@@ -72,7 +72,7 @@
     const auto order = take_only_start(world);
     world.advance(milliseconds{10});
     world.answer(order);
-    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, dispatch_world::make_empty_list()},
+    world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, dispatch_world::make_empty_list()},
                             world.now);
     world.run_until_idle();
     const auto* track = world.scheduler.find_track(order.run);
@@ -147,7 +147,7 @@
     late.clock_ms = before - clock_lag_ms;
     world.scheduler.on_heartbeat(late, world.now);
     EXPECT_GE(world.find_worker("w1")->estimate_clock(world.now, dispatch_settings{}.clock_drift), before);
-    const sign_of_life sign{late.life, late.sequence + 1, late.sequence, late.clock_ms};
+    const sign_of_life sign{late.incarnation, late.sequence + 1, late.sequence, late.clock_ms};
     world.scheduler.on_sign_of_life(sign, world.now);
     EXPECT_GE(world.find_worker("w1")->estimate_clock(world.now, dispatch_settings{}.clock_drift), before);
 }
@@ -157,7 +157,7 @@
     world.add_worker("w1");
     world.submit({make_step()});
     const auto order = world.start_one();
-    world.scheduler.on_goodbye(world.get_life("w1"), world.now);
+    world.scheduler.on_goodbye(world.get_incarnation("w1"), world.now);
     world.run_until_idle();
     ASSERT_NE(world.scheduler.find_track(order.run), nullptr);
     EXPECT_FALSE(world.scheduler.find_track(order.run)->is_ending);
@@ -252,7 +252,7 @@
     world.wait_for_hold("w1");
     hold_answer list;
     list.clock_ms = to_milliseconds(world.now.time_since_epoch());
-    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
+    world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, list}, world.now);
     world.run_until_idle();
     const auto* track = world.scheduler.find_track(order.run);
     ASSERT_NE(track, nullptr);
@@ -293,7 +293,7 @@
                                          order_failure::lower_fence),
                          [](const auto& item) { return std::string(get_failure_name(item.param)); });
 
-TEST(dispatcher_ending, stops_at_the_next_life_what_the_former_one_had_stopped_before_its_start_came) {
+TEST(dispatcher_ending, stops_at_the_next_incarnation_what_the_former_one_had_stopped_before_its_start_came) {
     dispatch_world world;
     add_worker_with_start_time(world);
     const auto job = world.submit({make_step()});
@@ -301,7 +301,7 @@
     world.answer(order, order_failure::unanswered);
     world.cancel(job);
     world.answer(wait_for_stop(world));
-    world.restart_with_same_id("w1", second_life);
+    world.restart_with_same_id("w1", second_process_start_ms);
     for (int round = 0; round < 2; ++round) {
         world.wait_for_hold("w1");
         world.answer_hold("w1", make_list_of(order.run));
@@ -309,7 +309,7 @@
     world.advance(milliseconds{200});
     const auto stop = wait_for_stop(world);
     EXPECT_EQ(stop.run, order.run);
-    EXPECT_EQ(stop.target.worker.born_ms, second_life);
+    EXPECT_EQ(stop.target.worker.process_start_ms, second_process_start_ms);
 }
 
 TEST(dispatcher_ending, stops_at_the_next_life_what_the_former_one_was_being_told_to_stop) {
@@ -320,16 +320,16 @@
     world.answer(order, order_failure::unanswered);
     world.cancel(job);
     const auto former = wait_for_stop(world);
-    world.restart_with_same_id("w1", second_life);
+    world.restart_with_same_id("w1", second_process_start_ms);
     for (int round = 0; round < 2; ++round) {
         world.wait_for_hold("w1");
         world.answer_hold("w1", make_list_of(order.run));
     }
     const auto next = wait_for_stop(world);
-    EXPECT_EQ(next.target.worker.born_ms, second_life);
-    world.answer(former); // the former life's answer does not count for the next one
+    EXPECT_EQ(next.target.worker.process_start_ms, second_process_start_ms);
+    world.answer(former); // the former incarnation's answer does not count for the next one
     world.answer(next, order_failure::unanswered);
-    EXPECT_EQ(wait_for_stop(world).target.worker.born_ms, second_life);
+    EXPECT_EQ(wait_for_stop(world).target.worker.process_start_ms, second_process_start_ms);
 }
 
 /// Returns how long the longest lease may last at a worker with a slow clock, by the leader's clock.
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -60,7 +60,7 @@
     world.start_one();
     world.add_worker("w2");
     world.wait_for_hold("w1");
-    world.fail_hold("w1", order_failure::other_life);
+    world.fail_hold("w1", order_failure::other_incarnation);
     world.advance(milliseconds{20});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
@@ -86,7 +86,7 @@
     world.submit({make_step()});
     world.start_one();
     world.wait_for_hold("w1");
-    world.fail_hold("w1", order_failure::other_life);
+    world.fail_hold("w1", order_failure::other_incarnation);
     world.send_heartbeat("w1"); // delayed in the network
     world.advance(seconds{1});
     EXPECT_TRUE(world.take<start_order>().empty());
@@ -100,7 +100,7 @@
     world.submit({lasting});
     const auto first = world.start_one();
     world.send_heartbeat("w1", true, 2000);
-    EXPECT_TRUE(world.book.is_retired(world.get_life("w1")));
+    EXPECT_TRUE(world.book.is_retired(world.get_incarnation("w1")));
     const auto stops = world.take<stop_order>();
     ASSERT_EQ(stops.size(), 1U);
     world.answer(stops[0]);
@@ -186,7 +186,7 @@
     hold_answer list;
     list.running.push_back({starts[1].run, "", 10, 0});
     list.ended.push_back({1, starts[0].run, run_end::done, ""});
-    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
+    world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, list}, world.now);
 }
 
 TEST(dispatcher_loss, acknowledges_an_end_only_after_it_is_committed) {
@@ -266,12 +266,12 @@
     EXPECT_EQ(holds[0].acknowledged, 0U);
 }
 
-// A leader was killed 2 s after four workers had crashed. The next leader knew these lives only by id, from
-// the log, and had no address to call. Although the machines restarted a second later, the forty tasks that
-// had run there waited for the whole lease, 7.4 s, before they were started again:
+// A leader was killed 2 s after four workers had crashed. The next leader knew these incarnations only by id,
+// from the log, and had no address to call. Although the machines restarted a second later, the forty tasks
+// that had run there waited for the whole lease, 7.4 s, before they were started again:
 //   event=role_changed role=follower term=2     (24.7 s)
 //   four workers crash within 1 ms     (32.2 s: all leases ended together)
-TEST(dispatcher_loss, a_new_leader_calls_the_logged_address_of_a_life_it_never_heard_from) {
+TEST(dispatcher_loss, a_new_leader_calls_the_logged_address_of_an_incarnation_it_never_heard_from) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_step()});
--- a/unit_tests/dispatch/dispatcher_probation_test.cpp
+++ b/unit_tests/dispatch/dispatcher_probation_test.cpp
@@ -65,7 +65,7 @@
 
 std::uint32_t count_probations(const dispatch_world& world) {
     std::uint32_t count = 0;
-    for (const auto& [life, worker] : world.scheduler.get_workers()) {
+    for (const auto& [incarnation, worker] : world.scheduler.get_workers()) {
         count += worker.probations > 0 ? 1 : 0;
     }
     return count;
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -1,4 +1,5 @@
-// Workers that restart under the same ids: the state of the former life does not apply to the next one.
+// Workers that restart under the same ids: the state of the former incarnation does not apply to the next
+// one.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -11,14 +12,14 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::int64_t first_life = 1'700'000'000'000;
-constexpr std::int64_t second_life = first_life + 5000;
-constexpr std::int64_t earlier_time = first_life - 60'000; // by a clock that was stepped back
+constexpr std::int64_t first_process_start_ms = 1'700'000'000'000;
+constexpr std::int64_t second_process_start_ms = first_process_start_ms + 5000;
+constexpr std::int64_t earlier_time = first_process_start_ms - 60'000; // by a clock that was stepped back
 
 /// Adds a worker that reports its start time.
 void add_worker(dispatch_world& world, const std::string& id = "w1") {
     world.add_worker(id);
-    world.restart_with_same_id(id, first_life);
+    world.restart_with_same_id(id, first_process_start_ms);
     world.wait_for_hold(id);
     world.answer_hold(id, dispatch_world::make_empty_list());
     world.wait_for_hold(id);
@@ -34,10 +35,10 @@
 }
 
 /// Restarts the worker under its id and answers its holds until it is usable.
-void restart_and_confirm(dispatch_world& world, std::int64_t born_ms, const hold_answer& list = {}) {
-    world.restart_with_same_id("w1", born_ms);
+void restart_and_confirm(dispatch_world& world, std::int64_t process_start_ms, const hold_answer& list = {}) {
+    world.restart_with_same_id("w1", process_start_ms);
     for (int round = 0; round < 2;
-         ++round) { // the first identifies the life, the second is under its own fence
+         ++round) { // the first identifies the incarnation, the second is under its own fence
         world.wait_for_hold("w1");
         world.answer_hold("w1", list);
     }
@@ -56,14 +57,14 @@
     return holds.empty() ? 0 : holds.back().acknowledged;
 }
 
-TEST(dispatcher_restart, acknowledges_to_the_next_life_nothing_that_the_former_one_listed) {
+TEST(dispatcher_restart, acknowledges_to_the_next_incarnation_nothing_that_the_former_one_listed) {
     dispatch_world world;
     add_worker(world);
     world.submit({make_step()});
     list_end(world, 7, world.start_one(), run_end::done);
     world.wait_for_hold("w1");
     EXPECT_EQ(get_last_acknowledged(world), 7U);
-    restart_and_confirm(world, second_life);
+    restart_and_confirm(world, second_process_start_ms);
     world.submit({make_step()});
     world.start_one();
     world.wait_for_hold("w1");
@@ -77,7 +78,7 @@
     lasting.long_running = true;
     world.submit({make_step()});
     list_end(world, 7, world.start_one(), run_end::done);
-    restart_and_confirm(world, second_life);
+    restart_and_confirm(world, second_process_start_ms);
     world.submit({lasting});
     const auto first = world.start_one();
     list_end(world, 1, first, run_end::failed);
@@ -95,9 +96,10 @@
     world.wait_for_hold("w1");
     hold_answer list;
     list.ended.push_back({1, order.run, run_end::done, ""});
-    list.born_ms = first_life;
-    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now); // not committed yet
-    world.restart_with_same_id("w1", second_life);
+    list.process_start_ms = first_process_start_ms;
+    world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, list},
+                            world.now); // not committed yet
+    world.restart_with_same_id("w1", second_process_start_ms);
     EXPECT_EQ(world.book.find_job(job)->phase, job_phase::completed);
     world.wait_for_hold("w1");
     world.answer_hold("w1", dispatch_world::make_empty_list());
@@ -110,7 +112,8 @@
     add_worker(world);
     world.submit({make_step()});
     world.start_one();
-    world.wait_for_hold("w1"); // the process ends, and the next life receives this hold and then the start
+    world.wait_for_hold(
+        "w1"); // the process ends, and the next incarnation receives this hold and then the start
     world.submit({make_step()});
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U);
@@ -118,30 +121,30 @@
     world.advance(milliseconds{10});
     world.answer(start);
     hold_answer list;
-    list.born_ms = second_life;
-    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
+    list.process_start_ms = second_process_start_ms;
+    world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, list}, world.now);
     world.add_worker("w2");
     for (const auto& other : world.take<start_order>()) {
-        EXPECT_NE(other.run.task, start.run.task) << "it runs at the next life";
+        EXPECT_NE(other.run.task, start.run.task) << "it runs at the next incarnation";
     }
     list.running.push_back({start.run, "", 50, 0});
-    restart_and_confirm(world, second_life, list);
+    restart_and_confirm(world, second_process_start_ms, list);
     world.advance(seconds{1});
     for (const auto& other : world.take<start_order>()) {
-        EXPECT_NE(other.run.task, start.run.task) << "it runs at the next life";
+        EXPECT_NE(other.run.task, start.run.task) << "it runs at the next incarnation";
     }
     const auto* track = world.scheduler.find_track(start.run);
     ASSERT_NE(track, nullptr);
     EXPECT_EQ(track->stage, run_stage::running);
-    EXPECT_EQ(track->host->report.life.born_ms, second_life);
+    EXPECT_EQ(track->host->report.incarnation.process_start_ms, second_process_start_ms);
 }
 
-TEST(dispatcher_restart, gives_up_at_once_what_ran_on_the_former_life) {
+TEST(dispatcher_restart, gives_up_at_once_what_ran_on_the_former_incarnation) {
     dispatch_world world;
     add_worker(world);
     const auto job = world.submit({make_step()});
     const auto first = world.start_one();
-    restart_and_confirm(world, second_life);
+    restart_and_confirm(world, second_process_start_ms);
     world.advance(milliseconds{200});
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
@@ -156,12 +159,12 @@
     world.start_one();
     world.wait_for_hold("w1");
     hold_answer list;
-    list.born_ms = second_life;
+    list.process_start_ms = second_process_start_ms;
     list.clock_ms = 1;
-    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
+    world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, list}, world.now);
     world.run_until_idle();
     EXPECT_TRUE(world.find_worker("w1")->is_lost);
-    const auto* next = world.scheduler.find_worker_state({"w1", second_life});
+    const auto* next = world.scheduler.find_worker_state({"w1", second_process_start_ms});
     ASSERT_NE(next, nullptr);
     EXPECT_FALSE(next->is_confirmed);
 }
@@ -171,39 +174,40 @@
     add_worker(world);
     restart_and_confirm(world, earlier_time);
     EXPECT_TRUE(world.find_worker("w1")->is_confirmed);
-    EXPECT_TRUE(world.scheduler.find_worker_state({"w1", first_life}) == nullptr ||
-                world.scheduler.find_worker_state({"w1", first_life})->is_lost);
+    EXPECT_TRUE(world.scheduler.find_worker_state({"w1", first_process_start_ms}) == nullptr ||
+                world.scheduler.find_worker_state({"w1", first_process_start_ms})->is_lost);
 }
 
-TEST(dispatcher_restart, is_not_inferred_from_a_late_heartbeat_of_an_earlier_life) {
+TEST(dispatcher_restart, is_not_inferred_from_a_late_heartbeat_of_an_earlier_incarnation) {
     dispatch_world world;
     add_worker(world);
     worker_report late = world.find_worker("w1")->report;
-    late.life.born_ms = second_life; // later than the start time of the life that answers
+    late.incarnation.process_start_ms =
+        second_process_start_ms; // later than the start time of the incarnation that answers
     late.sequence = 3;
     world.scheduler.on_heartbeat(late, world.now);
     world.advance(milliseconds{20});
     hold_answer list;
-    list.born_ms = first_life;
+    list.process_start_ms = first_process_start_ms;
     list.clock_ms = to_milliseconds(world.now.time_since_epoch());
-    world.scheduler.on_hold(late.life, {std::nullopt, list}, world.now);
+    world.scheduler.on_hold(late.incarnation, {std::nullopt, list}, world.now);
     world.run_until_idle();
     EXPECT_FALSE(world.find_worker("w1")->is_lost);
     world.scheduler.on_heartbeat(late, world.now);
     world.run_until_idle();
-    EXPECT_TRUE(world.scheduler.find_worker_state(late.life) == nullptr ||
-                world.scheduler.find_worker_state(late.life)->is_lost);
+    EXPECT_TRUE(world.scheduler.find_worker_state(late.incarnation) == nullptr ||
+                world.scheduler.find_worker_state(late.incarnation)->is_lost);
 }
 
 TEST(dispatcher_restart, is_not_undone_by_a_late_heartbeat_or_goodbye_of_the_former_life) {
     dispatch_world world;
     add_worker(world);
     auto late = world.find_worker("w1")->report;
-    restart_and_confirm(world, second_life);
+    restart_and_confirm(world, second_process_start_ms);
     late.sequence += 100;
     late.is_leaving = true;
     EXPECT_FALSE(world.scheduler.on_heartbeat(late, world.now)) << "nothing is committed for it";
-    world.scheduler.on_goodbye(late.life, world.now);
+    world.scheduler.on_goodbye(late.incarnation, world.now);
     world.scheduler.on_goodbye({"w1", 0}, world.now);
     world.run_until_idle();
     EXPECT_FALSE(world.find_worker("w1")->is_leaving);
@@ -211,12 +215,12 @@
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
 
-TEST(dispatcher_restart, makes_the_worker_usable_again_after_the_former_life_left) {
+TEST(dispatcher_restart, makes_the_worker_usable_again_after_the_former_incarnation_left) {
     dispatch_world world;
     add_worker(world);
     world.send_heartbeat("w1", true, 2000);
-    EXPECT_TRUE(world.book.is_retired({"w1", first_life}));
-    restart_and_confirm(world, second_life);
+    EXPECT_TRUE(world.book.is_retired({"w1", first_process_start_ms}));
+    restart_and_confirm(world, second_process_start_ms);
     world.submit({make_step()});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
@@ -226,7 +230,7 @@
     add_worker(world);
     world.submit({make_step()});
     const auto before = world.start_one();
-    restart_and_confirm(world, second_life);
+    restart_and_confirm(world, second_process_start_ms);
     world.advance(milliseconds{200});
     const auto after = world.take<start_order>();
     ASSERT_EQ(after.size(), 1U);
@@ -246,7 +250,7 @@
     world.submit({make_step()});
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U);
-    world.restart_with_same_id("w1", second_life);
+    world.restart_with_same_id("w1", second_process_start_ms);
     world.wait_for_hold("w1");
     world.answer_hold("w1", dispatch_world::make_empty_list()); // under the same fence as the start
     world.advance(milliseconds{50});
@@ -268,17 +272,17 @@
     add_worker(world);
     world.submit({make_step()});
     ASSERT_EQ(world.take<start_order>().size(), 1U);
-    restart_and_confirm(world, second_life);
+    restart_and_confirm(world, second_process_start_ms);
     world.advance(milliseconds{200});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
 
-TEST(dispatcher_restart, waits_for_the_longest_lease_where_a_start_may_have_reached_the_next_life) {
+TEST(dispatcher_restart, waits_for_the_longest_lease_where_a_start_may_have_reached_the_next_incarnation) {
     dispatch_world world;
     add_worker(world);
     world.submit({make_step()});
     ASSERT_EQ(world.take<start_order>().size(), 1U);
-    world.restart_with_same_id("w1", second_life);
+    world.restart_with_same_id("w1", second_process_start_ms);
     world.wait_for_hold("w1");
     world.answer_hold("w1", dispatch_world::make_empty_list());
     const auto since = world.now;
@@ -310,9 +314,10 @@
     add_worker(world);
     world.submit({make_step()});
     const auto first = world.start_one();
-    EXPECT_EQ(world.book.find_task(first.run.task)->runs.at(0).worker, (worker_life{"w1", first_life}));
+    EXPECT_EQ(world.book.find_task(first.run.task)->runs.at(0).worker,
+              (worker_incarnation{"w1", first_process_start_ms}));
     world.lead();
-    restart_and_confirm(world, second_life);
+    restart_and_confirm(world, second_process_start_ms);
     world.advance(milliseconds{200});
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
@@ -330,7 +335,7 @@
     world.lead();
     hold_answer list;
     list.running.push_back({starts[0].run, "", 10, 0});
-    restart_and_confirm(world, first_life,
+    restart_and_confirm(world, first_process_start_ms,
                         list); // the same process, which now reports its start time
     world.advance(milliseconds{200});
     const auto again = world.take<start_order>();
@@ -343,11 +348,11 @@
     dispatch_world world;
     add_worker(world);
     auto report = world.find_worker("w1")->report;
-    report.life.born_ms = 0;
+    report.incarnation.process_start_ms = 0;
     report.sequence = 1000;
     report.capacity = {};
     world.scheduler.on_heartbeat(report, world.now);
-    EXPECT_EQ(world.scheduler.find_worker_state(report.life), nullptr);
+    EXPECT_EQ(world.scheduler.find_worker_state(report.incarnation), nullptr);
     world.submit({make_step()});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
@@ -362,15 +367,15 @@
                             [](const auto& item) { return item.second.is_hold_pending; })) {
             world.advance(milliseconds{20});
         }
-        for (const auto& [life, state] : std::map(world.scheduler.get_workers())) {
+        for (const auto& [incarnation, state] : std::map(world.scheduler.get_workers())) {
             hold_answer list;
-            list.born_ms = first_life;
+            list.process_start_ms = first_process_start_ms;
             list.clock_ms = 1000;
-            world.scheduler.on_hold(life, {std::nullopt, list}, world.now);
+            world.scheduler.on_hold(incarnation, {std::nullopt, list}, world.now);
         }
         world.run_until_idle();
     }
-    const auto* state = world.scheduler.find_worker_state({"w1", first_life});
+    const auto* state = world.scheduler.find_worker_state({"w1", first_process_start_ms});
     ASSERT_NE(state, nullptr);
     EXPECT_TRUE(state->has_report && state->is_confirmed);
 }
@@ -383,7 +388,7 @@
     world.wait_for_hold("w1");
     hold_answer list;
     list.ended.push_back({1, order.run, run_end::done, ""});
-    world.scheduler.on_hold(world.get_life("w1"), {std::nullopt, list}, world.now);
+    world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, list}, world.now);
     world.run_until_idle();
     EXPECT_EQ(world.book.find_job(order.run.task.step.job)->phase, job_phase::open);
 }
--- a/unit_tests/dispatch/dispatcher_start_test.cpp
+++ b/unit_tests/dispatch/dispatcher_start_test.cpp
@@ -18,7 +18,7 @@
     const auto* task = world.book.find_task(starts[0].run.task);
     ASSERT_NE(task, nullptr);
     ASSERT_EQ(task->runs.size(), 1U);
-    EXPECT_EQ(task->runs[0].worker, world.get_life("w1"));
+    EXPECT_EQ(task->runs[0].worker, world.get_incarnation("w1"));
 }
 
 TEST(dispatcher_start, repeats_a_start_without_an_answer_at_the_same_worker) {
--- a/unit_tests/dispatch/overlap_property_test.cpp
+++ b/unit_tests/dispatch/overlap_property_test.cpp
@@ -265,7 +265,7 @@
         settings.relay_stalls = draw(0.5);
         settings.relay_losses = draw(0.3);
     }
-    if (!settings.keeps_ids) { // a new life refuses orders for the former one
+    if (!settings.keeps_ids) { // a new incarnation refuses orders for the former one
         settings.expired_orders = draw(0.1);
         settings.late_orders = draw(0.2);
         settings.departures = draw(0.5);
--- a/unit_tests/dispatch/restart_property_test.cpp
+++ b/unit_tests/dispatch/restart_property_test.cpp
@@ -102,11 +102,11 @@
     }
 }
 
-TEST(restart_property, acknowledges_to_a_new_life_no_end_that_it_has_not_listed) {
+TEST(restart_property, acknowledges_to_a_new_incarnation_no_end_that_it_has_not_listed) {
     run_all_seeds(make_settings());
 }
 
-TEST(restart_property, keeps_no_task_running_whose_end_a_new_life_has_listed) {
+TEST(restart_property, keeps_no_task_running_whose_end_a_new_incarnation_has_listed) {
     auto settings = make_settings();
     settings.failures = 0.5;
     settings.worker_crashes = 0.5;
--- a/unit_tests/platform/dialect_test.cpp
+++ b/unit_tests/platform/dialect_test.cpp
@@ -74,7 +74,7 @@
         "remainingMs":1500,"capacity":{"cpu":16000,"memMb":32768,"gpu":2},"labels":["a","r1-3"],"clockMs":48,"seq":4})"));
     const auto* heartbeat = std::get_if<heartbeat_call>(&call);
     ASSERT_NE(heartbeat, nullptr);
-    EXPECT_EQ(heartbeat->report.life.id, "i-7f");
+    EXPECT_EQ(heartbeat->report.incarnation.id, "i-7f");
     EXPECT_EQ(heartbeat->report.rack, "r1-3");
     EXPECT_EQ(heartbeat->report.capacity, (worker_amounts{16000, 32768, 2}));
     EXPECT_TRUE(heartbeat->report.is_leaving);
@@ -199,9 +199,9 @@
 TEST(platform_worker, reads_the_process_start_time_from_a_hold_answer) {
     http_response response;
     response.body = R"({"clockMs":1,"running":[],"ended":[],"born":1764749492123})";
-    EXPECT_EQ(read_hold_answer(response).answer.born_ms, 1764749492123);
+    EXPECT_EQ(read_hold_answer(response).answer.process_start_ms, 1764749492123);
     response.body = R"({"clockMs":1,"running":[],"ended":[]})";
-    EXPECT_EQ(read_hold_answer(response).answer.born_ms, 0)
+    EXPECT_EQ(read_hold_answer(response).answer.process_start_ms, 0)
         << "a deployment whose workers do not report their start time";
     for (const auto* born :
          {"\"1764749492123\"", "1764749492123.5", "0", "-4", "null", "true", "1e300", "[1]"}) {
@@ -223,7 +223,7 @@
     EXPECT_EQ(read(409, "late"), order_failure::late_lease);
     EXPECT_EQ(read(409, "room"), order_failure::no_room);
     EXPECT_EQ(read(409, "ticket"), order_failure::no_ticket);
-    EXPECT_EQ(read(421, ""), order_failure::other_life);
+    EXPECT_EQ(read(421, ""), order_failure::other_incarnation);
     EXPECT_EQ(read(429, ""), order_failure::unhealthy);
     EXPECT_EQ(read(503, ""), order_failure::unhealthy);
     EXPECT_EQ(read(500, ""), order_failure::unanswered);
--- a/unit_tests/platform/malformed_call_test.cpp
+++ b/unit_tests/platform/malformed_call_test.cpp
@@ -37,7 +37,7 @@
     body["born"] = 1764749492123;
     const auto valid = read_heartbeat(body.dump());
     ASSERT_TRUE(std::holds_alternative<heartbeat_call>(valid));
-    EXPECT_EQ(std::get<heartbeat_call>(valid).report.life.born_ms, 1764749492123);
+    EXPECT_EQ(std::get<heartbeat_call>(valid).report.incarnation.process_start_ms, 1764749492123);
     for (const nlohmann::json& born :
          {nlohmann::json("1764749492123"), nlohmann::json(1764749492123.5), nlohmann::json(0),
           nlohmann::json(-4), nlohmann::json(nullptr), nlohmann::json(true), nlohmann::json::array({1})}) {
@@ -96,7 +96,7 @@
         return true;
     }
     const auto& report = std::get<heartbeat_call>(call).report;
-    return !report.life.id.empty() && !report.address.empty() && !report.pool.empty() &&
+    return !report.incarnation.id.empty() && !report.address.empty() && !report.pool.empty() &&
            report.capacity.millicores >= 0 && report.capacity.memory_mb >= 0 && report.remaining_ms >= 0;
 }
 
--- a/unit_tests/platform/start_link_test.cpp
+++ b/unit_tests/platform/start_link_test.cpp
@@ -110,7 +110,7 @@
 TEST(start_link, accepts_a_refusal_of_the_second_attempt_that_concerns_the_run_or_its_worker) {
     EXPECT_EQ(start_over_a_dropped_connection(409, R"({"clockMs":1,"reason":"old"})"),
               order_failure::old_run);
-    EXPECT_EQ(start_over_a_dropped_connection(421, ""), order_failure::other_life);
+    EXPECT_EQ(start_over_a_dropped_connection(421, ""), order_failure::other_incarnation);
 }
 
 TEST(start_link, takes_the_success_of_a_second_attempt_for_both) {
--- a/unit_tests/platform/worker_link_test.cpp
+++ b/unit_tests/platform/worker_link_test.cpp
@@ -98,7 +98,7 @@
         hold(first_process_start_ms, 5);
     }
     const auto outcome = hold(first_process_start_ms, 5);
-    EXPECT_EQ(outcome.answer.born_ms, second_process_start_ms);
+    EXPECT_EQ(outcome.answer.process_start_ms, second_process_start_ms);
     EXPECT_EQ(*std::max_element(m_worker.acknowledged.begin(), m_worker.acknowledged.end()), 0U);
 }
 
--- a/unit_tests/relay/relay_agent_test.cpp
+++ b/unit_tests/relay/relay_agent_test.cpp
@@ -55,7 +55,7 @@
 
 worker_report make_report(const std::string& id, std::uint64_t sequence) {
     worker_report report;
-    report.life = {id, 0};
+    report.incarnation = {id, 0};
     report.address = "10.9.0.1:80";
     report.pool = "mill";
     report.data_centre = "hall";
@@ -180,13 +180,13 @@
     EXPECT_TRUE(sent.reports(0).is_whole());
 }
 
-TEST(relay_agent, keeps_the_lives_of_a_worker_apart) {
+TEST(relay_agent, keeps_the_incarnations_of_a_worker_apart) {
     agent_world world;
     static_cast<void>(world.send(3));
     auto former = make_report("w1", 40);
-    former.life.born_ms = 100;
+    former.incarnation.process_start_ms = 100;
     auto next = make_report("w1", 1);
-    next.life.born_ms = 200;
+    next.incarnation.process_start_ms = 200;
     world.agent.on_report(former, world.now);
     static_cast<void>(world.take());
     world.agent.on_report(next, world.now);
@@ -194,14 +194,14 @@
     const auto sent = world.take();
     ASSERT_EQ(sent.reports_size(), 1);
     EXPECT_TRUE(sent.reports(0).is_whole());
-    EXPECT_EQ(decode(sent.reports(0)).life, next.life);
-    ++former.sequence; // late: it repeats the report of the former life, not of the next
+    EXPECT_EQ(decode(sent.reports(0)).incarnation, next.incarnation);
+    ++former.sequence; // late: it repeats the report of the former incarnation, not of the next
     world.agent.on_report(former, world.now);
     static_cast<void>(world.send(3));
     const auto late = world.take();
     ASSERT_EQ(late.reports_size(), 1);
     EXPECT_FALSE(late.reports(0).is_whole());
-    EXPECT_EQ(decode_sign_of_life(late.reports(0)).worker, former.life);
+    EXPECT_EQ(decode_sign_of_life(late.reports(0)).worker, former.incarnation);
     EXPECT_EQ(decode_sign_of_life(late.reports(0)).told, 40U);
 }
 
--- a/unit_tests/scheduler/relayed_room_test.cpp
+++ b/unit_tests/scheduler/relayed_room_test.cpp
@@ -72,7 +72,7 @@
 
     void receive_heartbeat(relay_agent& relay, std::int64_t millicores) {
         worker_report report;
-        report.life = {"w1", 0};
+        report.incarnation = {"w1", 0};
         report.address = "10.9.0.1:80";
         report.pool = "mill";
         report.capacity = {millicores, 1000, 0};
--- a/unit_tests/scheduling/job_book_test.cpp
+++ b/unit_tests/scheduling/job_book_test.cpp
@@ -191,10 +191,10 @@
     EXPECT_TRUE(book.get_jobs().empty());
 }
 
-job_wire::job_command make_retire(const worker_life& life) {
+job_wire::job_command make_retire(const worker_incarnation& incarnation) {
     job_wire::job_command command;
-    command.mutable_retire()->set_worker(life.id);
-    command.mutable_retire()->set_born_ms(life.born_ms);
+    command.mutable_retire()->set_worker(incarnation.id);
+    command.mutable_retire()->set_born_ms(incarnation.process_start_ms);
     return command;
 }
 
