--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -250,7 +250,7 @@
     }
     case book_event::kind::worker_retired:
         if (auto* worker = find_worker(event.worker); worker != nullptr) {
-            worker->is_leaving = true;
+            worker->is_draining = true;
         }
         return;
     case book_event::kind::fence_raised:
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -79,14 +79,14 @@
     /// Called when a job that `admit` accepted was certainly not committed.
     void on_not_accepted(job_id job);
 
-    /// Processes a heartbeat. Returns true when the worker is leaving and that is not committed yet. The
+    /// Processes a heartbeat. Returns true when the worker is draining and that is not committed yet. The
     /// heartbeat must then be answered only after the commit.
     bool on_heartbeat(const worker_report& report, time_point now);
     /// Processes a heartbeat that only refers to an earlier report. Returns false when that report is not the
     /// one known here; a full heartbeat is then required.
-    bool on_sign_of_life(const sign_of_life& sign, time_point now);
+    bool on_unchanged_report(const unchanged_report& report, time_point now);
     /// Called when a worker deregisters.
-    void on_goodbye(const worker_incarnation& worker, time_point now);
+    void on_deregister(const worker_incarnation& worker, time_point now);
     /// Processes the answer to a hold that was sent to `worker`. Another incarnation of it may have answered.
     void on_hold(const worker_incarnation& worker, const hold_outcome& outcome, time_point now);
     /// Processes the answer to a start.
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -68,7 +68,7 @@
     std::map<std::string, lasting_quota::pool_use> pools;
     std::map<std::string, std::int64_t> reserved; // millicores
     for (const auto* worker : m_workers.get_all()) {
-        if (worker->has_report && !worker->is_lost && !worker->is_leaving) {
+        if (worker->has_report && !worker->is_lost && !worker->is_draining) {
             auto& use = pools[worker->report.pool];
             use.capacity += worker->report.capacity.millicores;
             use.other_demand += worker->short_millicores + worker->fill_millicores;
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -60,7 +60,7 @@
     const bool is_confirmed = track.confirmed_at != time_point{};
     run_loss loss;
     loss.age_ms = is_confirmed && age.has_value() ? to_milliseconds(*age) : 0;
-    if (worker.is_leaving || m_book.is_retired(worker.report.incarnation) || !may_have_begun(track)) {
+    if (worker.is_draining || m_book.is_retired(worker.report.incarnation) || !may_have_begun(track)) {
         return loss;
     }
     const bool was_heard = worker.hold_failures > 0 ? worker.has_failed_early : !worker.is_hold_pending;
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -12,8 +12,8 @@
 
 constexpr duration max_check_interval = milliseconds{500}; // between checks of a worker that sends nothing
 constexpr duration leaving_check_interval =
-    milliseconds{20};                               // the same while the worker is leaving and has runs
-constexpr duration leave_slack = milliseconds{300}; // before a leaving worker's deadline
+    milliseconds{20};                               // the same while the worker is draining and has runs
+constexpr duration leave_slack = milliseconds{300}; // before a draining worker's deadline
 
 } // namespace
 
@@ -102,7 +102,7 @@
     if (needs_hold(worker) && worker.next_hold <= now) {
         send_hold(worker, now);
     }
-    if (worker.is_leaving && !worker.is_lost) {
+    if (worker.is_draining && !worker.is_lost) {
         evacuate(worker, now);
     }
     const bool is_out_of_reach = !worker.has_report || worker.is_silent();
@@ -132,7 +132,7 @@
     if (needs_hold(worker)) {
         next = std::min(next, worker.next_hold);
     }
-    if (worker.is_leaving && !worker.is_lost && !worker.runs.empty()) {
+    if (worker.is_draining && !worker.is_lost && !worker.runs.empty()) {
         next = std::min(next, now + leaving_check_interval);
     }
     if (!worker.runs.empty() && worker.lease_end > now) {
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -137,7 +137,7 @@
     if (!worker.has_report || worker.clock_ms == 0 || !worker.is_confirmed) {
         return; // the run's lease decides
     }
-    if (worker.is_leaving) { // announced after the task was assigned
+    if (worker.is_draining) { // announced after the task was assigned
         return_to_queue(track, now);
         return;
     }
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -73,8 +73,8 @@
     }
     auto& worker = get_or_add_worker(report.incarnation, now);
     if (worker.has_report && report.sequence <= worker.report.sequence) {
-        return worker.is_leaving &&
-               !m_book.is_retired(report.incarnation); // late; only the request to leave counts
+        return worker.is_draining &&
+               !m_book.is_retired(report.incarnation); // late; only the request to drain counts
     }
     const bool is_new = !worker.has_report;
     worker.report = report;
@@ -99,9 +99,9 @@
             }
         }
     }
-    const bool is_leaving = report.is_leaving || m_book.is_retired(report.incarnation);
-    if (is_leaving && !worker.is_leaving) {
-        worker.is_leaving = true;
+    const bool is_draining = report.is_draining || m_book.is_retired(report.incarnation);
+    if (is_draining && !worker.is_draining) {
+        worker.is_draining = true;
         worker.leaves_at = now + milliseconds{report.remaining_ms};
         auto line = log_event(log_level::info, "worker_leaving");
         add_worker(line, report.incarnation)
@@ -110,30 +110,30 @@
         evacuate(worker, now);
         m_workers.schedule_check(worker, now);
     }
-    return is_leaving && !m_book.is_retired(report.incarnation);
+    return is_draining && !m_book.is_retired(report.incarnation);
 }
 
 /// Heartbeats of one worker may arrive through several relays. Each relay compares them with the reports that
-/// it has sent itself, and these may have been lost. Every short heartbeat therefore names the report that it
-/// refers to.
-bool dispatcher::on_sign_of_life(const sign_of_life& sign, time_point now) {
-    if (!is_leading() || is_stale(sign.worker)) {
+/// it has sent itself, and these may have been lost. Every unchanged report therefore names the full report
+/// it refers to.
+bool dispatcher::on_unchanged_report(const unchanged_report& report, time_point now) {
+    if (!is_leading() || is_stale(report.worker)) {
         return true;
     }
-    auto* worker = find_worker(sign.worker);
+    auto* worker = find_worker(report.worker);
     if (worker == nullptr || !worker->has_report) {
         return false;
     }
-    if (sign.sequence <= worker->report.sequence) {
+    if (report.sequence <= worker->report.sequence) {
         return true; // late
     }
-    if (sign.told != worker->report_sequence) {
+    if (report.full_report_sequence != worker->report_sequence) {
         return false;
     }
-    worker->report.sequence = sign.sequence;
+    worker->report.sequence = report.sequence;
     worker->last_heartbeat = now;
     update_room_expiry(*worker);
-    update_clock(*worker, sign.clock_ms, now);
+    update_clock(*worker, report.clock_ms, now);
     return true;
 }
 
@@ -150,7 +150,7 @@
     }
 }
 
-void dispatcher::on_goodbye(const worker_incarnation& incarnation, time_point now) {
+void dispatcher::on_deregister(const worker_incarnation& incarnation, time_point now) {
     if (!is_leading() || is_stale(incarnation)) {
         return;
     }
@@ -160,7 +160,7 @@
     }
     auto line = log_event(log_level::info, "worker_deregistered");
     add_worker(line, incarnation).add("runs", static_cast<std::uint64_t>(worker->runs.size()));
-    worker->is_leaving = true;
+    worker->is_draining = true;
     worker->leaves_at = now;
     worker->next_hold = now; // its answer, or the lack of one, shows when it has ended
     m_workers.schedule_check(*worker, now);
--- a/poplarpitch/dispatch/long_wait.h
+++ b/poplarpitch/dispatch/long_wait.h
@@ -17,7 +17,7 @@
     std::uint64_t waiting = 0; ///< waiting tasks of its step
     std::uint64_t workers = 0; ///< workers of its pool
     std::uint64_t with_room =
-        0; ///< of `workers`, those that are not leaving and have enough free room for the task
+        0; ///< of `workers`, those that are not draining and have enough free room for the task
     std::array<std::uint64_t, placement_obstacles>
         passed_over{}; ///< number of workers by the obstacle that rules them out
 
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -96,7 +96,7 @@
     if (!worker.has_report || !worker.is_confirmed || worker.clock_ms == 0 || worker.is_lost) {
         return placement_obstacle::unknown;
     }
-    if (worker.is_leaving) {
+    if (worker.is_draining) {
         return placement_obstacle::leaving;
     }
     if (worker.hold_failures > 0) {
--- a/poplarpitch/dispatch/placement_obstacle.h
+++ b/poplarpitch/dispatch/placement_obstacle.h
@@ -9,7 +9,7 @@
 enum class placement_obstacle : std::uint8_t {
     none,             ///< the worker could take the task
     unknown,          ///< no heartbeat, run list or clock yet, or another incarnation answered for it
-    leaving,          ///< the worker is leaving
+    leaving,          ///< the worker is draining
     silent,           ///< the worker does not answer
     room_unknown,     ///< the worker's report of its free room is too old
     set_aside,        ///< its last runs failed, it refused a start, or its tail latencies are far above their
--- a/poplarpitch/dispatch/worker_state.h
+++ b/poplarpitch/dispatch/worker_state.h
@@ -45,9 +45,9 @@
                                ///< makes the worker refuse them
     bool awaits_fence = false; ///< this incarnation has answered, and the higher fence is being committed
     bool is_confirmed = false; ///< it has sent its list under its fence
-    bool is_leaving = false;
+    bool is_draining = false;
     bool is_lost = false;   ///< another incarnation answered, or another worker at its address
-    time_point leaves_at{}; ///< while leaving: the earliest time at which it ends
+    time_point leaves_at{}; ///< while draining: the earliest time at which it ends
     time_point last_heartbeat{};
     time_point
         room_known_until{}; ///< nothing is started after this time, since its free room may have shrunk
--- a/poplarpitch/relay/relay_agent.h
+++ b/poplarpitch/relay/relay_agent.h
@@ -48,7 +48,7 @@
     std::optional<job_wire::relay_answers> on_orders(const job_wire::relay_orders& frame, time_point now);
     /// Called when this instance leads in `term`. It stops relaying for earlier leaders.
     void on_leading(log_term term);
-    /// Processes a worker's heartbeat. Preconditions: `is_serving`; the worker is not leaving.
+    /// Processes a worker's heartbeat. Preconditions: `is_serving`; the worker is not draining.
     void on_report(const worker_report& report, time_point now);
     /// Returns the frame to send to the leader, or nothing when none is due.
     std::optional<job_wire::relay_answers> take_answers(time_point now);
--- a/poplarpitch/relay/relay_codec.cpp
+++ b/poplarpitch/relay/relay_codec.cpp
@@ -230,7 +230,7 @@
     message.set_accelerators(report.capacity.accelerators);
 }
 
-sign_of_life decode_sign_of_life(const job_wire::relayed_report& message) {
+unchanged_report decode_unchanged_report(const job_wire::relayed_report& message) {
     return {{message.worker(), message.born_ms()}, message.sequence(), message.told(), message.clock_ms()};
 }
 
--- a/poplarpitch/relay/relay_codec.h
+++ b/poplarpitch/relay/relay_codec.h
@@ -43,6 +43,6 @@
 /// Reads a full worker report.
 [[nodiscard]] worker_report decode(const job_wire::relayed_report& message);
 /// Reads a report that only repeats an earlier full one. Thread safety: any thread.
-[[nodiscard]] sign_of_life decode_sign_of_life(const job_wire::relayed_report& message);
+[[nodiscard]] unchanged_report decode_unchanged_report(const job_wire::relayed_report& message);
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -47,11 +47,11 @@
     }
 
     /// Accepts a heartbeat on behalf of the leader. Returns false for any other call, and for a heartbeat of
-    /// a worker that is leaving: only the leader can answer it, after a commit.
+    /// a worker that is draining: only the leader can answer it, after a commit.
     bool try_relay(const control_call& call, const http_responder& respond) {
         const auto now = m_parts.loop.now();
         const auto* heartbeat = std::get_if<heartbeat_call>(&call);
-        if (heartbeat == nullptr || heartbeat->report.is_leaving || !m_agent.is_serving(now)) {
+        if (heartbeat == nullptr || heartbeat->report.is_draining || !m_agent.is_serving(now)) {
             return false;
         }
         m_agent.on_report(heartbeat->report, now);
@@ -103,8 +103,8 @@
         m_parts.batcher.add(std::move(command), make_result_handler(std::move(body), std::move(respond)));
     }
 
-    void answer(const goodbye_call& call, const http_responder& respond) {
-        m_parts.dispatch.on_goodbye(call.worker, m_parts.loop.now());
+    void answer(const deregister_call& call, const http_responder& respond) {
+        m_parts.dispatch.on_deregister(call.worker, m_parts.loop.now());
         respond(make_response(200));
     }
 
--- a/poplarpitch/scheduler/worker_orders.h
+++ b/poplarpitch/scheduler/worker_orders.h
@@ -45,7 +45,7 @@
         for (const auto& report : frame.reports()) {
             if (report.is_whole()) {
                 m_parts.dispatch.on_heartbeat(decode(report), now);
-            } else if (!m_parts.dispatch.on_sign_of_life(decode_sign_of_life(report), now)) {
+            } else if (!m_parts.dispatch.on_unchanged_report(decode_unchanged_report(report), now)) {
                 m_parts.relays.ask_report(report.worker());
             }
         }
--- a/poplarpitch/scheduling/control_call.h
+++ b/poplarpitch/scheduling/control_call.h
@@ -14,7 +14,7 @@
     worker_report report;
 };
 /// A worker deregisters because its process ends.
-struct goodbye_call {
+struct deregister_call {
     worker_incarnation worker;
 };
 /// An operator's new configuration.
@@ -35,7 +35,7 @@
 struct unknown_call {};
 
 /// A call by a worker or an operator to the control instances.
-using control_call = std::variant<heartbeat_call, goodbye_call, put_config_call, get_config_call,
+using control_call = std::variant<heartbeat_call, deregister_call, put_config_call, get_config_call,
                                   unsupported_call, malformed_call, unknown_call>;
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduling/worker_report.h
+++ b/poplarpitch/scheduling/worker_report.h
@@ -41,13 +41,13 @@
 };
 
 /// A heartbeat that repeats an earlier report and changes only its time.
-struct sign_of_life {
+struct unchanged_report {
     worker_incarnation worker;
-    std::uint64_t sequence = 0; ///< as in a full report
-    std::uint64_t told = 0;     ///< sequence of the full report that it repeats
-    std::int64_t clock_ms = 0;  ///< the worker's own clock
+    std::uint64_t sequence = 0;             ///< as in a full report
+    std::uint64_t full_report_sequence = 0; ///< sequence of the full report that it repeats
+    std::int64_t clock_ms = 0;              ///< the worker's own clock
 
-    friend bool operator==(const sign_of_life&, const sign_of_life&) = default;
+    friend bool operator==(const unchanged_report&, const unchanged_report&) = default;
 };
 
 /// A worker's full report in a heartbeat.
@@ -60,8 +60,8 @@
     std::vector<std::string> labels; ///< its kind and its rack
     std::string rack;
     worker_amounts capacity;
-    bool is_leaving = false;       ///< accepts no new work
-    std::int64_t remaining_ms = 0; ///< while leaving: minimum time for which it stays
+    bool is_draining = false;      ///< accepts no new work
+    std::int64_t remaining_ms = 0; ///< while draining: minimum time for which it stays
     std::int64_t clock_ms = 0;     ///< its own clock
     std::uint64_t sequence = 0;    ///< increases with each heartbeat, so that a late one is recognised
 
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -35,7 +35,7 @@
 constexpr duration min_outage = milliseconds{200};
 constexpr duration max_outage = seconds{3};
 constexpr duration drain_time = seconds{2};
-constexpr duration max_refusal_time = seconds{2}; // for which a leaving worker refuses connections
+constexpr duration max_refusal_time = seconds{2}; // for which a draining worker refuses connections
 constexpr duration relay_timeout = seconds{1};    // after this a worker sends its heartbeat to the leader
 constexpr duration gang_timeout = seconds{5};
 constexpr duration gang_break_delay = milliseconds{50};
@@ -88,7 +88,7 @@
     std::vector<reported_capacity> capacities; ///< all capacities of this incarnation, the newest last
     std::string data_centre;
     double clock_rate = 1;
-    bool is_leaving = false;
+    bool is_draining = false;
     bool is_refusing = false; ///< refuses connections while its runs continue
     time_point leaves_at{};
     time_point unhealthy_until{};
@@ -302,10 +302,10 @@
 }
 
 void crash_world::leave(worker& target) {
-    if (!target.is_up || target.is_leaving) {
+    if (!target.is_up || target.is_draining) {
         return;
     }
-    target.is_leaving = true;
+    target.is_draining = true;
     target.leaves_at = m_now + drain_time;
     const auto incarnation = target.incarnation;
     schedule_call(drain_time, [this, &target, incarnation] {
@@ -314,7 +314,7 @@
         }
         target.is_refusing = true;
         if (m_has_leader && m_now >= target.partitioned_until && m_now >= target.one_way_partition_until) {
-            m_scheduler.on_goodbye({target.id, target.process_start_ms}, m_now);
+            m_scheduler.on_deregister({target.id, target.process_start_ms}, m_now);
         }
         schedule_call(pick_time(milliseconds{1}, max_refusal_time), [this, &target, incarnation] {
             if (target.incarnation == incarnation && target.is_up) {
@@ -428,7 +428,7 @@
     for (const auto& report : frame.reports()) {
         if (report.is_whole()) {
             m_scheduler.on_heartbeat(decode(report), m_now);
-        } else if (!m_scheduler.on_sign_of_life(decode_sign_of_life(report), m_now)) {
+        } else if (!m_scheduler.on_unchanged_report(decode_unchanged_report(report), m_now)) {
             m_hub.ask_report(report.worker());
         }
     }
@@ -503,8 +503,8 @@
     report.pool = pool;
     report.rack = "r1";
     report.data_centre = target.data_centre;
-    report.is_leaving = target.is_leaving;
-    report.remaining_ms = target.is_leaving ? to_milliseconds(target.leaves_at - m_now) : 0;
+    report.is_draining = target.is_draining;
+    report.remaining_ms = target.is_draining ? to_milliseconds(target.leaves_at - m_now) : 0;
     report.capacity = target.get_capacity();
     report.sequence = ++target.sequence;
     report.clock_ms = get_clock(target);
@@ -529,7 +529,7 @@
     const auto found = std::find_if(m_relays.begin(), m_relays.end(), [&](const auto& node) {
         return node->place.data_centre == report.data_centre;
     });
-    if (found == m_relays.end() || report.is_leaving || (*found)->agent == nullptr) {
+    if (found == m_relays.end() || report.is_draining || (*found)->agent == nullptr) {
         m_scheduler.on_heartbeat(report, m_now);
         return;
     }
@@ -651,7 +651,7 @@
     }
     target.clock_start = m_now;
     target.is_up = true;
-    target.is_leaving = false;
+    target.is_draining = false;
     target.is_refusing = false;
     if (m_settings.clock_drift > 0) {
         target.clock_rate = 1 - m_settings.clock_drift * static_cast<double>(pick(3)) / 2;
--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -86,11 +86,11 @@
     }
 }
 
-void dispatch_world::send_heartbeat(const std::string& id, bool is_leaving, std::int64_t remaining_ms) {
+void dispatch_world::send_heartbeat(const std::string& id, bool is_draining, std::int64_t remaining_ms) {
     auto& report = m_reports[id];
     ++report.sequence;
     report.clock_ms = to_milliseconds(now.time_since_epoch());
-    report.is_leaving = is_leaving;
+    report.is_draining = is_draining;
     report.remaining_ms = remaining_ms;
     if (scheduler.on_heartbeat(report, now)) {
         job_wire::job_command command;
--- a/unit_tests/dispatch/dispatch_world.h
+++ b/unit_tests/dispatch/dispatch_world.h
@@ -38,7 +38,7 @@
     /// Returns the dispatcher's state of the worker's current incarnation, or null.
     [[nodiscard]] const worker_state* find_worker(const std::string& id) const;
     /// Sends a heartbeat. Precondition: the worker was added.
-    void send_heartbeat(const std::string& id, bool is_leaving = false, std::int64_t remaining_ms = 0);
+    void send_heartbeat(const std::string& id, bool is_draining = false, std::int64_t remaining_ms = 0);
     /// Submits a job to a queue with these attempts and priority. Returns its id.
     job_id submit(const std::vector<step_spec>& steps, std::uint32_t max_attempts = 3, int priority = 0);
     /// Submits a job to a queue that requires advice; tickets are valid for 3 s.
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -147,8 +147,8 @@
     late.clock_ms = before - clock_lag_ms;
     world.scheduler.on_heartbeat(late, world.now);
     EXPECT_GE(world.find_worker("w1")->estimate_clock(world.now, dispatch_settings{}.clock_drift), before);
-    const sign_of_life sign{late.incarnation, late.sequence + 1, late.sequence, late.clock_ms};
-    world.scheduler.on_sign_of_life(sign, world.now);
+    const unchanged_report unchanged{late.incarnation, late.sequence + 1, late.sequence, late.clock_ms};
+    world.scheduler.on_unchanged_report(unchanged, world.now);
     EXPECT_GE(world.find_worker("w1")->estimate_clock(world.now, dispatch_settings{}.clock_drift), before);
 }
 
@@ -157,7 +157,7 @@
     world.add_worker("w1");
     world.submit({make_step()});
     const auto order = world.start_one();
-    world.scheduler.on_goodbye(world.get_incarnation("w1"), world.now);
+    world.scheduler.on_deregister(world.get_incarnation("w1"), world.now);
     world.run_until_idle();
     ASSERT_NE(world.scheduler.find_track(order.run), nullptr);
     EXPECT_FALSE(world.scheduler.find_track(order.run)->is_ending);
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -205,12 +205,12 @@
     auto late = world.find_worker("w1")->report;
     restart_and_confirm(world, second_process_start_ms);
     late.sequence += 100;
-    late.is_leaving = true;
+    late.is_draining = true;
     EXPECT_FALSE(world.scheduler.on_heartbeat(late, world.now)) << "nothing is committed for it";
-    world.scheduler.on_goodbye(late.incarnation, world.now);
-    world.scheduler.on_goodbye({"w1", 0}, world.now);
+    world.scheduler.on_deregister(late.incarnation, world.now);
+    world.scheduler.on_deregister({"w1", 0}, world.now);
     world.run_until_idle();
-    EXPECT_FALSE(world.find_worker("w1")->is_leaving);
+    EXPECT_FALSE(world.find_worker("w1")->is_draining);
     world.submit({make_step()});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
 }
--- a/unit_tests/platform/dialect_test.cpp
+++ b/unit_tests/platform/dialect_test.cpp
@@ -77,7 +77,7 @@
     EXPECT_EQ(heartbeat->report.incarnation.id, "i-7f");
     EXPECT_EQ(heartbeat->report.rack, "r1-3");
     EXPECT_EQ(heartbeat->report.capacity, (worker_amounts{16000, 32768, 2}));
-    EXPECT_TRUE(heartbeat->report.is_leaving);
+    EXPECT_TRUE(heartbeat->report.is_draining);
     EXPECT_EQ(heartbeat->report.remaining_ms, 1500);
     EXPECT_EQ(heartbeat->report.sequence, 4U);
 }
--- a/unit_tests/relay/relay_agent_test.cpp
+++ b/unit_tests/relay/relay_agent_test.cpp
@@ -201,8 +201,8 @@
     const auto late = world.take();
     ASSERT_EQ(late.reports_size(), 1);
     EXPECT_FALSE(late.reports(0).is_whole());
-    EXPECT_EQ(decode_sign_of_life(late.reports(0)).worker, former.incarnation);
-    EXPECT_EQ(decode_sign_of_life(late.reports(0)).told, 40U);
+    EXPECT_EQ(decode_unchanged_report(late.reports(0)).worker, former.incarnation);
+    EXPECT_EQ(decode_unchanged_report(late.reports(0)).full_report_sequence, 40U);
 }
 
 TEST(relay_agent, uses_the_leaders_term_as_fence_where_an_older_leader_sends_none) {
--- a/unit_tests/scheduler/relayed_room_test.cpp
+++ b/unit_tests/scheduler/relayed_room_test.cpp
@@ -90,7 +90,7 @@
             for (const auto& report : frame.reports()) {
                 if (report.is_whole()) {
                     leader.on_heartbeat(decode(report), m_now);
-                } else if (!leader.on_sign_of_life(decode_sign_of_life(report), m_now)) {
+                } else if (!leader.on_unchanged_report(decode_unchanged_report(report), m_now)) {
                     unknown.push_back(report.worker());
                 }
             }
