--- a/performance_test/dispatch_benchmark.cpp
+++ b/performance_test/dispatch_benchmark.cpp
@@ -21,7 +21,7 @@
     /// `unevenness` is how far the sizes of filling tasks lie apart, millicores.
     filled_leader(int workers, int waiting_tasks, std::int64_t unevenness = 0)
         : m_unevenness(unevenness), m_dispatch({}, m_book) {
-        m_dispatch.lead(1, m_now, m_wall_ms);
+        m_dispatch.start_leading(1, m_now, m_wall_ms);
         for (int number = 0; number < workers; ++number) {
             add_worker(number);
         }
--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -30,8 +30,8 @@
 
 // ---- leading
 
-void dispatcher::lead(log_term term, time_point now, std::int64_t wall_ms) {
-    retire();
+void dispatcher::start_leading(log_term term, time_point now, std::int64_t wall_ms) {
+    stop_leading();
     m_term = term;
     m_lasting.clear(now);
     m_filling_backlog = 0;
@@ -87,7 +87,7 @@
     }
 }
 
-void dispatcher::retire() {
+void dispatcher::stop_leading() {
     m_term = 0;
     m_workers.clear();
     m_lost_workers.clear();
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -63,9 +63,9 @@
     dispatcher& operator=(const dispatcher&) = delete;
 
     /// Starts to lead in `term`. Workers are learned from their heartbeats, runs from the job book.
-    void lead(log_term term, time_point now, std::int64_t wall_ms);
+    void start_leading(log_term term, time_point now, std::int64_t wall_ms);
     /// Stops leading and clears all state that is not replicated.
-    void retire();
+    void stop_leading();
     [[nodiscard]] bool is_leading() const { return m_term != 0; }
     /// Returns the term in which it leads, or 0 while it does not lead.
     [[nodiscard]] log_term get_term() const { return m_term; }
--- a/poplarpitch/relay/relay_agent.cpp
+++ b/poplarpitch/relay/relay_agent.cpp
@@ -194,7 +194,7 @@
     return m_last_answer_at + m_settings.min_frame_interval;
 }
 
-bool relay_agent::is_serving(time_point now) const {
+bool relay_agent::can_relay(time_point now) const {
     return m_settings.is_enabled && !m_is_leader && m_term != 0 &&
            now - m_last_frame_at <= m_settings.peer_timeout;
 }
--- a/poplarpitch/relay/relay_agent.h
+++ b/poplarpitch/relay/relay_agent.h
@@ -48,7 +48,7 @@
     std::optional<job_wire::relay_answers> on_orders(const job_wire::relay_orders& frame, time_point now);
     /// Called when this instance leads in `term`. It stops relaying for earlier leaders.
     void on_leading(log_term term);
-    /// Processes a worker's heartbeat. Preconditions: `is_serving`; the worker is not draining.
+    /// Processes a worker's heartbeat. Preconditions: `can_relay`; the worker is not draining.
     void on_report(const worker_report& report, time_point now);
     /// Returns the frame to send to the leader, or nothing when none is due.
     std::optional<job_wire::relay_answers> take_answers(time_point now);
@@ -56,7 +56,7 @@
     /// Returns when `take_answers` will return a frame, or nothing while there is nothing to send.
     [[nodiscard]] std::optional<time_point> get_due() const;
     /// Returns true while frames of a leader arrive, so that a heartbeat taken here reaches it.
-    [[nodiscard]] bool is_serving(time_point now) const;
+    [[nodiscard]] bool can_relay(time_point now) const;
     /// Returns the instance that should take a worker's later heartbeats; this one where there is no better
     /// one.
     [[nodiscard]] std::uint32_t pick(const worker_report& report) const;
--- a/poplarpitch/relay/relay_hub.cpp
+++ b/poplarpitch/relay/relay_hub.cpp
@@ -23,12 +23,12 @@
 
 relay_hub::~relay_hub() = default;
 
-void relay_hub::lead(log_term term) {
-    retire();
+void relay_hub::start_leading(log_term term) {
+    stop_leading();
     m_term = term;
 }
 
-void relay_hub::retire() {
+void relay_hub::stop_leading() {
     m_term = 0;
     m_registry.clear();
     m_open.clear();
--- a/poplarpitch/relay/relay_hub.h
+++ b/poplarpitch/relay/relay_hub.h
@@ -48,9 +48,9 @@
     relay_hub& operator=(const relay_hub&) = delete;
 
     /// Starts to lead in `term`, with no known relays.
-    void lead(log_term term);
+    void start_leading(log_term term);
     /// Stops leading. Discards all orders in flight; they get no outcome.
-    void retire();
+    void stop_leading();
 
     /// Queues an order for the relay of its worker. Returns false when there is no relay: the caller has to
     /// send the order itself. Preconditions: the hub leads; the order is not for the advice service.
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -51,7 +51,7 @@
     bool try_relay(const control_call& call, const http_responder& respond) {
         const auto now = m_parts.loop.now();
         const auto* heartbeat = std::get_if<heartbeat_call>(&call);
-        if (heartbeat == nullptr || heartbeat->report.is_draining || !m_agent.is_serving(now)) {
+        if (heartbeat == nullptr || heartbeat->report.is_draining || !m_agent.can_relay(now)) {
             return false;
         }
         m_agent.on_report(heartbeat->report, now);
--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -102,13 +102,13 @@
         };
         handler.on_leading = [this](log_term term) {
             m_agent.on_leading(term);
-            m_parts.relays.lead(term);
-            m_parts.dispatch.lead(term, m_parts.loop.now(), get_wall_ms());
+            m_parts.relays.start_leading(term);
+            m_parts.dispatch.start_leading(term, m_parts.loop.now(), get_wall_ms());
             m_parts.loop.post([] {}); // wakes the loop to send the new orders
         };
         handler.on_leading_lost = [this] {
-            m_parts.relays.retire();
-            m_parts.dispatch.retire();
+            m_parts.relays.stop_leading();
+            m_parts.dispatch.stop_leading();
             m_parts.batcher.drop_pending();
         };
         handler.on_frame = [this](const job_wire::cluster_frame& frame, const auto& reply) {
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -116,7 +116,7 @@
         m_relays.push_back(std::move(node));
         start_relay(*m_relays.back());
     }
-    lead();
+    start_leading();
     for (int number = 1; number <= settings.workers; ++number) {
         auto target = std::make_unique<worker>();
         target->address = "10.0.0." + std::to_string(number) + ":80";
@@ -223,7 +223,7 @@
         }
     }
     if (happens(m_settings.leader_losses)) {
-        lead();
+        start_leading();
     }
     if (happens(m_settings.clock_steps)) {
         m_workers[pick(m_workers.size())]->clock_offset_ms -=
@@ -267,8 +267,8 @@
 
 void crash_world::lose_power() {
     m_has_leader = false;
-    m_scheduler.retire();
-    m_hub.retire();
+    m_scheduler.stop_leading();
+    m_hub.stop_leading();
     drop_uncommitted_commands();
     for (auto& node : m_relays) {
         lose_relay(*node);
@@ -281,7 +281,7 @@
     fail_runs_after_power_loss();
     schedule_call(pick_time(min_outage, max_outage), [this] {
         if (!m_has_leader) {
-            lead();
+            start_leading();
         }
     });
 }
@@ -445,7 +445,7 @@
     }
 }
 
-void crash_world::lead() {
+void crash_world::start_leading() {
     drop_uncommitted_commands();
     // Saves and reloads the book, because a new leader may have been restored from a snapshot.
     const auto snapshot = m_book.save();
@@ -453,8 +453,8 @@
     EXPECT_EQ(m_book.save(), snapshot);
     m_leader_since = m_now;
     m_has_leader = true;
-    m_scheduler.lead(++m_term, m_now, m_wall_ms);
-    m_hub.lead(m_term);
+    m_scheduler.start_leading(++m_term, m_now, m_wall_ms);
+    m_hub.start_leading(m_term);
 }
 
 void crash_world::tick_leader() {
@@ -538,14 +538,14 @@
         schedule_call(node.stalled_until - m_now,
                       [this, &node, process_number = node.process_number, report] {
                           if (node.agent != nullptr && node.process_number == process_number &&
-                              node.agent->is_serving(m_now)) {
+                              node.agent->can_relay(m_now)) {
                               node.agent->on_report(report, m_now);
                           }
                       });
         schedule_call(relay_timeout, [this, report] { m_scheduler.on_heartbeat(report, m_now); });
         return;
     }
-    if (node.agent->is_serving(m_now)) {
+    if (node.agent->can_relay(m_now)) {
         node.agent->on_report(report, m_now);
     } else {
         m_scheduler.on_heartbeat(report, m_now);
--- a/unit_tests/dispatch/crash_world.h
+++ b/unit_tests/dispatch/crash_world.h
@@ -158,7 +158,7 @@
     void schedule_call(duration wait, std::function<void()> call);
     void configure();
     void tick_leader();
-    void lead();
+    void start_leading();
     void step();
     void inject_faults();
     void send_heartbeat(worker& target);
--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 dispatch_world::dispatch_world() : scheduler(dispatch_settings{}, book) {
-    lead();
+    start_leading();
 }
 
 void dispatch_world::collect() {
@@ -23,9 +23,9 @@
     }
 }
 
-void dispatch_world::lead() {
+void dispatch_world::start_leading() {
     ++term;
-    scheduler.lead(term, now, wall_ms);
+    scheduler.start_leading(term, now, wall_ms);
     m_orders.clear();
     run_until_idle();
 }
--- a/unit_tests/dispatch/dispatch_world.h
+++ b/unit_tests/dispatch/dispatch_world.h
@@ -22,7 +22,7 @@
     /// Ticks the dispatcher and commits its commands until there are none.
     void run_until_idle();
     /// Makes the dispatcher lead in the next term, without its former soft state.
-    void lead();
+    void start_leading();
     /// Registers a worker: sends a heartbeat and answers the first hold with an empty list.
     void add_worker(const std::string& id, const worker_amounts& capacity = {64000, 256000, 0},
                     const std::string& rack = "r1");
--- a/unit_tests/dispatch/dispatcher_admission_test.cpp
+++ b/unit_tests/dispatch/dispatcher_admission_test.cpp
@@ -104,7 +104,7 @@
     dispatch_world world;
     add_workers(world);
     world.submit(make_lasting(0, 30).steps);
-    world.lead();
+    world.start_leading();
     for (int number = 0; number < workers; ++number) {
         world.send_heartbeat("w" + std::to_string(number));
     }
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -68,7 +68,7 @@
     int starts = 0;
     for (int leader = 0; leader < round_count; ++leader) {
         starts += crash_at_each_start(world, crashing_job, 1);
-        world.lead();
+        world.start_leading();
         for (const auto& [incarnation, worker] : std::map(world.scheduler.get_workers())) {
             world.send_heartbeat(incarnation.id);
         }
@@ -216,7 +216,7 @@
         const auto starts = confirm_starts(world);
         ASSERT_EQ(starts.size(), 1U);
         world.advance(milliseconds{900});
-        world.lead();
+        world.start_leading();
         world.send_heartbeat(worker);
         world.wait_for_hold(worker);
         hold_answer list;
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -184,7 +184,7 @@
     world.add_worker("w1");
     world.send_heartbeat("w1");
     const run_key stray{{{77, 0, 0}, 0}, 1};
-    world.lead(); // a leader that knows neither the run nor its job
+    world.start_leading(); // a leader that knows neither the run nor its job
     world.send_heartbeat("w1");
     for (int round = 0; round < 3; ++round) { // the first stops are lost
         world.wait_for_hold("w1");
@@ -364,7 +364,7 @@
     world.submit({make_step()});
     const auto order = take_only_start(world);
     world.answer(order, order_failure::unanswered);
-    world.lead();
+    world.start_leading();
     const auto led = world.now;
     world.add_worker("w2");
     fail_holds_until(world, led + get_longest_span() - milliseconds{50});
--- a/unit_tests/dispatch/dispatcher_history_log_test.cpp
+++ b/unit_tests/dispatch/dispatcher_history_log_test.cpp
@@ -86,7 +86,7 @@
     world.submit({make_step()});
     const auto missing = world.start_one();
     const log_capture logs;
-    world.lead();
+    world.start_leading();
     expect_one(logs, "took_over", {"term=2", "fence=2", "open_jobs=2", "runs=2", "workers=1", "waiting=0"});
     world.send_heartbeat("w1");
     answer_next(world, list_running(found));
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -142,7 +142,7 @@
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 2U);
     world.answer(starts[0]); // the other start is lost with the leader
-    world.lead();
+    world.start_leading();
     world.send_heartbeat("w1");
     world.wait_for_hold("w1");
     EXPECT_TRUE(world.take<start_order>().empty());
@@ -276,7 +276,7 @@
     world.add_worker("w1");
     world.submit({make_step()});
     world.start_one();
-    world.lead();
+    world.start_leading();
     const auto led_at = world.now;
     world.add_worker("w2");
     world.restart_with_new_id("w1", "w1+");
--- a/unit_tests/dispatch/dispatcher_probation_test.cpp
+++ b/unit_tests/dispatch/dispatcher_probation_test.cpp
@@ -111,7 +111,7 @@
     dispatch_world world;
     crash_twice(world, 4, make_lasting(8));
     const auto starts = confirm_for(world, max_wait);
-    world.lead();
+    world.start_leading();
     std::map<std::string, hold_answer> lists;
     for (const auto& order : starts) {
         lists[order.target.worker.id].running.push_back({order.run, "", 50, 0});
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -236,7 +236,7 @@
     ASSERT_EQ(after.size(), 1U);
     EXPECT_GT(after[0].target.fence, before.target.fence);
     const auto raised = after[0].target.fence;
-    world.lead();
+    world.start_leading();
     world.send_heartbeat("w1");
     world.wait_for_hold("w1");
     const auto holds = world.take<hold_order>();
@@ -316,7 +316,7 @@
     const auto first = world.start_one();
     EXPECT_EQ(world.book.find_task(first.run.task)->runs.at(0).worker,
               (worker_incarnation{"w1", first_process_start_ms}));
-    world.lead();
+    world.start_leading();
     restart_and_confirm(world, second_process_start_ms);
     world.advance(milliseconds{200});
     const auto again = world.take<start_order>();
@@ -332,7 +332,7 @@
     ASSERT_EQ(starts.size(), 2U);
     world.answer(starts[0]);
     world.answer(starts[1]);
-    world.lead();
+    world.start_leading();
     hold_answer list;
     list.running.push_back({starts[0].run, "", 10, 0});
     restart_and_confirm(world, first_process_start_ms,
--- a/unit_tests/relay/relay_agent_test.cpp
+++ b/unit_tests/relay/relay_agent_test.cpp
@@ -105,9 +105,9 @@
 TEST(relay_agent, stops_relaying_once_it_leads_itself) {
     agent_world world;
     static_cast<void>(world.send(3));
-    EXPECT_TRUE(world.agent.is_serving(world.now));
+    EXPECT_TRUE(world.agent.can_relay(world.now));
     world.agent.on_leading(4);
-    EXPECT_FALSE(world.agent.is_serving(world.now));
+    EXPECT_FALSE(world.agent.can_relay(world.now));
     EXPECT_TRUE(world.send(3, 1).has_value());
     EXPECT_TRUE(world.orders.empty());
     EXPECT_FALSE(world.send(5, 1).has_value()) << "until another one leads in a later term";
@@ -222,10 +222,10 @@
 
 TEST(relay_agent, takes_no_heartbeats_once_the_leader_is_silent) {
     agent_world world;
-    EXPECT_FALSE(world.agent.is_serving(world.now)) << "before it received one frame of a leader";
+    EXPECT_FALSE(world.agent.can_relay(world.now)) << "before it received one frame of a leader";
     static_cast<void>(world.send(3));
-    EXPECT_TRUE(world.agent.is_serving(world.now));
-    EXPECT_FALSE(world.agent.is_serving(world.now + world.settings.peer_timeout + milliseconds{1}));
+    EXPECT_TRUE(world.agent.can_relay(world.now));
+    EXPECT_FALSE(world.agent.can_relay(world.now + world.settings.peer_timeout + milliseconds{1}));
 }
 
 TEST(relay_agent, names_the_relay_in_the_worker_s_data_centre_for_later_heartbeats) {
--- a/unit_tests/relay/relay_hub_test.cpp
+++ b/unit_tests/relay/relay_hub_test.cpp
@@ -17,7 +17,7 @@
 
 class hub_world {
 public:
-    hub_world() : hub(settings) { hub.lead(term); }
+    hub_world() : hub(settings) { hub.start_leading(term); }
 
     /// Delivers a frame of a relay without answers, which makes the relay known.
     void announce(std::uint32_t ip, const std::string& data_centre) {
--- a/unit_tests/scheduler/relayed_room_test.cpp
+++ b/unit_tests/scheduler/relayed_room_test.cpp
@@ -25,7 +25,7 @@
 class relayed_world {
 public:
     relayed_world() : leader(dispatch_settings{}, m_book), first(make_agent(1)), second(make_agent(2)) {
-        leader.lead(1, m_now, 0);
+        leader.start_leading(1, m_now, 0);
         send_leader_frame(first);
         send_leader_frame(second);
     }
