--- a/poplarpitch/dispatch/admission.h
+++ b/poplarpitch/dispatch/admission.h
@@ -9,13 +9,13 @@
 
 /// The decision whether a job is accepted, and the figures it is based on.
 struct admission {
-    enum class verdict : std::uint8_t {
-        taken,
-        lasting_quota, ///< long-running jobs have reserved their whole quota of the pool
-        overloaded,    ///< the leader lags too far behind to take more jobs
+    enum class admission_outcome : std::uint8_t {
+        admitted,
+        long_running_quota, ///< long-running jobs have reserved their whole quota of the pool
+        overloaded,         ///< the leader lags too far behind to take more jobs
     };
 
-    verdict what = verdict::taken;
+    admission_outcome outcome = admission_outcome::admitted;
     duration retry_after{};    ///< time after which the caller should submit a refused job again
     duration lag{};            ///< by which the leader's timers are late
     std::int64_t wanted = 0;   ///< millicores that the job would reserve
@@ -24,7 +24,7 @@
 
     friend auto operator<=>(const admission&, const admission&) = default;
 
-    [[nodiscard]] bool is_taken() const { return what == verdict::taken; }
+    [[nodiscard]] bool is_admitted() const { return outcome == admission_outcome::admitted; }
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/dispatch_counts.h
+++ b/poplarpitch/dispatch/dispatch_counts.h
@@ -16,11 +16,11 @@
     std::uint64_t not_sent = 0;      ///< orders for which no connection was free in time
     std::uint64_t copies = 0;        ///< second runs of slow tasks, included in `assigned`
     std::uint64_t stops = 0;         ///< stop orders
-    std::uint64_t paces = 0;         ///< pace orders
-    std::uint64_t holds = 0;         ///< requests for a worker's run list
+    std::uint64_t pace_orders = 0;   ///< pace orders
+    std::uint64_t hold_orders = 0;   ///< requests for a worker's run list
     std::uint64_t lost_runs = 0;     ///< runs ended because their worker was lost
     std::uint64_t crashes = 0;       ///< crashes of a worker, counted once for each task that ran there
-    std::uint64_t given_up = 0;      ///< of `crashes`, those after which the task's job was given up
+    std::uint64_t jobs_given_up = 0; ///< of `crashes`, those after which the task's job was given up
     std::uint64_t failed_runs = 0;
     std::uint64_t done_runs = 0;
     std::uint64_t stuck_tasks = 0; ///< gauge, at the last audit: tasks that nothing will complete
--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -55,8 +55,8 @@
     }
     limit_probations();
     m_must_place = true;
-    log_takeover(
-        {term, get_fence(), m_jobs.size(), m_tracks.size(), m_workers.get_map().size(), count_waiting()});
+    log_takeover({term, get_fence(), m_jobs.size(), m_tracks.size(), m_workers.get_map().size(),
+                  count_waiting_tasks()});
 }
 
 /// Makes the worker of a run known that was assigned before this leader's term. An incarnation that ended
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -73,11 +73,11 @@
     /// Updates the load of the leader's thread. Under strain, checks that only tune the pacing become rarer.
     /// When the leader lags too far behind, it accepts no new jobs.
     void on_load(const leader_load& load) { m_load = load; }
-    /// Decides whether a job is accepted. An accepted job counts as such until `on_not_accepted` is called
+    /// Decides whether a job is accepted. An accepted job counts as such until `cancel_admission` is called
     /// for it. Precondition: the dispatcher leads; the job is valid and not known yet.
     [[nodiscard]] admission admit(const step_job& job, time_point now);
     /// Called when a job that `admit` accepted was certainly not committed.
-    void on_not_accepted(job_id job);
+    void cancel_admission(job_id job);
 
     /// Processes a heartbeat. Returns true when the worker is draining and that is not committed yet. The
     /// heartbeat must then be answered only after the commit.
@@ -112,11 +112,11 @@
     /// Returns and removes the measured durations.
     [[nodiscard]] std::vector<job_timing> take_timings();
     /// Returns how many tasks are queued for a worker.
-    [[nodiscard]] std::uint64_t count_waiting() const;
+    [[nodiscard]] std::uint64_t count_waiting_tasks() const;
     /// Returns how many accepted jobs have not ended.
-    [[nodiscard]] std::size_t count_open() const { return m_jobs.size(); }
+    [[nodiscard]] std::size_t count_open_jobs() const { return m_jobs.size(); }
     /// Returns how many accepted jobs of a queue have not started any task.
-    [[nodiscard]] std::uint64_t count_pending(const std::string& queue) const;
+    [[nodiscard]] std::uint64_t count_pending_jobs(const std::string& queue) const;
     /// Returns true when a task of the job has started.
     [[nodiscard]] bool has_started(job_id id) const;
     [[nodiscard]] const std::map<worker_incarnation, worker_state>& get_workers() const {
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -32,7 +32,7 @@
     }
     if (m_load.lag > m_settings.most_lag) {
         ++m_counts.refused_jobs;
-        decided.what = admission::verdict::overloaded;
+        decided.outcome = admission::admission_outcome::overloaded;
         decided.lag = m_load.lag;
         decided.retry_after = get_overload_wait(job.id);
         return decided;
@@ -49,12 +49,12 @@
         return decided;
     }
     ++m_counts.refused_jobs;
-    decided.what = admission::verdict::lasting_quota;
+    decided.outcome = admission::admission_outcome::long_running_quota;
     decided.retry_after = m_lasting.get_retry_after(job.id, pool, decided.wanted, now);
     return decided;
 }
 
-void dispatcher::on_not_accepted(job_id job) {
+void dispatcher::cancel_admission(job_id job) {
     if (!m_jobs.contains(job)) {
         m_lasting.remove(job);
     }
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -129,7 +129,7 @@
     if (record != nullptr && record->phase == job_phase::open) {
         return;
     }
-    ++m_counts.given_up;
+    ++m_counts.jobs_given_up;
     auto line = log_event(log_level::warn, "job_given_up");
     add_run(line, event.run);
     line.add("reason", "its task crashed the workers that started it").add("crashes", event.number);
--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -258,7 +258,7 @@
         return;
     }
     fill.is_pace_pending = true;
-    ++m_counts.paces;
+    ++m_counts.pace_orders;
     pace_order order;
     order.target = make_target(worker, m_settings.order_timeout);
     order.run = fill.key;
--- a/poplarpitch/dispatch/dispatcher_reports.cpp
+++ b/poplarpitch/dispatch/dispatcher_reports.cpp
@@ -90,13 +90,13 @@
         .add("memory_mb", capacity.memory_mb)
         .add("reserved_memory_mb", reserved.memory_mb)
         .add("runs", static_cast<std::uint64_t>(m_tracks.size()))
-        .add("waiting", count_waiting())
+        .add("waiting", count_waiting_tasks())
         .add("open_jobs", static_cast<std::uint64_t>(m_jobs.size()));
 }
 
 // ---- queries
 
-std::uint64_t dispatcher::count_pending(const std::string& queue) const {
+std::uint64_t dispatcher::count_pending_jobs(const std::string& queue) const {
     std::uint64_t count = 0;
     for (const auto& [id, job] : m_jobs) {
         const auto* record = m_book.find_job(id);
@@ -116,7 +116,7 @@
     return std::exchange(m_timings, {});
 }
 
-std::uint64_t dispatcher::count_waiting() const {
+std::uint64_t dispatcher::count_waiting_tasks() const {
     std::uint64_t waiting = 0;
     for (const auto& [key, ready] : m_ready) {
         waiting += ready.waiting.size();
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -226,7 +226,7 @@
     worker.hold_fence = worker.fence;
     worker.hold_expires_at = now + order.target.timeout;
     worker.acknowledged_sent = std::max(worker.acknowledged_sent, worker.acknowledged);
-    ++m_counts.holds;
+    ++m_counts.hold_orders;
     m_orders.emplace_back(std::move(order));
 }
 
--- a/poplarpitch/scheduler/caller_service.h
+++ b/poplarpitch/scheduler/caller_service.h
@@ -53,7 +53,7 @@
         }
         const auto rest = path.substr(queue->prefix.size());
         if (rest.empty() && request.method() == "GET") {
-            finish(answer, 200, Dialect::format_pending(m_parts.dispatch.count_pending(queue->name)),
+            finish(answer, 200, Dialect::format_pending(m_parts.dispatch.count_pending_jobs(queue->name)),
                    on_answer);
             return;
         }
@@ -109,7 +109,7 @@
         // A repeated request, sent while the command of the first one is being committed, must not be
         // refused: the job may be accepted.
         const bool is_submitting = m_submitting.contains(id);
-        const auto open = static_cast<std::int64_t>(m_parts.dispatch.count_open());
+        const auto open = static_cast<std::int64_t>(m_parts.dispatch.count_open_jobs());
         if (!is_submitting && open >= m_parts.settings.dispatch.max_open_jobs) {
             refuse_for_overload(id, open, answer, on_answer);
             return;
@@ -129,7 +129,7 @@
         }
         if (!is_submitting) {
             const auto decision = m_parts.dispatch.admit(*job, m_parts.loop.now());
-            if (!decision.is_taken()) {
+            if (!decision.is_admitted()) {
                 refuse(id, decision, answer, on_answer);
                 return;
             }
@@ -147,7 +147,7 @@
             m_submitting.erase(id);
             const bool is_sure = outcome == commit_result::refused || outcome == commit_result::not_proposed;
             if (is_sure) {
-                m_parts.dispatch.on_not_accepted(id);
+                m_parts.dispatch.cancel_admission(id);
             }
             answer(outcome);
         });
@@ -162,7 +162,7 @@
     /// Answers that the job was not admitted, with the time after which to retry.
     static void refuse(job_id id, const admission& decision, job_wire::relay_answer answer,
                        const answer_handler& on_answer) {
-        const bool is_quota = decision.what == admission::verdict::lasting_quota;
+        const bool is_quota = decision.outcome == admission::admission_outcome::long_running_quota;
         log_event(log_level::info, "job_refused")
             .add("job", format_job_id(id))
             .add("reason", is_quota ? "jobs that last long have reserved their share of the pool"
--- a/poplarpitch/scheduler/scheduler_metrics.cpp
+++ b/poplarpitch/scheduler/scheduler_metrics.cpp
@@ -44,14 +44,14 @@
     set("poplarpitch_runs_total", counts.failed_runs, "failed");
     set("poplarpitch_runs_total", counts.lost_runs, "lost");
     set("poplarpitch_task_crashes_total", counts.crashes);
-    set("poplarpitch_jobs_given_up_total", counts.given_up, "crashes");
+    set("poplarpitch_jobs_given_up_total", counts.jobs_given_up, "crashes");
     set("poplarpitch_suspect_tasks", parts.dispatch.count_suspects());
     set("poplarpitch_starts_refused_total", counts.refused_room, "no_room");
     set("poplarpitch_starts_refused_total", counts.refused_other, "other");
     set("poplarpitch_jobs_refused_total", counts.refused_jobs);
     set("poplarpitch_orders_total", counts.stops, "stop");
-    set("poplarpitch_orders_total", counts.paces, "pace");
-    set("poplarpitch_orders_total", counts.holds, "hold");
+    set("poplarpitch_orders_total", counts.pace_orders, "pace");
+    set("poplarpitch_orders_total", counts.hold_orders, "hold");
     set("poplarpitch_orders_unanswered_total", counts.unanswered);
     set("poplarpitch_orders_put_off_total", counts.not_sent);
     const auto use = parts.caller.get_use();
@@ -77,7 +77,7 @@
     set("poplarpitch_jobs_known", parts.book.get_jobs().size());
     set("poplarpitch_workers", parts.dispatch.get_workers().size());
     set("poplarpitch_tasks_stuck", counts.stuck_tasks);
-    set("poplarpitch_tasks_waiting", parts.dispatch.count_waiting());
+    set("poplarpitch_tasks_waiting", parts.dispatch.count_waiting_tasks());
     return m_registry.format();
 }
 
--- a/unit_tests/dispatch/dispatcher_admission_test.cpp
+++ b/unit_tests/dispatch/dispatcher_admission_test.cpp
@@ -40,10 +40,10 @@
     std::int64_t admitted_millicores = 0;
     for (job_id id = 100; id < 107; ++id) { // 109% of the pool
         const auto job = make_lasting(id, 6);
-        if (world.scheduler.admit(job, world.now).is_taken()) {
+        if (world.scheduler.admit(job, world.now).is_admitted()) {
             admitted_millicores += job.get_lasting_millicores();
             world.submit(job.steps);
-            world.scheduler.on_not_accepted(id); // the world counts it under its own id
+            world.scheduler.cancel_admission(id); // the world counts it under its own id
         }
     }
     EXPECT_LE(admitted_millicores, workers * worker_millicores * 8 / 10);
@@ -63,27 +63,28 @@
     job.steps = {make_step()};
     world.scheduler.on_load({1.0, milliseconds{300}});
     job.id = 200;
-    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_taken()) << "late, but its start is still in time";
+    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_admitted())
+        << "late, but its start is still in time";
     world.scheduler.on_load({1.0, milliseconds{600}});
     std::set<duration> waits;
     for (job_id id = 300; id < 400; ++id) {
         job.id = id;
         const auto decision = world.scheduler.admit(job, world.now);
-        EXPECT_EQ(decision.what, admission::verdict::overloaded);
+        EXPECT_EQ(decision.outcome, admission::admission_outcome::overloaded);
         EXPECT_EQ(decision.lag, milliseconds{600});
         EXPECT_GE(decision.retry_after, seconds{1});
         waits.insert(decision.retry_after);
     }
     EXPECT_GT(waits.size(), 50U);
     world.scheduler.on_load({0.4, milliseconds{2}});
-    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_taken());
+    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_admitted());
 }
 
 TEST(dispatcher_admission, reports_why_a_job_was_refused_and_when_to_retry) {
     dispatch_world world;
     add_workers(world);
     const auto decision = world.scheduler.admit(make_lasting(100, 40), world.now);
-    EXPECT_EQ(decision.what, admission::verdict::lasting_quota);
+    EXPECT_EQ(decision.outcome, admission::admission_outcome::long_running_quota);
     EXPECT_EQ(decision.wanted, 256'000);
     EXPECT_EQ(decision.allowed, 204'800);
     EXPECT_GE(decision.retry_after, seconds{5});
@@ -93,11 +94,11 @@
 TEST(dispatcher_admission, counts_jobs_that_are_still_being_committed) {
     dispatch_world world;
     add_workers(world);
-    EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 30), world.now).is_taken());
-    EXPECT_FALSE(world.scheduler.admit(make_lasting(101, 30), world.now).is_taken());
-    EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 30), world.now).is_taken()); // sent again
-    world.scheduler.on_not_accepted(100);
-    EXPECT_TRUE(world.scheduler.admit(make_lasting(101, 30), world.now).is_taken());
+    EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 30), world.now).is_admitted());
+    EXPECT_FALSE(world.scheduler.admit(make_lasting(101, 30), world.now).is_admitted());
+    EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 30), world.now).is_admitted()); // sent again
+    world.scheduler.cancel_admission(100);
+    EXPECT_TRUE(world.scheduler.admit(make_lasting(101, 30), world.now).is_admitted());
 }
 
 TEST(dispatcher_admission, a_new_leader_counts_the_jobs_of_the_one_before) {
@@ -109,18 +110,18 @@
         world.send_heartbeat("w" + std::to_string(number));
     }
     world.advance(seconds{4});
-    EXPECT_FALSE(world.scheduler.admit(make_lasting(101, 30), world.now).is_taken());
+    EXPECT_FALSE(world.scheduler.admit(make_lasting(101, 30), world.now).is_admitted());
 }
 
 TEST(dispatcher_admission, admits_jobs_that_end_however_much_lasting_jobs_reserve) {
     dispatch_world world;
     add_workers(world);
-    EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 32), world.now).is_taken());
+    EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 32), world.now).is_admitted());
     step_job job;
     job.id = 101;
     job.queue.pool = world_pool;
     job.steps = {make_step(1000)};
-    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_taken());
+    EXPECT_TRUE(world.scheduler.admit(job, world.now).is_admitted());
 }
 
 } // namespace
--- a/unit_tests/dispatch/dispatcher_job_test.cpp
+++ b/unit_tests/dispatch/dispatcher_job_test.cpp
@@ -195,11 +195,11 @@
     world.add_worker("w1", {1000, 256000, 0});
     world.submit({make_step()});
     world.submit({make_step()});
-    EXPECT_EQ(world.scheduler.count_pending("queue"), 2U);
+    EXPECT_EQ(world.scheduler.count_pending_jobs("queue"), 2U);
     const auto starts = world.take<start_order>();
     ASSERT_EQ(starts.size(), 1U);
     world.answer(starts[0]);
-    EXPECT_EQ(world.scheduler.count_pending("queue"), 1U);
+    EXPECT_EQ(world.scheduler.count_pending_jobs("queue"), 1U);
 }
 
 TEST(dispatcher_job, starts_a_lasting_task_that_has_waited_before_short_ones_however_old_its_job_is) {
