--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -179,7 +179,7 @@
         ready.job = record->job;
         const auto lengths = m_forecast.get_lengths_ms(*record->job, key.step.occurrence);
         ready.objective_ms = to_milliseconds(record->job->get_objective(lengths));
-        ready.remaining_ms = record->job->get_rest_ms(key.step.step, lengths);
+        ready.remaining_ms = record->job->get_remaining_path_ms(key.step.step, lengths);
     }
     ready.since = ready.waiting.empty() ? now : ready.since;
     ready.waiting.insert(key.index);
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -146,7 +146,7 @@
         const auto* task = m_book.find_task(key.task);
         const bool is_suspect = track.isolation != isolation_level::none && track.stage == run_stage::running;
         if (!is_suspect || task == nullptr ||
-            to_milliseconds(now - track.confirmed_at) < task->crash.get_peace_ms()) {
+            to_milliseconds(now - track.confirmed_at) < task->crash.get_reset_run_ms()) {
             continue;
         }
         set_isolation(track, isolation_level::none);
--- a/poplarpitch/scheduler/caller_service.h
+++ b/poplarpitch/scheduler/caller_service.h
@@ -57,7 +57,7 @@
                    on_answer);
             return;
         }
-        const auto id = read_job_id(rest);
+        const auto id = parse_job_id(rest);
         if (!id.has_value()) {
             finish(answer, 400, "", on_answer);
         } else if (request.method() == "POST") {
@@ -122,7 +122,7 @@
         job->id = id;
         job->queue = queue;
         job->accepted_ms = get_wall_ms();
-        if (const auto error = find_job_error(*job); error.has_value()) {
+        if (const auto error = validate_job(*job); error.has_value()) {
             log_event(log_level::warn, "job_refused").add("job", format_job_id(id)).add("reason", *error);
             finish(answer, 400, "", on_answer);
             return;
--- a/poplarpitch/scheduling/crash_history.h
+++ b/poplarpitch/scheduling/crash_history.h
@@ -25,9 +25,9 @@
     friend auto operator<=>(const crash_history&, const crash_history&) = default;
 
     /// Records for how long a run has surely been working, in milliseconds, whether or not it has ended. A
-    /// run of at least `get_peace_ms()` resets the count. Thread safety: none.
+    /// run of at least `get_reset_run_ms()` resets the count. Thread safety: none.
     void record_run_age(std::int64_t age_ms) {
-        if (crashes > 0 && age_ms >= get_peace_ms()) {
+        if (crashes > 0 && age_ms >= get_reset_run_ms()) {
             *this = {0, 0, 0, last_run};
         }
     }
@@ -47,7 +47,7 @@
 
     /// Returns how long a run must last to reset the count, in milliseconds. Thread safety: any thread while
     /// no thread modifies the object.
-    [[nodiscard]] std::int64_t get_peace_ms() const {
+    [[nodiscard]] std::int64_t get_reset_run_ms() const {
         return std::clamp(reset_run_multiple * longest_ms, min_reset_run_ms, max_reset_run_ms);
     }
 
--- a/poplarpitch/scheduling/job_id.cpp
+++ b/poplarpitch/scheduling/job_id.cpp
@@ -17,7 +17,7 @@
     return text;
 }
 
-std::optional<job_id> read_job_id(std::string_view text) {
+std::optional<job_id> parse_job_id(std::string_view text) {
     if (text.size() != digit_count) {
         return std::nullopt;
     }
--- a/poplarpitch/scheduling/step_job.cpp
+++ b/poplarpitch/scheduling/step_job.cpp
@@ -42,7 +42,8 @@
     return queue.target_latency + duration{milliseconds{static_cast<std::int64_t>(stretched)}};
 }
 
-std::int64_t step_job::get_rest_ms(std::uint32_t first, const std::vector<std::int64_t>& lengths_ms) const {
+std::int64_t step_job::get_remaining_path_ms(std::uint32_t first,
+                                             const std::vector<std::int64_t>& lengths_ms) const {
     std::vector<std::int64_t> ends(steps.size(), -1); // -1: does not depend on `first`
     ends[first] = lengths_ms[first];
     auto last = ends[first];
@@ -57,7 +58,7 @@
     return last;
 }
 
-std::optional<std::string> find_job_error(const step_job& job) {
+std::optional<std::string> validate_job(const step_job& job) {
     if (job.payload.size() > max_payload_bytes) {
         return "the payload is longer than 4,000 bytes";
     }
--- a/poplarpitch/scheduling/step_job.h
+++ b/poplarpitch/scheduling/step_job.h
@@ -47,12 +47,12 @@
     /// Returns the time from the start of step `first` to the end of the last step that depends on it, in
     /// milliseconds; `lengths_ms` has the duration of each step. Precondition: one length for each step.
     /// Thread safety: any thread.
-    [[nodiscard]] std::int64_t get_rest_ms(std::uint32_t first,
-                                           const std::vector<std::int64_t>& lengths_ms) const;
+    [[nodiscard]] std::int64_t get_remaining_path_ms(std::uint32_t first,
+                                                     const std::vector<std::int64_t>& lengths_ms) const;
 };
 
 /// Returns why a job is invalid, or nothing when it is valid. Checks sizes and counts, that steps depend on
 /// earlier steps only, and that no amount is negative. Thread safety: any thread.
-[[nodiscard]] std::optional<std::string> find_job_error(const step_job& job);
+[[nodiscard]] std::optional<std::string> validate_job(const step_job& job);
 
 } // namespace poplarpitch
--- a/unit_tests/platform/malformed_call_test.cpp
+++ b/unit_tests/platform/malformed_call_test.cpp
@@ -140,7 +140,7 @@
 
 RC_GTEST_PROP(malformed_call, reads_no_negative_amounts_from_a_corrupted_job, ()) {
     const auto job = read_job(corrupt(valid_job));
-    const bool is_rejected = !job.has_value() || find_job_error(*job).has_value();
+    const bool is_rejected = !job.has_value() || validate_job(*job).has_value();
     const bool is_valid =
         is_rejected || std::all_of(job->steps.begin(), job->steps.end(), [](const step_spec& step) {
             return step.count > 0 && step.millicores >= 0 && step.memory_mb >= 0 && step.estimate_ms >= 0;
--- a/unit_tests/scheduling/configuration_test.cpp
+++ b/unit_tests/scheduling/configuration_test.cpp
@@ -50,19 +50,19 @@
 
 TEST(step_job, reports_what_is_wrong_with_a_job) {
     step_job job;
-    EXPECT_TRUE(find_job_error(job).has_value()); // no steps
+    EXPECT_TRUE(validate_job(job).has_value()); // no steps
     job.steps.resize(2);
-    EXPECT_FALSE(find_job_error(job).has_value());
+    EXPECT_FALSE(validate_job(job).has_value());
     job.steps[0].depends_on = {1};
-    EXPECT_TRUE(find_job_error(job).has_value());
+    EXPECT_TRUE(validate_job(job).has_value());
     job.steps[0].depends_on = {0};
-    EXPECT_TRUE(find_job_error(job).has_value());
+    EXPECT_TRUE(validate_job(job).has_value());
     job.steps[0].depends_on.clear();
     job.steps[1].count = 0;
-    EXPECT_TRUE(find_job_error(job).has_value());
+    EXPECT_TRUE(validate_job(job).has_value());
     job.steps[1].count = 1;
     job.payload = std::string(4001, 'x');
-    EXPECT_TRUE(find_job_error(job).has_value());
+    EXPECT_TRUE(validate_job(job).has_value());
 }
 
 TEST(step_job, computes_the_critical_path) {
@@ -73,8 +73,8 @@
     job.steps[2].depends_on = {0};
     job.steps[3].depends_on = {2};
     EXPECT_EQ(job.get_critical_path_ms(lengths), 600);
-    EXPECT_EQ(job.get_rest_ms(2, lengths), 250);
-    EXPECT_EQ(job.get_rest_ms(0, lengths), 600);
+    EXPECT_EQ(job.get_remaining_path_ms(2, lengths), 250);
+    EXPECT_EQ(job.get_remaining_path_ms(0, lengths), 600);
 }
 
 } // namespace
