--- a/performance_test/crash_load.cpp
+++ b/performance_test/crash_load.cpp
@@ -77,7 +77,7 @@
     /// Takes up which jobs are done by now.
     void look() {
         std::erase_if(m_open, [this](const auto& item) {
-            if (m_world.get_book().find_job(item.first)->phase != job_phase::completed) {
+            if (m_world.get_job_state().find_job(item.first)->phase != job_phase::completed) {
                 return false;
             }
             ++m_figures.done;
--- a/performance_test/dispatch_benchmark.cpp
+++ b/performance_test/dispatch_benchmark.cpp
@@ -20,7 +20,7 @@
 public:
     /// `unevenness` is how far the sizes of filling tasks lie apart, millicores.
     filled_leader(int workers, int waiting_tasks, std::int64_t unevenness = 0)
-        : m_unevenness(unevenness), m_dispatch({}, m_book) {
+        : m_unevenness(unevenness), m_dispatch({}, m_job_state) {
         m_dispatch.start_leading(1, m_now, m_wall_ms);
         for (int number = 0; number < workers; ++number) {
             add_worker(number);
@@ -93,8 +93,8 @@
     }
 
     void apply(const job_wire::job_command& command) {
-        std::vector<book_event> events;
-        m_book.apply(command, events);
+        std::vector<job_state_event> events;
+        m_job_state.apply(command, events);
         for (const auto& event : events) {
             m_dispatch.on_event(event, m_now, m_wall_ms);
         }
@@ -103,7 +103,7 @@
     std::int64_t m_unevenness;
     time_point m_now{seconds{1000}};
     std::int64_t m_wall_ms = 1'700'000'000'000;
-    job_book m_book;
+    job_state_machine m_job_state;
     dispatcher m_dispatch;
 };
 
--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -23,8 +23,8 @@
 
 } // namespace
 
-dispatcher::dispatcher(const dispatch_settings& settings, const job_book& book)
-    : m_settings(settings), m_book(book), m_lasting(settings.lasting_share) {}
+dispatcher::dispatcher(const dispatch_settings& settings, const job_state_machine& job_state)
+    : m_settings(settings), m_job_state(job_state), m_lasting(settings.lasting_share) {}
 
 dispatcher::~dispatcher() = default;
 
@@ -35,8 +35,8 @@
     m_term = term;
     m_lasting.clear(now);
     m_filling_backlog = 0;
-    m_pressure.load(m_book.get_pressure());
-    for (const auto& [id, record] : m_book.get_jobs()) {
+    m_pressure.load(m_job_state.get_pressure());
+    for (const auto& [id, record] : m_job_state.get_jobs()) {
         if (record.phase == job_phase::open) {
             restore_suspects(record, now);
             const auto age = std::max<std::int64_t>(wall_ms - record.job->accepted_ms, 0);
@@ -45,8 +45,8 @@
             m_ended.emplace(now + m_settings.keep_ended, id);
         }
     }
-    for (const auto& [key, run] : m_book.get_assigned_runs()) {
-        const auto* record = m_book.find_job(key.task.step.job);
+    for (const auto& [key, run] : m_job_state.get_assigned_runs()) {
+        const auto* record = m_job_state.find_job(key.task.step.job);
         adopt_worker(run, now);
         add_track(key, record->job, run.worker, run_stage::adopting, m_suspects.get_isolation(key.task), now);
         if (record->phase != job_phase::open) {
@@ -170,7 +170,7 @@
 }
 
 void dispatcher::make_task_ready(const task_key& key, time_point now) {
-    const auto* record = m_book.find_job(key.step.job);
+    const auto* record = m_job_state.find_job(key.step.job);
     if (record == nullptr || record->phase != job_phase::open) {
         return;
     }
@@ -203,40 +203,40 @@
     m_suspects.forget_job(id);
 }
 
-void dispatcher::on_event(const book_event& event, time_point now, std::int64_t wall_ms) {
+void dispatcher::on_event(const job_state_event& event, time_point now, std::int64_t wall_ms) {
     if (!is_leading()) {
         return;
     }
     const auto id = event.run.task.step.job;
     switch (event.what) {
-    case book_event::kind::job_accepted:
-        open(*m_book.find_job(id), now, now, wall_ms);
+    case job_state_event::kind::job_accepted:
+        open(*m_job_state.find_job(id), now, now, wall_ms);
         return;
-    case book_event::kind::job_ended:
+    case job_state_event::kind::job_ended:
         close(id, now);
         return;
-    case book_event::kind::run_assigned:
+    case job_state_event::kind::run_assigned:
         if (auto* track = find(event.run); track != nullptr) {
             track->stage = run_stage::starting;
             send_due_order(*track, now);
         }
         return;
-    case book_event::kind::run_refused: {
+    case job_state_event::kind::run_refused: {
         drop_track(event.run, now);
-        const auto* task = m_book.find_task(event.run.task);
+        const auto* task = m_job_state.find_task(event.run.task);
         if (task == nullptr || task->phase == task_phase::waiting) {
             make_task_ready(event.run.task, now);
         }
         return;
     }
-    case book_event::kind::run_ended:
+    case job_state_event::kind::run_ended:
         on_run_ended(event, now);
         return;
-    case book_event::kind::task_crashed:
+    case job_state_event::kind::task_crashed:
         on_task_crashed(event, now);
         return;
-    case book_event::kind::step_done: {
-        const auto* record = m_book.find_job(id);
+    case job_state_event::kind::step_done: {
+        const auto* record = m_job_state.find_job(id);
         auto key = event.run.task.step;
         const auto done = key.step;
         m_forecast.on_step_done(*record->job, key);
@@ -248,15 +248,15 @@
         }
         return;
     }
-    case book_event::kind::worker_retired:
+    case job_state_event::kind::worker_retired:
         if (auto* worker = find_worker(event.worker); worker != nullptr) {
             worker->is_draining = true;
         }
         return;
-    case book_event::kind::fence_raised:
+    case job_state_event::kind::fence_raised:
         on_fence_raised(now);
         return;
-    case book_event::kind::config_changed:
+    case job_state_event::kind::config_changed:
         for (auto* worker : m_workers.get_all()) {
             update_room_expiry(*worker);
         }
@@ -265,7 +265,7 @@
     }
 }
 
-void dispatcher::on_run_ended(const book_event& event, time_point now) {
+void dispatcher::on_run_ended(const job_state_event& event, time_point now) {
     const auto* ended = find(event.run);
     auto* worker = ended == nullptr ? find_worker(event.worker)
                                     : ended->host; // the one whose list the number belongs to
@@ -290,7 +290,7 @@
         ++m_counts.failed_runs;
         m_failed_on[event.run.task].push_back(event.worker);
     }
-    const auto* task = m_book.find_task(event.run.task);
+    const auto* task = m_job_state.find_task(event.run.task);
     if (task == nullptr) {
         return;
     }
@@ -323,7 +323,7 @@
 }
 
 void dispatcher::break_gang(const run_key& ended, time_point now) {
-    const auto* record = m_book.find_job(ended.task.step.job);
+    const auto* record = m_job_state.find_job(ended.task.step.job);
     const auto& spec = record->job->steps[ended.task.step.step];
     if (!spec.gang) {
         return;
@@ -340,7 +340,7 @@
     while (!m_due.empty() && m_due.begin()->first <= wall_ms) {
         const auto key = m_due.begin()->second;
         m_due.erase(m_due.begin());
-        const auto* record = m_book.find_job(key.job);
+        const auto* record = m_job_state.find_job(key.job);
         if (record != nullptr && record->phase == job_phase::open) {
             begin_occurrence(*record, key.occurrence, now);
         }
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -18,9 +18,9 @@
 #include "poplarpitch/dispatch/worker_state.h"
 #include "poplarpitch/dispatch/worker_table.h"
 #include "poplarpitch/scheduling/advice_outcome.h"
-#include "poplarpitch/scheduling/book_event.h"
 #include "poplarpitch/scheduling/dispatch_settings.h"
-#include "poplarpitch/scheduling/job_book.h"
+#include "poplarpitch/scheduling/job_state_event.h"
+#include "poplarpitch/scheduling/job_state_machine.h"
 #include "poplarpitch/scheduling/job_timing.h"
 #include "poplarpitch/scheduling/worker_order.h"
 
@@ -56,13 +56,14 @@
 /// as for all methods.
 class dispatcher {
 public:
-    /// Precondition: `book` outlives the dispatcher.
-    dispatcher(const dispatch_settings& settings, const job_book& book);
+    /// Precondition: `job_state` outlives the dispatcher.
+    dispatcher(const dispatch_settings& settings, const job_state_machine& job_state);
     ~dispatcher();
     dispatcher(const dispatcher&) = delete;
     dispatcher& operator=(const dispatcher&) = delete;
 
-    /// Starts to lead in `term`. Workers are learned from their heartbeats, runs from the job book.
+    /// Starts to lead in `term`. Workers are learned from their heartbeats, runs from the replicated job
+    /// state.
     void start_leading(log_term term, time_point now, std::int64_t wall_ms);
     /// Stops leading and clears all state that is not replicated.
     void stop_leading();
@@ -91,7 +92,7 @@
     void on_hold(const worker_incarnation& worker, const hold_outcome& outcome, time_point now);
     /// Processes the answer to a start.
     void on_start(const run_key& key, const order_answer& answer, time_point now);
-    /// Processes the answer to a stop of a run, including a run that is not in the job book.
+    /// Processes the answer to a stop of a run, including a run that is not in the replicated job state.
     void on_stop(const run_key& key, const worker_incarnation& worker, const order_answer& answer,
                  time_point now);
     /// Processes the answer to a pace order.
@@ -99,7 +100,7 @@
     /// Processes the answer of the advice service.
     void on_advice(const advise_order& request, const advice_outcome& outcome, time_point now);
     /// Processes the effects of a committed command.
-    void on_event(const book_event& event, time_point now, std::int64_t wall_ms);
+    void on_event(const job_state_event& event, time_point now, std::int64_t wall_ms);
     /// Performs everything that is due: leases, retries, occurrences, placement. Nothing is placed while
     /// `can_commit` is false, since an assignment would only wait for the batch before it.
     void tick(time_point now, std::int64_t wall_ms, bool can_commit = true);
@@ -204,7 +205,7 @@
     // jobs
     void open(const job_record& record, time_point accepted, time_point now, std::int64_t wall_ms);
     void adopt_worker(const assigned_run& run, time_point now);
-    /// Adds the tasks that may have crashed workers, according to the job book.
+    /// Adds the tasks that may have crashed workers, according to the replicated job state.
     void restore_suspects(const job_record& record, time_point now);
     void begin_occurrence(const job_record& record, std::uint32_t occurrence, time_point now);
     void make_step_ready(const job_record& record, const step_key& key, time_point now);
@@ -212,7 +213,7 @@
     void close(job_id id, time_point now);
     void record_first_start(job_id id, time_point now);
     void record_job_end(job_id id, time_point now);
-    void on_run_ended(const book_event& event, time_point now);
+    void on_run_ended(const job_state_event& event, time_point now);
     /// Adds the duration of an ending run to the forecast.
     void record_run_time(const run_track& track, run_end end, time_point now);
     void break_gang(const run_key& ended, time_point now);
@@ -293,7 +294,7 @@
     /// Returns true when a message of this incarnation is late, since it is known to have ended.
     [[nodiscard]] bool is_stale(const worker_incarnation& incarnation) const;
     /// Returns a fence that only orders since the last raise have carried.
-    [[nodiscard]] std::uint64_t get_fence() const { return m_term + m_book.get_fence_raises(); }
+    [[nodiscard]] std::uint64_t get_fence() const { return m_term + m_job_state.get_fence_raises(); }
     void raise_fence(worker_state& worker);
     void on_fence_raised(time_point now);
     /// Processes a list from another incarnation than the addressed one.
@@ -323,7 +324,7 @@
     /// Returns the assessment of all runs of a worker that have not ended.
     [[nodiscard]] std::vector<lapsed_run> assess_runs(const worker_state& worker, time_point now) const;
     void propose_crash(const lapsed_run& lapsed, const worker_incarnation& worker);
-    void on_task_crashed(const book_event& event, time_point now);
+    void on_task_crashed(const job_state_event& event, time_point now);
     void clear_suspects(worker_state& worker, time_point now);
     /// Releases workers that are reserved for suspects by a former leader, except as many as may be reserved.
     void limit_probations();
@@ -401,7 +402,7 @@
     void propose_assignment(const run_key& key, const worker_state& worker);
 
     dispatch_settings m_settings;
-    const job_book& m_book;
+    const job_state_machine& m_job_state;
     log_term m_term = 0;
     worker_table m_workers;
     std::set<worker_incarnation>
--- a/poplarpitch/dispatch/dispatcher_advice.cpp
+++ b/poplarpitch/dispatch/dispatcher_advice.cpp
@@ -88,7 +88,7 @@
         log_event(log_level::warn, "advice_missing").add("job", format_job_id(request.step.job));
         return;
     }
-    const auto* record = m_book.find_job(request.step.job);
+    const auto* record = m_job_state.find_job(request.step.job);
     if (record == nullptr || !record->job->queue.advice.has_value()) {
         return;
     }
--- a/poplarpitch/dispatch/dispatcher_audit.cpp
+++ b/poplarpitch/dispatch/dispatcher_audit.cpp
@@ -55,7 +55,7 @@
         }
     }
     for (const auto& [id, job] : m_jobs) {
-        const auto& record = *m_book.find_job(id);
+        const auto& record = *m_job_state.find_job(id);
         for (const auto& [number, occurrence] : record.occurrences) {
             const bool has_begun = !record.job->schedule.has_value() || job.due.contains(number);
             for (std::uint32_t step = 0; has_begun && step < occurrence.steps.size(); ++step) {
--- a/poplarpitch/dispatch/dispatcher_copies.cpp
+++ b/poplarpitch/dispatch/dispatcher_copies.cpp
@@ -26,7 +26,7 @@
     // A second run of a task that crashed its worker would crash another one before the first loss is known.
     const bool may_crash = m_suspects.get_isolation(track.key.task) != isolation_level::none ||
                            (track.host->hold_failures > 0 && get_age_at_loss(track, now) <= suspicious_age);
-    const auto* task = m_book.find_task(track.key.task);
+    const auto* task = m_job_state.find_task(track.key.task);
     return !may_crash && task != nullptr && task->runs.size() <= max_copies &&
            needs_copy({now - track.confirmed_at, track.percent, spec.estimate_ms});
 }
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -60,7 +60,7 @@
     const bool is_confirmed = track.confirmed_at != time_point{};
     run_loss loss;
     loss.age_ms = is_confirmed && age.has_value() ? to_milliseconds(*age) : 0;
-    if (worker.is_draining || m_book.is_retired(worker.report.incarnation) || !may_have_begun(track)) {
+    if (worker.is_draining || m_job_state.is_retired(worker.report.incarnation) || !may_have_begun(track)) {
         return loss;
     }
     const bool was_heard = worker.hold_failures > 0 ? worker.has_failed_early : !worker.is_hold_pending;
@@ -80,7 +80,7 @@
             is_only_suspect = is_only_suspect && other->isolation == isolation_level::none;
         }
     }
-    const auto* task = m_book.find_task(track.key.task);
+    const auto* task = m_job_state.find_task(track.key.task);
     // The true age of a run that was first seen in a list is unknown; it is counted from that list.
     const bool is_quick =
         age.has_value() && track.has_known_start && task != nullptr &&
@@ -114,7 +114,7 @@
     m_commands.push_back(std::move(command));
 }
 
-void dispatcher::on_task_crashed(const book_event& event, time_point now) {
+void dispatcher::on_task_crashed(const job_state_event& event, time_point now) {
     ++m_counts.crashes;
     m_suspects.record_crashes(event.run.task, static_cast<std::uint32_t>(event.number), now);
     {
@@ -125,7 +125,7 @@
             .add("age_ms", event.age_ms)
             .add("crashes", event.number);
     }
-    const auto* record = m_book.find_job(event.run.task.step.job);
+    const auto* record = m_job_state.find_job(event.run.task.step.job);
     if (record != nullptr && record->phase == job_phase::open) {
         return;
     }
@@ -143,7 +143,7 @@
     }
     for (const auto& [key, run] : worker.runs) {
         auto& track = *run;
-        const auto* task = m_book.find_task(key.task);
+        const auto* task = m_job_state.find_task(key.task);
         const bool is_suspect = track.isolation != isolation_level::none && track.stage == run_stage::running;
         if (!is_suspect || task == nullptr ||
             to_milliseconds(now - track.confirmed_at) < task->crash.get_reset_run_ms()) {
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -362,7 +362,7 @@
     // All members of one run have the same run number.
     std::uint32_t run = 0;
     for (std::uint32_t index = 0; index < spec.count; ++index) {
-        const auto* task = m_book.find_task({key, index});
+        const auto* task = m_job_state.find_task({key, index});
         run = std::max(run, task == nullptr ? 0 : task->last_run);
     }
     ++run;
@@ -404,7 +404,7 @@
 
 void dispatcher::claim(const ready_step& ready, const task_key& key, worker_state& worker,
                        isolation_level isolation, time_point now) {
-    const auto* task = m_book.find_task(key);
+    const auto* task = m_job_state.find_task(key);
     const run_key run{key, task == nullptr ? 1 : task->last_run + 1};
     if (ready.job->steps[key.step.step].is_serving() && worker.servings == 0) {
         m_open_millicores -= worker.report.capacity.millicores;
--- a/poplarpitch/dispatch/dispatcher_reports.cpp
+++ b/poplarpitch/dispatch/dispatcher_reports.cpp
@@ -20,13 +20,13 @@
         return;
     }
     found->second.has_started = true;
-    const auto& queue = m_book.find_job(id)->job->queue.name;
+    const auto& queue = m_job_state.find_job(id)->job->queue.name;
     m_timings.push_back({job_timing::kind::first_start, queue, now - found->second.accepted, true});
 }
 
 void dispatcher::record_job_end(job_id id, time_point now) {
     const auto found = m_jobs.find(id);
-    const auto* record = m_book.find_job(id);
+    const auto* record = m_job_state.find_job(id);
     if (found == m_jobs.end() || record == nullptr) {
         return;
     }
@@ -52,7 +52,7 @@
     }
     m_next_pressure_save = now + pressure_save_interval;
     const auto factors = m_pressure.save();
-    if (factors == m_book.get_pressure()) {
+    if (factors == m_job_state.get_pressure()) {
         return;
     }
     job_wire::job_command command;
@@ -99,7 +99,7 @@
 std::uint64_t dispatcher::count_pending_jobs(const std::string& queue) const {
     std::uint64_t count = 0;
     for (const auto& [id, job] : m_jobs) {
-        const auto* record = m_book.find_job(id);
+        const auto* record = m_job_state.find_job(id);
         if (!job.has_started && record != nullptr && record->job->queue.name == queue) {
             ++count;
         }
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -162,7 +162,7 @@
             return;
         }
     }
-    const auto* task = m_book.find_task(track.key.task);
+    const auto* task = m_job_state.find_task(track.key.task);
     start_order order;
     order.ticket = ticket;
     order.target = make_target(worker, m_settings.order_timeout);
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -74,7 +74,7 @@
     auto& worker = get_or_add_worker(report.incarnation, now);
     if (worker.has_report && report.sequence <= worker.report.sequence) {
         return worker.is_draining &&
-               !m_book.is_retired(report.incarnation); // late; only the request to drain counts
+               !m_job_state.is_retired(report.incarnation); // late; only the request to drain counts
     }
     const bool is_new = !worker.has_report;
     worker.report = report;
@@ -99,7 +99,7 @@
             }
         }
     }
-    const bool is_draining = report.is_draining || m_book.is_retired(report.incarnation);
+    const bool is_draining = report.is_draining || m_job_state.is_retired(report.incarnation);
     if (is_draining && !worker.is_draining) {
         worker.is_draining = true;
         worker.leaves_at = now + milliseconds{report.remaining_ms};
@@ -110,7 +110,7 @@
         evacuate(worker, now);
         m_workers.schedule_check(worker, now);
     }
-    return is_draining && !m_book.is_retired(report.incarnation);
+    return is_draining && !m_job_state.is_retired(report.incarnation);
 }
 
 /// Heartbeats of one worker may arrive through several relays. Each relay compares them with the reports that
@@ -138,7 +138,7 @@
 }
 
 void dispatcher::update_room_expiry(worker_state& worker) const {
-    const auto* pool = m_book.get_configuration().find_pool(worker.report.pool);
+    const auto* pool = m_job_state.get_configuration().find_pool(worker.report.pool);
     const bool guards_room = pool == nullptr || pool->enforces_capacity;
     worker.room_known_until = guards_room ? time_point::max() : worker.last_heartbeat + m_settings.room_age;
 }
--- a/poplarpitch/dispatch/run_track.h
+++ b/poplarpitch/dispatch/run_track.h
@@ -31,10 +31,10 @@
 struct run_track {
     run_key key;
     std::shared_ptr<const step_job> job;
-    worker_incarnation
-        assigned_to; ///< by the job book; a former incarnation of `host` where a later one took the start
-    worker_state* host = nullptr; ///< the worker of the run; valid for as long as it has runs
-    image_number image = 0;       ///< image of the run; only of runs that fill or serve
+    worker_incarnation assigned_to; ///< by the replicated job state; a former incarnation of `host` where a
+                                    ///< later one took the start
+    worker_state* host = nullptr;   ///< the worker of the run; valid for as long as it has runs
+    image_number image = 0;         ///< image of the run; only of runs that fill or serve
     run_stage stage = run_stage::committing;
     isolation_level isolation = isolation_level::none; ///< isolation with which the task was placed
     bool is_ending = false;                            ///< the end is being committed
--- a/poplarpitch/dispatch/stuck_task.h
+++ b/poplarpitch/dispatch/stuck_task.h
@@ -10,7 +10,7 @@
 /// Why nothing will complete a task of an open job.
 enum class stuck_reason : std::uint8_t {
     not_queued,        ///< it could run, has no run, and is not queued for a worker
-    not_tracked,       ///< the job book assigned a run of it that the leader does not track
+    not_tracked,       ///< the replicated job state assigned a run of it that the leader does not track
     not_listed,        ///< the leader has it as running on a worker whose lists lack it
     end_not_committed, ///< its run has ended and the end is not committed
 };
--- a/poplarpitch/dispatch/suspect_watch.h
+++ b/poplarpitch/dispatch/suspect_watch.h
@@ -37,8 +37,8 @@
 /// Load pattern: a task that crashes its worker within 10 ms of each start, beside eight neighbours on
 /// average. After its first crash all nine are suspects. They are then placed apart, so only the task at
 /// fault is present at the second crash. Few tasks reach a second crash, and each of these is started again
-/// after a pause, alone. The counts are part of the job book, and a new leader starts from them. Thread
-/// safety: none, as for all methods.
+/// after a pause, alone. The counts are part of the replicated job state, and a new leader starts from them.
+/// Thread safety: none, as for all methods.
 class suspect_watch {
 public:
     /// Records that `crashes` workers in total crashed under the task, 0 for none.
--- a/poplarpitch/scheduler/caller_service.h
+++ b/poplarpitch/scheduler/caller_service.h
@@ -39,7 +39,7 @@
             return;
         }
         answer.set_taken(true);
-        const auto& configuration = m_parts.book.get_configuration();
+        const auto& configuration = m_parts.job_state.get_configuration();
         if (configuration.version == 0) {
             finish(answer, 503, "", on_answer);
             return;
@@ -94,7 +94,7 @@
     }
 
     const job_record* find(const queue_settings& queue, job_id id) const {
-        const auto* record = m_parts.book.find_job(id);
+        const auto* record = m_parts.job_state.find_job(id);
         const bool is_here = record != nullptr && record->job->queue.host == queue.host &&
                              record->job->queue.prefix == queue.prefix;
         return is_here ? record : nullptr;
@@ -139,7 +139,7 @@
         log_event(log_level::info, "job_submitted")
             .add("job", format_job_id(id))
             .add("queue", queue.name)
-            .add("config", m_parts.book.get_configuration().version)
+            .add("config", m_parts.job_state.get_configuration().version)
             .add("steps", static_cast<std::uint64_t>(job->steps.size()));
         m_submitting.insert(id);
         m_parts.batcher.add(std::move(command), [this, id, answer = make_result_handler(answer, on_answer)](
--- a/poplarpitch/scheduler/command_batcher.cpp
+++ b/poplarpitch/scheduler/command_batcher.cpp
@@ -3,7 +3,7 @@
 #include "poplarpitch/consensus/log_entry.h"
 #include "poplarpitch/net/event_loop.h"
 #include "poplarpitch/replica/replica.h"
-#include "poplarpitch/scheduling/job_book.h"
+#include "poplarpitch/scheduling/job_state_machine.h"
 #include "poplarpitch/telemetry/log_event.h"
 #include "poplarpitch/wire/scheduling.pb.h"
 
@@ -11,8 +11,9 @@
 
 namespace poplarpitch {
 
-command_batcher::command_batcher(event_loop& loop, replica& log, job_book& book, std::size_t max_bytes)
-    : m_loop(loop), m_log(log), m_book(book), m_max_bytes(max_bytes),
+command_batcher::command_batcher(event_loop& loop, replica& log, job_state_machine& job_state,
+                                 std::size_t max_bytes)
+    : m_loop(loop), m_log(log), m_job_state(job_state), m_max_bytes(max_bytes),
       m_pending(std::make_unique<job_wire::job_command_batch>()) {}
 
 command_batcher::~command_batcher() = default;
@@ -80,7 +81,7 @@
     }
 }
 
-void command_batcher::apply(const log_entry& entry, std::vector<book_event>& events) {
+void command_batcher::apply(const log_entry& entry, std::vector<job_state_event>& events) {
     m_outcomes.clear();
     job_wire::job_command_batch batch;
     if (!batch.ParseFromString(entry.payload)) {
@@ -89,7 +90,7 @@
     }
     ++m_batches;
     for (const auto& command : batch.commands()) {
-        m_outcomes.push_back(m_book.apply(command, events));
+        m_outcomes.push_back(m_job_state.apply(command, events));
         ++m_commands;
     }
 }
--- a/poplarpitch/scheduler/command_batcher.h
+++ b/poplarpitch/scheduler/command_batcher.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "poplarpitch/core/time.h"
-#include "poplarpitch/scheduling/book_event.h"
 #include "poplarpitch/scheduling/command_outcome.h"
+#include "poplarpitch/scheduling/job_state_event.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -18,7 +18,7 @@
 namespace poplarpitch {
 
 class event_loop;
-class job_book;
+class job_state_machine;
 class replica;
 struct log_entry;
 
@@ -43,8 +43,10 @@
     /// commands are lost. While a disk hangs for seconds, more than that limit may be pending.
     static constexpr std::size_t max_batch_bytes = 1U << 20;
 
-    /// Preconditions: loop, log and book outlive the batcher; the log accepts twice `max_bytes` uncommitted.
-    command_batcher(event_loop& loop, replica& log, job_book& book, std::size_t max_bytes = max_batch_bytes);
+    /// Preconditions: loop, log and job state outlive the batcher; the log accepts twice `max_bytes`
+    /// uncommitted.
+    command_batcher(event_loop& loop, replica& log, job_state_machine& job_state,
+                    std::size_t max_bytes = max_batch_bytes);
     ~command_batcher();
     command_batcher(const command_batcher&) = delete;
     command_batcher& operator=(const command_batcher&) = delete;
@@ -55,8 +57,8 @@
     [[nodiscard]] bool can_flush() const { return m_in_flight == 0; }
     /// Proposes the pending commands, up to the limit of a batch. Does nothing while a batch is in flight.
     void flush();
-    /// Applies a committed batch to the book and appends the changes to `events`.
-    void apply(const log_entry& entry, std::vector<book_event>& events);
+    /// Applies a committed batch to the replicated job state and appends the changes to `events`.
+    void apply(const log_entry& entry, std::vector<job_state_event>& events);
     /// Drops the commands that were not proposed. Their result is `not_proposed`.
     void drop_pending();
 
@@ -73,7 +75,7 @@
 
     event_loop& m_loop;
     replica& m_log;
-    job_book& m_book;
+    job_state_machine& m_job_state;
     std::size_t m_max_bytes;
     std::unique_ptr<job_wire::job_command_batch> m_pending;
     std::vector<result_handler> m_handlers;  ///< one for each pending command
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -109,7 +109,7 @@
     }
 
     void answer(put_config_call& call, http_responder respond) {
-        const auto current_version = m_parts.book.get_configuration().version;
+        const auto current_version = m_parts.job_state.get_configuration().version;
         if (const auto error = find_configuration_error(call.configuration); error.has_value()) {
             log_event(log_level::warn, "config_refused")
                 .add("version", call.configuration.version)
@@ -133,7 +133,7 @@
 
     void answer(const get_config_call&, http_responder respond) {
         m_parts.log.read([this, respond = std::move(respond)](bool is_confirmed) {
-            const auto& configuration = m_parts.book.get_configuration();
+            const auto& configuration = m_parts.job_state.get_configuration();
             if (!is_confirmed || configuration.version == 0) {
                 respond(
                     make_error_response(503, "unsure", "the newest configuration cannot be confirmed here"));
--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -92,10 +92,10 @@
             on_command(entry);
         };
         handler.on_save = [this] {
-            return m_parts.book.save();
+            return m_parts.job_state.save();
         };
         handler.on_load = [this](const std::string& bytes) {
-            if (!m_parts.book.load(bytes)) {
+            if (!m_parts.job_state.load(bytes)) {
                 log_event(log_level::error, "snapshot_unreadable")
                     .add("bytes", static_cast<std::uint64_t>(bytes.size()));
             }
@@ -210,7 +210,7 @@
         m_parts.loop.call_after(milliseconds{20}, [this] { wait_for_answers(); });
     }
 
-    std::vector<book_event> m_events;
+    std::vector<job_state_event> m_events;
     scheduler_parts m_parts;
     worker_link<Dialect> m_link;
     relay_agent m_agent; ///< in use while another instance leads
--- a/poplarpitch/scheduler/scheduler_metrics.cpp
+++ b/poplarpitch/scheduler/scheduler_metrics.cpp
@@ -73,8 +73,8 @@
     set("poplarpitch_log_lines_left_out_total", get_left_out_log_lines());
     set("poplarpitch_leading", parts.log.is_leading() ? 1 : 0);
     set("poplarpitch_voters", parts.log.get_voter_count());
-    set("poplarpitch_config_version", parts.book.get_configuration().version);
-    set("poplarpitch_jobs_known", parts.book.get_jobs().size());
+    set("poplarpitch_config_version", parts.job_state.get_configuration().version);
+    set("poplarpitch_jobs_known", parts.job_state.get_jobs().size());
     set("poplarpitch_workers", parts.dispatch.get_workers().size());
     set("poplarpitch_tasks_stuck", counts.stuck_tasks);
     set("poplarpitch_tasks_waiting", parts.dispatch.count_waiting_tasks());
--- a/poplarpitch/scheduler/scheduler_parts.h
+++ b/poplarpitch/scheduler/scheduler_parts.h
@@ -8,19 +8,19 @@
 #include "poplarpitch/replica/replica.h"
 #include "poplarpitch/scheduler/command_batcher.h"
 #include "poplarpitch/scheduler/scheduler_settings.h"
-#include "poplarpitch/scheduling/job_book.h"
+#include "poplarpitch/scheduling/job_state_machine.h"
 
 namespace poplarpitch {
 
 /// The components of a scheduler instance that its services share. All are used on the loop's thread only.
 struct scheduler_parts {
     explicit scheduler_parts(const scheduler_settings& chosen, replica_handler handler)
-        : settings(chosen), log(loop, settings.replica, std::move(handler)), batcher(loop, log, book),
-          dispatch(settings.dispatch, book), caller(loop, settings.caller), relays(settings.relay) {}
+        : settings(chosen), log(loop, settings.replica, std::move(handler)), batcher(loop, log, job_state),
+          dispatch(settings.dispatch, job_state), caller(loop, settings.caller), relays(settings.relay) {}
 
     scheduler_settings settings;
     event_loop loop;
-    job_book book;
+    job_state_machine job_state;
     replica log;
     command_batcher batcher;
     dispatcher dispatch;
--- a/poplarpitch/scheduling/book_event.h
+++ b/poplarpitch/scheduling/job_state_event.h
@@ -12,7 +12,7 @@
 namespace poplarpitch {
 
 /// A change made by a committed command, for the leader's own bookkeeping.
-struct book_event {
+struct job_state_event {
     enum class kind : std::uint8_t {
         job_accepted, ///< `run.task.step.job`
         job_ended,    ///< `run.task.step.job`: completed, failed or cancelled
@@ -35,7 +35,7 @@
     crash_evidence crash = crash_evidence::none; ///< of `run_ended` or `task_crashed`
     std::int64_t age_ms = 0;                     ///< how long the run had been on the worker; 0 when unknown
 
-    friend auto operator<=>(const book_event&, const book_event&) = default;
+    friend auto operator<=>(const job_state_event&, const job_state_event&) = default;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduling/job_book.cpp
+++ b/poplarpitch/scheduling/job_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/scheduling/job_book.h"
+#include "poplarpitch/scheduling/job_state_machine.h"
 
 #include "poplarpitch/scheduling/job_codec.h"
 #include "poplarpitch/wire/scheduling.pb.h"
@@ -8,16 +8,16 @@
 namespace poplarpitch {
 namespace {
 
-book_event make_job_event(book_event::kind what, job_id id) {
-    book_event event;
+job_state_event make_job_event(job_state_event::kind what, job_id id) {
+    job_state_event event;
     event.what = what;
     event.run.task.step.job = id;
     return event;
 }
 
-book_event read_end(const job_wire::end_run& message) {
-    book_event event;
-    event.what = book_event::kind::run_ended;
+job_state_event read_end(const job_wire::end_run& message) {
+    job_state_event event;
+    event.what = job_state_event::kind::run_ended;
     event.run = {decode(message.task()), message.run()};
     event.worker = {message.worker(), message.born_ms()};
     event.end = static_cast<run_end>(message.kind());
@@ -27,9 +27,9 @@
     return event;
 }
 
-book_event read_crash(const job_wire::note_crash& message) {
-    book_event event;
-    event.what = book_event::kind::task_crashed;
+job_state_event read_crash(const job_wire::note_crash& message) {
+    job_state_event event;
+    event.what = job_state_event::kind::task_crashed;
     event.run = {decode(message.task()), message.run()};
     event.worker = {message.worker(), message.born_ms()};
     event.crash = static_cast<crash_evidence>(message.crash());
@@ -39,7 +39,8 @@
 
 } // namespace
 
-command_outcome job_book::apply(const job_wire::job_command& command, std::vector<book_event>& events) {
+command_outcome job_state_machine::apply(const job_wire::job_command& command,
+                                         std::vector<job_state_event>& events) {
     switch (command.kind_case()) {
     case job_wire::job_command::kSubmit:
         return submit(command.submit().job(), events);
@@ -59,13 +60,13 @@
                                               // nothing
         }
         m_configuration = decode(command.config());
-        events.push_back(make_job_event(book_event::kind::config_changed, 0));
+        events.push_back(make_job_event(job_state_event::kind::config_changed, 0));
         return command_outcome::applied;
     case job_wire::job_command::kRetire:
         return retire({command.retire().worker(), command.retire().born_ms()}, events);
     case job_wire::job_command::kRaiseFence:
         ++m_fence_raises;
-        events.push_back(make_job_event(book_event::kind::fence_raised, 0));
+        events.push_back(make_job_event(job_state_event::kind::fence_raised, 0));
         return command_outcome::applied;
     case job_wire::job_command::kPressure:
         m_pressure = decode(command.pressure());
@@ -80,7 +81,8 @@
     }
 }
 
-command_outcome job_book::submit(const job_wire::step_job& message, std::vector<book_event>& events) {
+command_outcome job_state_machine::submit(const job_wire::step_job& message,
+                                          std::vector<job_state_event>& events) {
     if (m_jobs.contains(message.id())) {
         return command_outcome::repeated;
     }
@@ -91,11 +93,11 @@
         record.get_occurrence(0);
     }
     m_jobs.emplace(message.id(), std::move(record));
-    events.push_back(make_job_event(book_event::kind::job_accepted, message.id()));
+    events.push_back(make_job_event(job_state_event::kind::job_accepted, message.id()));
     return command_outcome::applied;
 }
 
-command_outcome job_book::cancel(job_id id, std::vector<book_event>& events) {
+command_outcome job_state_machine::cancel(job_id id, std::vector<job_state_event>& events) {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end()) {
         return command_outcome::refused;
@@ -107,9 +109,10 @@
     return command_outcome::applied;
 }
 
-command_outcome job_book::assign(const run_key& key, assigned_run run, std::vector<book_event>& events) {
-    book_event event;
-    event.what = book_event::kind::run_refused;
+command_outcome job_state_machine::assign(const run_key& key, assigned_run run,
+                                          std::vector<job_state_event>& events) {
+    job_state_event event;
+    event.what = job_state_event::kind::run_refused;
     event.run = key;
     event.worker = run.worker;
     const auto found = m_jobs.find(key.task.step.job);
@@ -132,22 +135,23 @@
     task->phase = task_phase::active;
     task->last_run = key.run;
     task->runs.push_back(std::move(run));
-    event.what = book_event::kind::run_assigned;
+    event.what = job_state_event::kind::run_assigned;
     events.push_back(std::move(event));
     return command_outcome::applied;
 }
 
-command_outcome job_book::retire(const worker_incarnation& worker, std::vector<book_event>& events) {
+command_outcome job_state_machine::retire(const worker_incarnation& worker,
+                                          std::vector<job_state_event>& events) {
     m_retired.insert(worker);
-    book_event event;
-    event.what = book_event::kind::worker_retired;
+    job_state_event event;
+    event.what = job_state_event::kind::worker_retired;
     event.worker = worker;
     events.push_back(std::move(event));
     return command_outcome::applied;
 }
 
-command_outcome job_book::end(const book_event& ended, const std::string& saved,
-                              std::vector<book_event>& events) {
+command_outcome job_state_machine::end(const job_state_event& ended, const std::string& saved,
+                                       std::vector<job_state_event>& events) {
     events.push_back(ended); // even when nothing changes, so that the worker may forget the end
     const auto found = m_jobs.find(ended.run.task.step.job);
     if (found == m_jobs.end()) {
@@ -200,7 +204,8 @@
     return command_outcome::applied;
 }
 
-command_outcome job_book::record_crash(const book_event& crashed, std::vector<book_event>& events) {
+command_outcome job_state_machine::record_crash(const job_state_event& crashed,
+                                                std::vector<job_state_event>& events) {
     const auto found = m_jobs.find(crashed.run.task.step.job);
     if (found == m_jobs.end() || found->second.phase != job_phase::open) {
         return command_outcome::repeated;
@@ -214,13 +219,13 @@
     return command_outcome::applied;
 }
 
-bool job_book::count_crash(job_record& record, task_record& task, const book_event& crashed,
-                           std::vector<book_event>& events) {
+bool job_state_machine::count_crash(job_record& record, task_record& task, const job_state_event& crashed,
+                                    std::vector<job_state_event>& events) {
     if (!task.crash.record_crash(crashed.run.run, crashed.crash, crashed.age_ms)) {
         return false;
     }
     auto event = crashed;
-    event.what = book_event::kind::task_crashed;
+    event.what = job_state_event::kind::task_crashed;
     event.number = task.crash.crashes;
     events.push_back(std::move(event));
     if (!task.crash.should_give_up(crashed.crash) || record.phase != job_phase::open) {
@@ -232,7 +237,7 @@
     return true;
 }
 
-std::uint32_t job_book::count_failures(job_record& record, const step_key& key) {
+std::uint32_t job_state_machine::count_failures(job_record& record, const step_key& key) {
     std::uint32_t failures = 0;
     for (const auto& task : record.get_occurrence(key.occurrence).steps[key.step].tasks) {
         failures += task.failures; // when one member of a gang fails, the others end as `broken`, which does
@@ -241,7 +246,8 @@
     return failures;
 }
 
-void job_book::finish_gang(job_record& record, const step_key& key, std::vector<book_event>& events) {
+void job_state_machine::finish_gang(job_record& record, const step_key& key,
+                                    std::vector<job_state_event>& events) {
     // The members finish together, so one end counts for all: the others may be lost with their workers.
     auto& step = record.get_occurrence(key.occurrence).steps[key.step];
     for (auto& task : step.tasks) {
@@ -251,15 +257,16 @@
     finish_task(record, {key, 0}, events);
 }
 
-void job_book::finish_task(job_record& record, const task_key& key, std::vector<book_event>& events) {
+void job_state_machine::finish_task(job_record& record, const task_key& key,
+                                    std::vector<job_state_event>& events) {
     auto& occurrence = record.get_occurrence(key.step.occurrence);
     auto& step = occurrence.steps[key.step.step];
     ++step.done;
     if (!step.is_done()) {
         return;
     }
-    book_event event;
-    event.what = book_event::kind::step_done;
+    job_state_event event;
+    event.what = job_state_event::kind::step_done;
     event.run.task.step = key.step;
     events.push_back(std::move(event));
     const bool is_done = std::all_of(occurrence.steps.begin(), occurrence.steps.end(),
@@ -274,13 +281,13 @@
     }
 }
 
-void job_book::end_job(job_record& record, job_phase phase, std::vector<book_event>& events) {
+void job_state_machine::end_job(job_record& record, job_phase phase, std::vector<job_state_event>& events) {
     record.phase = phase;
     drop_idle_tasks(record);
-    events.push_back(make_job_event(book_event::kind::job_ended, record.job->id));
+    events.push_back(make_job_event(job_state_event::kind::job_ended, record.job->id));
 }
 
-void job_book::drop_idle_tasks(job_record& record) {
+void job_state_machine::drop_idle_tasks(job_record& record) {
     // Only occurrences with runs that may still exist are kept; the rest would use memory until the job is
     // forgotten.
     std::erase_if(record.occurrences, [](const auto& item) {
@@ -292,18 +299,18 @@
     });
 }
 
-const job_record* job_book::find_job(job_id id) const {
+const job_record* job_state_machine::find_job(job_id id) const {
     const auto found = m_jobs.find(id);
     return found == m_jobs.end() ? nullptr : &found->second;
 }
 
-const task_record* job_book::find_task(const task_key& key) const {
+const task_record* job_state_machine::find_task(const task_key& key) const {
     const auto* record = find_job(key.step.job);
     const auto* step = record == nullptr ? nullptr : record->find_step(key.step.occurrence, key.step.step);
     return step == nullptr || key.index >= step->tasks.size() ? nullptr : &step->tasks[key.index];
 }
 
-std::vector<std::pair<run_key, assigned_run>> job_book::get_assigned_runs() const {
+std::vector<std::pair<run_key, assigned_run>> job_state_machine::get_assigned_runs() const {
     std::vector<std::pair<run_key, assigned_run>> runs;
     for (const auto& [id, record] : m_jobs) {
         for (const auto& [number, occurrence] : record.occurrences) {
@@ -321,7 +328,7 @@
     return runs;
 }
 
-std::string job_book::save() const {
+std::string job_state_machine::save() const {
     job_wire::job_book_snapshot snapshot;
     encode(m_configuration, *snapshot.mutable_config());
     std::vector<const job_record*> ordered;
@@ -345,9 +352,9 @@
     return snapshot.SerializeAsString();
 }
 
-bool job_book::load(std::string_view bytes) {
+bool job_state_machine::load(std::string_view bytes) {
     job_wire::job_book_snapshot snapshot;
-    *this = job_book{};
+    *this = job_state_machine{};
     if (!snapshot.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         return false;
     }
--- a/poplarpitch/scheduling/job_book.h
+++ b/poplarpitch/scheduling/job_state_machine.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "poplarpitch/scheduling/book_event.h"
 #include "poplarpitch/scheduling/command_outcome.h"
 #include "poplarpitch/scheduling/job_configuration.h"
 #include "poplarpitch/scheduling/job_record.h"
+#include "poplarpitch/scheduling/job_state_event.h"
 #include "poplarpitch/scheduling/pressure_factor.h"
 
 #include <absl/container/node_hash_map.h>
@@ -27,10 +27,10 @@
 /// clock. A run is assigned here before it is started on a worker, and its end is recorded here before the
 /// worker may forget it, so a new leader knows of every run that may exist. Thread safety: none, as for all
 /// methods.
-class job_book {
+class job_state_machine {
 public:
     /// Applies a committed command and appends what it changed to `events`.
-    command_outcome apply(const job_wire::job_command& command, std::vector<book_event>& events);
+    command_outcome apply(const job_wire::job_command& command, std::vector<job_state_event>& events);
 
     /// Serialises the whole state.
     [[nodiscard]] std::string save() const;
@@ -58,20 +58,21 @@
     [[nodiscard]] std::vector<std::pair<run_key, assigned_run>> get_assigned_runs() const;
 
 private:
-    command_outcome submit(const job_wire::step_job& message, std::vector<book_event>& events);
-    command_outcome cancel(job_id id, std::vector<book_event>& events);
-    command_outcome assign(const run_key& key, assigned_run run, std::vector<book_event>& events);
-    command_outcome retire(const worker_incarnation& worker, std::vector<book_event>& events);
-    command_outcome end(const book_event& ended, const std::string& saved, std::vector<book_event>& events);
+    command_outcome submit(const job_wire::step_job& message, std::vector<job_state_event>& events);
+    command_outcome cancel(job_id id, std::vector<job_state_event>& events);
+    command_outcome assign(const run_key& key, assigned_run run, std::vector<job_state_event>& events);
+    command_outcome retire(const worker_incarnation& worker, std::vector<job_state_event>& events);
+    command_outcome end(const job_state_event& ended, const std::string& saved,
+                        std::vector<job_state_event>& events);
     /// Records a crash that was detected after its run had been given up.
-    command_outcome record_crash(const book_event& crashed, std::vector<book_event>& events);
+    command_outcome record_crash(const job_state_event& crashed, std::vector<job_state_event>& events);
     /// Counts a crash of a worker under a task. Returns true when the job fails because of it.
-    bool count_crash(job_record& record, task_record& task, const book_event& crashed,
-                     std::vector<book_event>& events);
+    bool count_crash(job_record& record, task_record& task, const job_state_event& crashed,
+                     std::vector<job_state_event>& events);
     static std::uint32_t count_failures(job_record& record, const step_key& key);
-    void finish_gang(job_record& record, const step_key& key, std::vector<book_event>& events);
-    void finish_task(job_record& record, const task_key& key, std::vector<book_event>& events);
-    void end_job(job_record& record, job_phase phase, std::vector<book_event>& events);
+    void finish_gang(job_record& record, const step_key& key, std::vector<job_state_event>& events);
+    void finish_task(job_record& record, const task_key& key, std::vector<job_state_event>& events);
+    void end_job(job_record& record, job_phase phase, std::vector<job_state_event>& events);
     void drop_idle_tasks(job_record& record);
 
     job_configuration m_configuration;
--- a/unit_tests/dispatch/crash_property_test.cpp
+++ b/unit_tests/dispatch/crash_property_test.cpp
@@ -43,7 +43,7 @@
             EXPECT_NE(get_phase(id), job_phase::open)
                 << "job " << id << " is open: its caller was told nothing";
         }
-        for (const auto& [id, record] : m_world.get_book().get_jobs()) {
+        for (const auto& [id, record] : m_world.get_job_state().get_jobs()) {
             if (record.phase == job_phase::failed) {
                 EXPECT_GE(m_world.get_max_crashes(id), min_crashes)
                     << "job " << id << " failed without cause";
@@ -98,7 +98,7 @@
         }
     }
 
-    [[nodiscard]] job_phase get_phase(job_id id) const { return m_world.get_book().find_job(id)->phase; }
+    [[nodiscard]] job_phase get_phase(job_id id) const { return m_world.get_job_state().find_job(id)->phase; }
 
     crash_world m_world;
     std::mt19937_64 m_random;
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -107,7 +107,7 @@
 };
 
 crash_world::crash_world(const crash_world_settings& settings, std::uint64_t seed)
-    : m_settings(settings), m_random(seed), m_scheduler(dispatch_settings{}, m_book),
+    : m_settings(settings), m_random(seed), m_scheduler(dispatch_settings{}, m_job_state),
       m_hub(relay_settings{}) {
     configure();
     for (int number = 1; number <= settings.data_centres; ++number) {
@@ -141,8 +141,8 @@
     configuration.pools.push_back({pool, m_settings.enforces_capacity, false, 64});
     job_wire::job_command command;
     encode(configuration, *command.mutable_config());
-    std::vector<book_event> events;
-    m_book.apply(command, events);
+    std::vector<job_state_event> events;
+    m_job_state.apply(command, events);
 }
 
 void crash_world::schedule_call(duration wait, std::function<void()> call) {
@@ -163,8 +163,8 @@
     m_jobs[job.id] = std::make_shared<const step_job>(job);
     job_wire::job_command command;
     encode(job, *command.mutable_submit()->mutable_job());
-    std::vector<book_event> events;
-    m_book.apply(command, events);
+    std::vector<job_state_event> events;
+    m_job_state.apply(command, events);
     for (const auto& event : events) {
         m_scheduler.on_event(event, m_now, m_wall_ms);
     }
@@ -174,8 +174,8 @@
 void crash_world::cancel(job_id id) {
     job_wire::job_command command;
     command.mutable_cancel()->set_id(id);
-    std::vector<book_event> events;
-    m_book.apply(command, events);
+    std::vector<job_state_event> events;
+    m_job_state.apply(command, events);
     for (const auto& event : events) {
         m_scheduler.on_event(event, m_now, m_wall_ms);
     }
@@ -332,9 +332,9 @@
 void crash_world::drop_uncommitted_commands() {
     m_queued_commands.clear();
     if (!m_committing_commands.empty() && is_chosen(0.5)) {
-        std::vector<book_event> events;
+        std::vector<job_state_event> events;
         for (const auto& command : m_committing_commands) {
-            m_book.apply(command, events);
+            m_job_state.apply(command, events);
         }
     }
     m_committing_commands.clear();
@@ -342,9 +342,9 @@
 
 void crash_world::commit() {
     const auto batch = std::exchange(m_committing_commands, {});
-    std::vector<book_event> events;
+    std::vector<job_state_event> events;
     for (const auto& command : batch) {
-        m_book.apply(command, events);
+        m_job_state.apply(command, events);
     }
     for (const auto& event : events) {
         m_scheduler.on_event(event, m_now, m_wall_ms);
@@ -447,10 +447,11 @@
 
 void crash_world::start_leading() {
     drop_uncommitted_commands();
-    // Saves and reloads the book, because a new leader may have been restored from a snapshot.
-    const auto snapshot = m_book.save();
-    EXPECT_TRUE(m_book.load(snapshot));
-    EXPECT_EQ(m_book.save(), snapshot);
+    // Saves and reloads the replicated job state, because a new leader may have been restored from a
+    // snapshot.
+    const auto snapshot = m_job_state.save();
+    EXPECT_TRUE(m_job_state.load(snapshot));
+    EXPECT_EQ(m_job_state.save(), snapshot);
     m_leader_since = m_now;
     m_has_leader = true;
     m_scheduler.start_leading(++m_term, m_now, m_wall_ms);
@@ -998,7 +999,7 @@
     if (history.is_acknowledged) {
         m_violations.push_back("a start on " + target.id + " after an end that was acknowledged as done");
     }
-    const auto* record = m_book.find_task(task);
+    const auto* record = m_job_state.find_task(task);
     if (record != nullptr && record->phase == task_phase::done) {
         m_violations.push_back("a start on " + target.id + " after an end that was committed as done");
     }
--- a/unit_tests/dispatch/crash_world.h
+++ b/unit_tests/dispatch/crash_world.h
@@ -3,7 +3,7 @@
 #include "poplarpitch/core/time.h"
 #include "poplarpitch/dispatch/dispatcher.h"
 #include "poplarpitch/relay/relay_hub.h"
-#include "poplarpitch/scheduling/job_book.h"
+#include "poplarpitch/scheduling/job_state_machine.h"
 
 #include <cstdint>
 #include <functional>
@@ -32,7 +32,7 @@
     duration restart_time = seconds{3};
     double worker_crashes = 0;    ///< of any worker, whatever runs on it
     double worker_partitions = 0; ///< a worker is unreachable for 1 s to `max_partition` and keeps running
-    double leader_losses = 0;     ///< a new leader takes over that knows only the book
+    double leader_losses = 0;     ///< a new leader takes over that knows only the replicated job state
     double capacity_changes = 0;  ///< a worker's capacity shrinks to a part of it or is restored
     double lost_answers = 0;      ///< share of starts that are executed without an answer
     bool keeps_ids = false;       ///< a worker restarts under the same id
@@ -68,10 +68,10 @@
     friend bool operator==(const crash_world_settings&, const crash_world_settings&) = default;
 };
 
-/// Simulates a dispatcher, its job book and its workers in virtual time, with injected faults: tasks crash
-/// their workers, workers restart as new incarnations, are partitioned or change their capacity, and leaders
-/// are lost. Records what the workers observe, so that a test can check invariants for any order of events.
-/// The simulation is deterministic: the same seed gives the same run.
+/// Simulates a dispatcher, its replicated job state and its workers in virtual time, with injected faults:
+/// tasks crash their workers, workers restart as new incarnations, are partitioned or change their capacity,
+/// and leaders are lost. Records what the workers observe, so that a test can check invariants for any order
+/// of events. The simulation is deterministic: the same seed gives the same run.
 class crash_world {
 public:
     crash_world(const crash_world_settings& settings, std::uint64_t seed);
@@ -88,7 +88,7 @@
     /// Advances the simulation.
     void run(duration length);
 
-    [[nodiscard]] const job_book& get_book() const { return m_book; }
+    [[nodiscard]] const job_state_machine& get_job_state() const { return m_job_state; }
     [[nodiscard]] const dispatcher& get_dispatcher() const { return m_scheduler; }
     /// Returns the number of worker crashes during runs of the task.
     [[nodiscard]] int count_crashes(const task_key& task) const;
@@ -216,7 +216,7 @@
 
     crash_world_settings m_settings;
     std::mt19937_64 m_random;
-    job_book m_book;
+    job_state_machine m_job_state;
     dispatcher m_scheduler;
     time_point m_now{seconds{1000}};
     std::int64_t m_wall_ms = 1'700'000'000'000;
--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-dispatch_world::dispatch_world() : scheduler(dispatch_settings{}, book) {
+dispatch_world::dispatch_world() : scheduler(dispatch_settings{}, job_state) {
     start_leading();
 }
 
@@ -38,8 +38,8 @@
             return;
         }
         for (const auto& command : commands) {
-            std::vector<book_event> events;
-            book.apply(command, events);
+            std::vector<job_state_event> events;
+            job_state.apply(command, events);
             for (const auto& event : events) {
                 scheduler.on_event(event, now, wall_ms);
             }
@@ -96,8 +96,8 @@
         job_wire::job_command command;
         command.mutable_retire()->set_worker(id);
         command.mutable_retire()->set_born_ms(report.incarnation.process_start_ms);
-        std::vector<book_event> events;
-        book.apply(command, events);
+        std::vector<job_state_event> events;
+        job_state.apply(command, events);
         for (const auto& event : events) {
             scheduler.on_event(event, now, wall_ms);
         }
@@ -139,8 +139,8 @@
     job.accepted_ms = wall_ms;
     job_wire::job_command command;
     encode(job, *command.mutable_submit()->mutable_job());
-    std::vector<book_event> events;
-    book.apply(command, events);
+    std::vector<job_state_event> events;
+    job_state.apply(command, events);
     for (const auto& event : events) {
         scheduler.on_event(event, now, wall_ms);
     }
@@ -151,8 +151,8 @@
 void dispatch_world::cancel(job_id id) {
     job_wire::job_command command;
     command.mutable_cancel()->set_id(id);
-    std::vector<book_event> events;
-    book.apply(command, events);
+    std::vector<job_state_event> events;
+    job_state.apply(command, events);
     for (const auto& event : events) {
         scheduler.on_event(event, now, wall_ms);
     }
--- a/unit_tests/dispatch/dispatch_world.h
+++ b/unit_tests/dispatch/dispatch_world.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "poplarpitch/dispatch/dispatcher.h"
-#include "poplarpitch/scheduling/job_book.h"
+#include "poplarpitch/scheduling/job_state_machine.h"
 
 #include <string>
 #include <vector>
@@ -11,8 +11,8 @@
 /// The pool of all workers of a dispatch_world.
 inline constexpr const char* world_pool = "mill";
 
-/// A dispatcher with a job book that commits at once and a clock that the test advances. Keeps the orders for
-/// the test to answer, so that the test can inject a fault between any two steps.
+/// A dispatcher with a replicated job state that commits at once and a clock that the test advances. Keeps
+/// the orders for the test to answer, so that the test can inject a fault between any two steps.
 class dispatch_world {
 public:
     dispatch_world();
@@ -80,7 +80,7 @@
     /// Returns the hold answer of a worker that runs nothing.
     [[nodiscard]] static hold_answer make_empty_list();
 
-    job_book book;
+    job_state_machine job_state;
     dispatcher scheduler;
     time_point now{seconds{1000}};
     std::int64_t wall_ms = 1'700'000'000'000;
--- a/unit_tests/dispatch/dispatcher_audit_test.cpp
+++ b/unit_tests/dispatch/dispatcher_audit_test.cpp
@@ -82,8 +82,8 @@
     command.mutable_assign()->mutable_task()->set_job(job);
     command.mutable_assign()->set_run(1);
     command.mutable_assign()->set_worker("w9");
-    std::vector<book_event> events;
-    world.book.apply(command, events);
+    std::vector<job_state_event> events;
+    world.job_state.apply(command, events);
     const std::vector<stuck_task> expected = {{{{{job, 0, 0}, 0}, 1}, stuck_reason::not_tracked}};
     EXPECT_EQ(world.scheduler.find_stuck(world.now), expected);
 }
--- a/unit_tests/dispatch/dispatcher_copy_test.cpp
+++ b/unit_tests/dispatch/dispatcher_copy_test.cpp
@@ -85,7 +85,7 @@
     slow_task slow(make_copied_step());
     ASSERT_NO_FATAL_FAILURE(slow.start_copy());
     slow.end_first_run();
-    EXPECT_EQ(slow.world.book.find_job(slow.job)->phase, job_phase::completed);
+    EXPECT_EQ(slow.world.job_state.find_job(slow.job)->phase, job_phase::completed);
     const auto stops = slow.world.take<stop_order>();
     ASSERT_EQ(stops.size(), 1U);
     EXPECT_EQ(stops[0].run, slow.copy.run);
@@ -110,9 +110,9 @@
     hold_answer list;
     list.ended.push_back({1, slow.copy.run, run_end::failed, ""});
     slow.world.answer_hold(slow.copy.target.worker.id, list);
-    EXPECT_EQ(slow.world.book.find_job(slow.job)->phase, job_phase::open);
+    EXPECT_EQ(slow.world.job_state.find_job(slow.job)->phase, job_phase::open);
     slow.end_first_run();
-    EXPECT_EQ(slow.world.book.find_job(slow.job)->phase, job_phase::completed);
+    EXPECT_EQ(slow.world.job_state.find_job(slow.job)->phase, job_phase::completed);
 }
 
 TEST(copy_need, leaves_a_run_alone_that_is_within_what_estimates_are_off_by) {
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -58,7 +58,7 @@
     add_workers(world, 4);
     const auto crashing_job = world.submit({make_step()});
     EXPECT_LE(crash_at_each_start(world, crashing_job, round_count), max_starts);
-    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
+    EXPECT_EQ(world.job_state.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 TEST(dispatcher_crash, keeps_counting_under_a_new_leader) {
@@ -78,7 +78,7 @@
         }
     }
     EXPECT_LE(starts, max_starts);
-    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
+    EXPECT_EQ(world.job_state.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 /// Takes all starts and confirms them.
@@ -139,7 +139,7 @@
         workers.insert(order.target.worker.id);
     }
     EXPECT_EQ(workers.size(), 4U);
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::open);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::open);
 }
 
 TEST(dispatcher_crash, places_no_other_task_on_a_worker_reserved_for_a_suspect) {
@@ -186,7 +186,7 @@
     EXPECT_EQ(world.scheduler.count_suspects(), 0U);
     EXPECT_EQ(world.find_worker("w1+")->suspects, 0U);
     world.restart_with_new_id("w1+", "w1++");
-    EXPECT_EQ(world.book.find_task(task)->crash.crashes, 1U) << "the first one was refuted";
+    EXPECT_EQ(world.job_state.find_task(task)->crash.crashes, 1U) << "the first one was refuted";
 }
 
 TEST(dispatcher_crash, keeps_a_lasting_task_however_often_its_machines_fail) {
@@ -204,7 +204,7 @@
         worker += "+";
         world.advance(milliseconds{20});
     }
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::open);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::open);
 }
 
 TEST(dispatcher_crash, does_not_treat_a_run_that_a_new_leader_finds_as_just_begun) {
@@ -227,8 +227,8 @@
         worker += "+";
         world.advance(seconds{1});
     }
-    ASSERT_EQ(world.book.find_job(job)->phase, job_phase::open);
-    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 2U);
+    ASSERT_EQ(world.job_state.find_job(job)->phase, job_phase::open);
+    EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 2U);
 }
 
 TEST(dispatcher_crash, counts_nothing_against_the_tasks_of_a_worker_that_said_it_leaves) {
@@ -240,7 +240,7 @@
     const auto& worker = starts[0].target.worker.id;
     world.send_heartbeat(worker, true, 2000);
     world.restart_with_new_id(worker, worker + "+");
-    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
+    EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
 }
 
 TEST(dispatcher_crash, counts_nothing_against_a_task_that_the_worker_surely_never_got) {
@@ -251,7 +251,7 @@
     ASSERT_EQ(starts.size(), 1U);
     world.answer(starts[0], order_failure::unreachable);
     world.restart_with_new_id("w1", "w1+");
-    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
+    EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
 }
 
 TEST(dispatcher_crash, counts_the_crash_of_a_worker_that_restarts_after_its_lease_expired) {
@@ -263,9 +263,10 @@
     const auto& worker = starts[0].target.worker.id;
     fail_holds(world, worker, seconds{15});
     ASSERT_EQ(confirm_starts(world).size(), 1U) << "the lease has lapsed";
-    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U) << "it may only be out of reach";
+    EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 0U)
+        << "it may only be out of reach";
     world.restart_with_new_id(worker, worker + "+");
-    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 1U);
+    EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 1U);
 }
 
 TEST(dispatcher_crash, counts_nothing_where_a_worker_that_was_cut_off_is_heard_again) {
@@ -282,7 +283,7 @@
     EXPECT_FALSE(world.find_worker(worker)->lapsed.empty());
     world.answer_hold(worker, dispatch_world::make_empty_list());
     EXPECT_TRUE(world.find_worker(worker)->lapsed.empty());
-    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
+    EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
 }
 
 TEST(dispatcher_crash, starts_no_copy_of_what_may_have_crashed_its_worker) {
@@ -328,7 +329,7 @@
         }
         world.advance(milliseconds{100});
     }
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::failed);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::failed);
     EXPECT_LE(crashes, max_starts);
 }
 
@@ -339,7 +340,7 @@
     lasting.long_running = true;
     const auto crashing_job = world.submit({lasting});
     EXPECT_LE(crash_at_each_start(world, crashing_job, round_count), max_starts);
-    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
+    EXPECT_EQ(world.job_state.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 TEST(dispatcher_crash, gives_up_a_timed_job_whose_task_crashes_workers_in_one_occurrence) {
@@ -347,7 +348,7 @@
     add_workers(world, 4);
     const auto crashing_job = world.submit_timed({make_step()}, {3, world.wall_ms, 60'000});
     EXPECT_LE(crash_at_each_start(world, crashing_job, round_count), max_starts);
-    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
+    EXPECT_EQ(world.job_state.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 TEST(dispatcher_crash, does_not_clear_a_suspect_that_writes_checkpoints) {
@@ -357,7 +358,7 @@
     step.checkpointing = true;
     const auto crashing_job = world.submit({step});
     EXPECT_LE(crash_at_each_start(world, crashing_job, round_count), max_starts);
-    EXPECT_EQ(world.book.find_job(crashing_job)->phase, job_phase::failed);
+    EXPECT_EQ(world.job_state.find_job(crashing_job)->phase, job_phase::failed);
 }
 
 } // namespace
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -1,4 +1,5 @@
-// Every reason for which the book takes a run as ended, and similar evidence that does not end a run.
+// Every reason for which the replicated job state takes a run as ended, and similar evidence that does not
+// end a run.
 #include "unit_tests/dispatch/dispatch_world.h"
 #include "unit_tests/dispatch/test_steps.h"
 
@@ -176,7 +177,7 @@
     hold_answer list;
     list.ended.push_back({1, order.run, run_end::done, ""});
     world.answer_hold("w1", list);
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::completed);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::completed);
 }
 
 TEST(dispatcher_ending, stops_a_run_that_is_not_to_be_there_until_a_list_lacks_it) {
--- a/unit_tests/dispatch/dispatcher_job_test.cpp
+++ b/unit_tests/dispatch/dispatcher_job_test.cpp
@@ -37,7 +37,7 @@
     EXPECT_EQ(last[0].run.task.step.step, 1U);
     world.answer(last[0]);
     end_run(world, last[0], 3, run_end::done);
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::completed);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::completed);
 }
 
 TEST(dispatcher_job, fails_a_job_whose_task_failed_as_often_as_its_queue_allows) {
@@ -54,7 +54,7 @@
     }
     world.advance(seconds{10});
     EXPECT_TRUE(world.take<start_order>().empty());
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::failed);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::failed);
 }
 
 TEST(dispatcher_job, retries_a_failed_task_on_another_worker) {
@@ -99,7 +99,7 @@
     world.answer(starts[0]);
     world.answer(starts[1]);
     end_run(world, starts[0], 1, run_end::done);
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::completed);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::completed);
 }
 
 TEST(dispatcher_job, stops_what_runs_of_a_cancelled_job_and_starts_no_more_of_it) {
@@ -114,7 +114,7 @@
     EXPECT_EQ(stops.size(), 2U);
     world.advance(seconds{1});
     EXPECT_TRUE(world.take<start_order>().empty());
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::cancelled);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::cancelled);
 }
 
 TEST(dispatcher_job, never_asks_more_of_a_worker_than_it_holds) {
@@ -177,7 +177,7 @@
     ASSERT_EQ(starts.size(), 1U);
     world.answer(starts[0]);
     end_run(world, starts[0], 2, run_end::done);
-    EXPECT_EQ(world.book.find_job(timed)->phase, job_phase::open);
+    EXPECT_EQ(world.job_state.find_job(timed)->phase, job_phase::open);
     world.advance(seconds{50});
     world.send_heartbeat("w1");
     EXPECT_TRUE(world.take<start_order>().empty());
@@ -187,7 +187,7 @@
     EXPECT_EQ(starts[0].run.task.step, (step_key{timed, 1, 0}));
     world.answer(starts[0]);
     end_run(world, starts[0], 3, run_end::done);
-    EXPECT_EQ(world.book.find_job(timed)->phase, job_phase::completed);
+    EXPECT_EQ(world.job_state.find_job(timed)->phase, job_phase::completed);
 }
 
 TEST(dispatcher_job, counts_jobs_none_of_whose_tasks_has_started) {
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -100,7 +100,7 @@
     world.submit({lasting});
     const auto first = world.start_one();
     world.send_heartbeat("w1", true, 2000);
-    EXPECT_TRUE(world.book.is_retired(world.get_incarnation("w1")));
+    EXPECT_TRUE(world.job_state.is_retired(world.get_incarnation("w1")));
     const auto stops = world.take<stop_order>();
     ASSERT_EQ(stops.size(), 1U);
     world.answer(stops[0]);
@@ -204,8 +204,8 @@
     world.advance(milliseconds{100});
     EXPECT_TRUE(world.take<hold_order>().empty()); // it would return at once with the same end
     for (const auto& command : commands) {
-        std::vector<book_event> events;
-        world.book.apply(command, events);
+        std::vector<job_state_event> events;
+        world.job_state.apply(command, events);
         for (const auto& event : events) {
             world.scheduler.on_event(event, world.now, world.wall_ms);
         }
--- a/unit_tests/dispatch/dispatcher_pressure_test.cpp
+++ b/unit_tests/dispatch/dispatcher_pressure_test.cpp
@@ -253,13 +253,13 @@
         run_all(world, "w1", 15 + observation % 2, 6000);
         world.advance(milliseconds{300});
     }
-    const auto saved = world.book.get_pressure();
+    const auto saved = world.job_state.get_pressure();
     ASSERT_EQ(saved.size(), 1U);
     EXPECT_EQ(saved[0].serving, "serving");
     EXPECT_EQ(saved[0].filling, "filling");
     EXPECT_LT(saved[0].mean, 0.8); // a pair with a low slowdown factor
-    job_book restored;
-    ASSERT_TRUE(restored.load(world.book.save()));
+    job_state_machine restored;
+    ASSERT_TRUE(restored.load(world.job_state.save()));
     EXPECT_EQ(restored.get_pressure(), saved);
 }
 
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -100,7 +100,7 @@
     world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, list},
                             world.now); // not committed yet
     world.restart_with_same_id("w1", second_process_start_ms);
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::completed);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::completed);
     world.wait_for_hold("w1");
     world.answer_hold("w1", dispatch_world::make_empty_list());
     world.advance(seconds{1});
@@ -149,7 +149,7 @@
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
     EXPECT_GT(again[0].run.run, first.run.run);
-    EXPECT_EQ(world.book.find_task({{job, 0, 0}, 0})->crash.crashes, 1U);
+    EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 1U);
 }
 
 TEST(dispatcher_restart, is_noticed_by_a_list_before_any_heartbeat) {
@@ -219,7 +219,7 @@
     dispatch_world world;
     add_worker(world);
     world.send_heartbeat("w1", true, 2000);
-    EXPECT_TRUE(world.book.is_retired({"w1", first_process_start_ms}));
+    EXPECT_TRUE(world.job_state.is_retired({"w1", first_process_start_ms}));
     restart_and_confirm(world, second_process_start_ms);
     world.submit({make_step()});
     EXPECT_EQ(world.take<start_order>().size(), 1U);
@@ -262,7 +262,7 @@
     world.advance(seconds{1});
     EXPECT_TRUE(world.take<start_order>().empty());
     list_end(world, 1, starts[0], run_end::done);
-    EXPECT_EQ(world.book.find_job(starts[0].run.task.step.job)->phase, job_phase::completed);
+    EXPECT_EQ(world.job_state.find_job(starts[0].run.task.step.job)->phase, job_phase::completed);
     world.wait_for_hold("w1");
     EXPECT_EQ(get_last_acknowledged(world), 1U);
 }
@@ -309,12 +309,12 @@
     EXPECT_GE(world.find_worker("w1")->lease_end, world.now + get_longest_span());
 }
 
-TEST(dispatcher_restart, is_detected_by_a_new_leader_that_knows_only_the_book) {
+TEST(dispatcher_restart, is_detected_by_a_new_leader_that_knows_only_the_job_state) {
     dispatch_world world;
     add_worker(world);
     world.submit({make_step()});
     const auto first = world.start_one();
-    EXPECT_EQ(world.book.find_task(first.run.task)->runs.at(0).worker,
+    EXPECT_EQ(world.job_state.find_task(first.run.task)->runs.at(0).worker,
               (worker_incarnation{"w1", first_process_start_ms}));
     world.start_leading();
     restart_and_confirm(world, second_process_start_ms);
@@ -341,7 +341,7 @@
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
     EXPECT_EQ(again[0].run.task, starts[1].run.task);
-    EXPECT_EQ(world.book.find_task(starts[1].run.task)->crash.crashes, 0U);
+    EXPECT_EQ(world.job_state.find_task(starts[1].run.task)->crash.crashes, 0U);
 }
 
 TEST(dispatcher_restart, is_not_disturbed_by_a_report_without_a_start_time) {
@@ -390,7 +390,7 @@
     list.ended.push_back({1, order.run, run_end::done, ""});
     world.scheduler.on_hold(world.get_incarnation("w1"), {std::nullopt, list}, world.now);
     world.run_until_idle();
-    EXPECT_EQ(world.book.find_job(order.run.task.step.job)->phase, job_phase::open);
+    EXPECT_EQ(world.job_state.find_job(order.run.task.step.job)->phase, job_phase::open);
 }
 
 } // namespace
--- a/unit_tests/dispatch/dispatcher_start_test.cpp
+++ b/unit_tests/dispatch/dispatcher_start_test.cpp
@@ -15,7 +15,7 @@
     ASSERT_EQ(starts.size(), 1U);
     EXPECT_EQ(starts[0].run.task.step.job, job);
     EXPECT_EQ(starts[0].run.run, 1U);
-    const auto* task = world.book.find_task(starts[0].run.task);
+    const auto* task = world.job_state.find_task(starts[0].run.task);
     ASSERT_NE(task, nullptr);
     ASSERT_EQ(task->runs.size(), 1U);
     EXPECT_EQ(task->runs[0].worker, world.get_incarnation("w1"));
@@ -53,8 +53,8 @@
     list.ended.push_back({1, first[0].run, run_end::done, ""});
     world.answer_hold("w1", list);
     EXPECT_TRUE(world.take<start_order>().empty());
-    ASSERT_NE(world.book.find_job(job), nullptr);
-    EXPECT_EQ(world.book.find_job(job)->phase, job_phase::completed);
+    ASSERT_NE(world.job_state.find_job(job), nullptr);
+    EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::completed);
 }
 
 TEST(dispatcher_start, stops_a_run_before_it_goes_elsewhere_when_an_earlier_start_may_come_late) {
--- a/unit_tests/dispatch/restart_property_test.cpp
+++ b/unit_tests/dispatch/restart_property_test.cpp
@@ -47,7 +47,7 @@
                 EXPECT_EQ(m_world.count_running(id), tasks) << "of job " << id << " that lasts";
             }
         }
-        for (const auto& [id, record] : m_world.get_book().get_jobs()) {
+        for (const auto& [id, record] : m_world.get_job_state().get_jobs()) {
             EXPECT_TRUE(record.phase != job_phase::open || m_lasting.contains(id))
                 << "job " << id << " never ended";
             if (record.phase == job_phase::failed) {
@@ -77,7 +77,7 @@
         }
     }
 
-    [[nodiscard]] job_phase get_phase(job_id id) const { return m_world.get_book().find_job(id)->phase; }
+    [[nodiscard]] job_phase get_phase(job_id id) const { return m_world.get_job_state().find_job(id)->phase; }
 
     crash_world m_world;
     std::mt19937_64 m_random;
--- a/unit_tests/scheduler/command_batcher_test.cpp
+++ b/unit_tests/scheduler/command_batcher_test.cpp
@@ -3,7 +3,7 @@
 
 #include "poplarpitch/net/event_loop.h"
 #include "poplarpitch/replica/replica.h"
-#include "poplarpitch/scheduling/job_book.h"
+#include "poplarpitch/scheduling/job_state_machine.h"
 #include "poplarpitch/wire/scheduling.pb.h"
 
 #include <gtest/gtest.h>
@@ -48,7 +48,7 @@
 TEST(command_batcher, loses_no_command_where_more_is_pending_than_the_log_accepts_at_once) {
     const temporary_folder folder;
     event_loop loop;
-    job_book book;
+    job_state_machine job_state;
     replica_settings settings;
     settings.data_folder = folder.get_path();
     settings.seeds = {settings.host};
@@ -59,11 +59,11 @@
     command_batcher* batcher = nullptr;
     replica_handler handler;
     handler.on_command = [&](const log_entry& entry) {
-        std::vector<book_event> events;
+        std::vector<job_state_event> events;
         batcher->apply(entry, events);
     };
     handler.on_save = [&] {
-        return book.save();
+        return job_state.save();
     };
     handler.on_load = [](const std::string& /*bytes*/) {
     };
@@ -89,7 +89,7 @@
         }
     };
     replica log(loop, settings, std::move(handler));
-    command_batcher own_batcher(loop, log, book, max_bytes);
+    command_batcher own_batcher(loop, log, job_state, max_bytes);
     batcher = &own_batcher;
     loop.on_turn_end([&] { own_batcher.flush(); });
     ASSERT_TRUE(log.start());
--- a/unit_tests/scheduler/relayed_room_test.cpp
+++ b/unit_tests/scheduler/relayed_room_test.cpp
@@ -8,7 +8,7 @@
 #include "poplarpitch/dispatch/dispatcher.h"
 #include "poplarpitch/relay/relay_agent.h"
 #include "poplarpitch/relay/relay_codec.h"
-#include "poplarpitch/scheduling/job_book.h"
+#include "poplarpitch/scheduling/job_state_machine.h"
 #include "poplarpitch/wire/scheduling.pb.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 /// A leader and two relays that forward heartbeats to it.
 class relayed_world {
 public:
-    relayed_world() : leader(dispatch_settings{}, m_book), first(make_agent(1)), second(make_agent(2)) {
+    relayed_world() : leader(dispatch_settings{}, m_job_state), first(make_agent(1)), second(make_agent(2)) {
         leader.start_leading(1, m_now, 0);
         send_leader_frame(first);
         send_leader_frame(second);
@@ -47,7 +47,7 @@
     }
 
 private:
-    job_book m_book;
+    job_state_machine m_job_state;
     relay_settings m_settings;
     time_point m_now{seconds{100}};
     std::uint64_t m_sequence = 0;
