--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -89,7 +89,7 @@
     /// Called when a worker deregisters.
     void on_deregister(const worker_incarnation& worker, time_point now);
     /// Processes the answer to a hold that was sent to `worker`. Another incarnation of it may have answered.
-    void on_hold(const worker_incarnation& worker, const hold_outcome& outcome, time_point now);
+    void on_hold(const worker_incarnation& worker, const order_outcome& outcome, time_point now);
     /// Processes the answer to a start.
     void on_start(const run_key& key, const order_answer& answer, time_point now);
     /// Processes the answer to a stop of a run, including a run that is not in the replicated job state.
@@ -235,7 +235,7 @@
     void drop_track(const run_key& key, time_point now);
     run_track* find(const run_key& key);
     void propose_end(run_track& track, run_end end, const end_evidence& evidence, time_point now,
-                     const std::string& saved = {}, const run_loss& loss = {});
+                     const std::string& checkpoint = {}, const run_loss& loss = {});
     void send_start(run_track& track, time_point now);
     void send_stop(run_track& track, time_point now);
     void stop_run(run_track& track, time_point now);
@@ -267,7 +267,7 @@
     [[nodiscard]] duration get_hold_wait(const worker_state& worker) const;
     [[nodiscard]] bool needs_hold(const worker_state& worker) const;
     void process_list(worker_state& worker, const hold_answer& answer, time_point now);
-    void process_end(worker_state& worker, const end_row& row, time_point now);
+    void process_end(worker_state& worker, const run_end_entry& row, time_point now);
     /// Ends runs that are missing from the worker's list. Precondition: `listed` is sorted.
     void end_missing_runs(worker_state& worker, const std::vector<run_key>& listed, time_point now);
     void stop_stray_run(worker_state& worker, const run_key& key);
--- a/poplarpitch/dispatch/dispatcher_incarnations.cpp
+++ b/poplarpitch/dispatch/dispatcher_incarnations.cpp
@@ -104,7 +104,7 @@
     if (others.empty()) {
         return;
     }
-    const auto listed = answer.get_listed();
+    const auto listed = answer.get_listed_runs();
     for (auto* other : others) {
         // The addressed one was known before, even if only since the same moment.
         const bool was_known = other == &addressed || other->known_since < addressed.hold_sent;
@@ -122,7 +122,7 @@
         .add("former_born_ms", former.report.incarnation.process_start_ms)
         .add("runs", static_cast<std::uint64_t>(former.runs.size()))
         .add("seen", former.seen)
-        .add("acknowledged", former.acknowledged);
+        .add("acknowledged", former.acknowledged_up_to);
     const auto assessed = assess_runs(former, now);
     mark_lost(former, get_end_reason_name(started_again), now);
     const bool is_surely_other = former.report.incarnation.process_start_ms != 0;
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -69,7 +69,7 @@
 }
 
 void dispatcher::propose_end(run_track& track, run_end end, const end_evidence& evidence, time_point now,
-                             const std::string& saved, const run_loss& loss) {
+                             const std::string& checkpoint, const run_loss& loss) {
     if (track.is_ending) {
         return;
     }
@@ -86,7 +86,7 @@
     message.set_worker(track.assigned_to.id);
     message.set_born_ms(track.assigned_to.process_start_ms);
     message.set_kind(static_cast<std::uint32_t>(end));
-    message.set_saved(saved);
+    message.set_saved(checkpoint);
     message.set_number(evidence.number);
     message.set_crash(static_cast<std::uint32_t>(loss.crash));
     message.set_age_ms(loss.age_ms);
@@ -96,8 +96,8 @@
 // ---- orders
 
 order_target dispatcher::make_target(const worker_state& worker, duration timeout) const {
-    const bool is_fresh = worker.hold_failures == 1 || worker.backoff.has_just_failed();
-    return {worker.report.incarnation, worker.report.address, worker.fence, is_fresh, timeout};
+    const bool use_new_connection = worker.hold_failures == 1 || worker.backoff.has_just_failed();
+    return {worker.report.incarnation, worker.report.address, worker.fence, use_new_connection, timeout};
 }
 
 void dispatcher::send_due_order(run_track& track, time_point now) {
@@ -168,8 +168,9 @@
     order.target = make_target(worker, m_settings.order_timeout);
     order.run = track.key;
     order.job = track.job;
-    order.until_ms = worker.estimate_clock(now, m_settings.clock_drift) + to_milliseconds(m_settings.lease);
-    order.saved = task == nullptr ? std::string{} : task->saved;
+    order.lease_end_ms =
+        worker.estimate_clock(now, m_settings.clock_drift) + to_milliseconds(m_settings.lease);
+    order.checkpoint = task == nullptr ? std::string{} : task->checkpoint;
     grant_lease(worker, now);
     track.is_order_pending = true;
     track.start_sent = now;
@@ -220,7 +221,7 @@
     auto& worker = *track.host;
     if (answer.failure == order_failure::not_sent) {
         ++m_counts.not_sent;
-        track.next_order = now + get_backoff(1, m_settings.retry_pause, worker.spread);
+        track.next_order = now + get_backoff(1, m_settings.retry_pause, worker.worker_hash);
         schedule_order(track);
         return;
     }
@@ -231,7 +232,7 @@
         return;
     }
     ++m_counts.unanswered;
-    worker.backoff.on_failure(now, m_settings.retry_pause, worker.spread);
+    worker.backoff.on_failure(now, m_settings.retry_pause, worker.worker_hash);
     track.next_order = worker.backoff.get_next();
     schedule_order(track);
     schedule_hold(worker, now);
@@ -277,11 +278,11 @@
     case order_failure::unreachable:
     case order_failure::not_sent:
         return; // retried
-    case order_failure::late_lease:
+    case order_failure::lease_already_expired:
         track.next_order = now + unsent_pause;
         schedule_order(track);
         return;
-    case order_failure::old_run:
+    case order_failure::stale_run:
         // An earlier start of this run was executed and the run has ended. The list says how.
         log_run_started(track, "old_run", m_term, now);
         track.stage = run_stage::running;
@@ -292,7 +293,7 @@
     case order_failure::other_incarnation:
         on_worker_lost(worker, end_reason::another_incarnation_answers, now);
         return;
-    case order_failure::no_room:
+    case order_failure::no_capacity:
         ++m_counts.refused_room;
         break;
     case order_failure::no_ticket:
@@ -310,7 +311,7 @@
         break;
     }
     schedule_hold(worker, now); // its list shows what it considers running
-    if (failure == order_failure::no_room) {
+    if (failure == order_failure::no_capacity) {
         worker.trust.on_refusal(now);
     }
     return_to_queue(track, now);
@@ -331,7 +332,7 @@
         return;
     }
     handle_order_answer(*track, answer, now);
-    if (!answer.failure.has_value() || answer.failure == order_failure::old_run) {
+    if (!answer.failure.has_value() || answer.failure == order_failure::stale_run) {
         track->is_stop_answered = true;
         track->stop_answered_at = now;
         if (!track->host->is_hold_pending) {
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -20,7 +20,7 @@
 constexpr duration hold_slack = milliseconds{800}; // added to the requested wait
 
 /// Returns why the answer to a hold cannot be used to identify the worker's incarnation, or nothing.
-std::optional<order_failure> get_hold_failure(const worker_state& worker, const hold_outcome& outcome) {
+std::optional<order_failure> get_hold_failure(const worker_state& worker, const order_outcome& outcome) {
     const bool omits_start_time =
         outcome.answer.process_start_ms == 0 && worker.report.incarnation.process_start_ms != 0;
     if (!outcome.failure.has_value() && omits_start_time) {
@@ -173,7 +173,7 @@
         return false;
     }
     return !worker.is_confirmed || !worker.runs.empty() || worker.has_stray_runs ||
-           worker.acknowledged > worker.acknowledged_sent || worker.hold_failures > 0;
+           worker.acknowledged_up_to > worker.acknowledged_sent || worker.hold_failures > 0;
 }
 
 void dispatcher::grant_lease(worker_state& worker, time_point now) {
@@ -212,12 +212,12 @@
         order.wait = get_hold_wait(worker);
     }
     order.target = make_target(worker, order.wait + hold_slack);
-    order.acknowledged = worker.acknowledged;
+    order.acknowledged_up_to = worker.acknowledged_up_to;
     // A worker that receives our orders while its answers are lost must not keep its lease, since its runs
     // could then never be given up. Nor is a lease renewed for runs that should not be on the worker.
     const bool has_only_strays = worker.has_stray_runs && worker.runs.empty();
     if (!worker.is_silent() && worker.clock_ms != 0 && !has_only_strays) {
-        order.until_ms =
+        order.lease_end_ms =
             worker.estimate_clock(now, m_settings.clock_drift) + to_milliseconds(m_settings.lease);
         grant_lease(worker, now);
     }
@@ -225,12 +225,13 @@
     worker.hold_sent = now;
     worker.hold_fence = worker.fence;
     worker.hold_expires_at = now + order.target.timeout;
-    worker.acknowledged_sent = std::max(worker.acknowledged_sent, worker.acknowledged);
+    worker.acknowledged_sent = std::max(worker.acknowledged_sent, worker.acknowledged_up_to);
     ++m_counts.hold_orders;
     m_orders.emplace_back(std::move(order));
 }
 
-void dispatcher::on_hold(const worker_incarnation& incarnation, const hold_outcome& outcome, time_point now) {
+void dispatcher::on_hold(const worker_incarnation& incarnation, const order_outcome& outcome,
+                         time_point now) {
     auto* worker = find_worker(incarnation);
     if (worker == nullptr || !is_leading() || !worker->is_hold_pending) {
         return;
@@ -249,7 +250,7 @@
         worker->acknowledged_sent = 0;            // the last acknowledgement may have been lost
         if (failure == order_failure::not_sent) { // says nothing about the worker
             ++m_counts.not_sent;
-            worker->next_hold = now + get_backoff(1, m_settings.retry_pause, worker->spread);
+            worker->next_hold = now + get_backoff(1, m_settings.retry_pause, worker->worker_hash);
             return;
         }
         if (failure == order_failure::lower_fence) {
@@ -257,7 +258,7 @@
         }
         worker->record_hold_failure(now);
         worker->next_hold = now + get_backoff(static_cast<std::uint32_t>(worker->hold_failures),
-                                              m_settings.retry_pause, worker->spread);
+                                              m_settings.retry_pause, worker->worker_hash);
         if (worker->hold_failures == silent_after_failures) {
             auto line = log_event(log_level::warn, "worker_silent");
             add_worker(line, incarnation)
@@ -341,16 +342,16 @@
         process_end(worker, row, now);
     }
     if (answer.ended.size() < max_ended_rows) {
-        end_missing_runs(worker, answer.get_listed(), now);
+        end_missing_runs(worker, answer.get_listed_runs(), now);
     }
     update_acknowledged(worker);
     clear_suspects(worker, now);
     observe_pressure(worker, now);
 }
 
-void dispatcher::process_end(worker_state& worker, const end_row& row, time_point now) {
+void dispatcher::process_end(worker_state& worker, const run_end_entry& row, time_point now) {
     auto* track = find(row.run);
-    if (row.number <= worker.acknowledged) {
+    if (row.number <= worker.acknowledged_up_to) {
         worker.acknowledged_sent = 0; // the worker has not received the acknowledgement yet
     }
     if (row.number <= worker.seen) {
@@ -377,7 +378,7 @@
     }
     ++worker.ends_committing;
     const bool has_known_age = track->confirmed_at != time_point{};
-    propose_end(*track, row.end, {end_reason::listed_end, worker.hold_sent, row.number}, now, row.saved,
+    propose_end(*track, row.end, {end_reason::listed_end, worker.hold_sent, row.number}, now, row.checkpoint,
                 {crash_evidence::none, has_known_age ? to_milliseconds(now - track->confirmed_at) : 0});
 }
 
@@ -426,7 +427,7 @@
 
 void dispatcher::update_acknowledged(worker_state& worker) {
     if (worker.ends_committing == 0) {
-        worker.acknowledged = std::max(worker.acknowledged, worker.seen);
+        worker.acknowledged_up_to = std::max(worker.acknowledged_up_to, worker.seen);
         m_workers.schedule_check(worker, worker.next_hold);
     }
 }
--- a/poplarpitch/dispatch/history_log.cpp
+++ b/poplarpitch/dispatch/history_log.cpp
@@ -47,7 +47,7 @@
     line.add("term", term).add("fence", track.host->fence);
 }
 
-void log_unknown_end(const worker_state& worker, const run_track* track, const end_row& row) {
+void log_unknown_end(const worker_state& worker, const run_track* track, const run_end_entry& row) {
     const auto* why = track == nullptr ? "not_known" : "ending";
     if (track != nullptr && track->host != &worker) {
         why = "other_worker";
--- a/poplarpitch/dispatch/history_log.h
+++ b/poplarpitch/dispatch/history_log.h
@@ -9,7 +9,7 @@
 
 namespace poplarpitch {
 
-struct end_row;
+struct run_end_entry;
 struct run_track;
 struct worker_state;
 
@@ -35,7 +35,7 @@
 /// Logs how a run ended, and the evidence for it.
 void log_run_ended(const run_track& track, run_end end, log_term term, time_point now);
 /// Logs a listed end that changes nothing. `track`: of that run; null where the run is not known.
-void log_unknown_end(const worker_state& worker, const run_track* track, const end_row& row);
+void log_unknown_end(const worker_state& worker, const run_track* track, const run_end_entry& row);
 /// Logs what a new leader took over.
 void log_takeover(const takeover& taken);
 
--- a/poplarpitch/dispatch/run_track.h
+++ b/poplarpitch/dispatch/run_track.h
@@ -56,7 +56,7 @@
                                          ///< worker: what that one's loss says
     bool may_start_late = false;         ///< a start got no answer and may be executed seconds later
     std::int64_t percent = 0;
-    std::int64_t level = 0;       ///< as in `run_row`
+    std::int64_t level = 0;       ///< as in `run_entry`
     int pace = 100;               ///< share of its speed that was ordered and confirmed, percent
     int planned_pace = 100;       ///< share of its speed that is wanted now, percent
     bool is_pace_pending = false; ///< a pace order is in flight
--- a/poplarpitch/dispatch/worker_state.h
+++ b/poplarpitch/dispatch/worker_state.h
@@ -64,16 +64,17 @@
     bool has_failed_early = false; ///< the first of them failed before its timeout, as when the process ends
     order_backoff backoff;         ///< for starts and stops
     std::size_t position = 0;      ///< index in the table of workers
-    std::uint64_t spread = 0;      ///< jitter seed that spreads the retries of different workers in time
+    std::uint64_t worker_hash =
+        0; ///< hash of its id: picks its relay, and spreads the retries of workers in time
 
     std::int64_t clock_ms = 0; ///< the worker's clock at `clock_at`; 0 while unknown
     time_point clock_at{};
     time_point granted_at{}; ///< when a lease was last granted
     time_point lease_end{};  ///< when all leases of this leader and earlier ones have expired
 
-    std::uint64_t seen = 0;              ///< highest sequence number of its ends that was processed
-    std::uint64_t acknowledged = 0;      ///< highest sequence number of an end that the worker may forget
-    std::uint64_t acknowledged_sent = 0; ///< highest acknowledgement sent; 0 if it may have been lost
+    std::uint64_t seen = 0;               ///< highest sequence number of its ends that was processed
+    std::uint64_t acknowledged_up_to = 0; ///< highest sequence number of an end that the worker may forget
+    std::uint64_t acknowledged_sent = 0;  ///< highest acknowledgement sent; 0 if it may have been lost
     std::size_t ends_committing = 0;
 
     absl::btree_map<run_key, run_track*> runs;     ///< ordered, so that equal states lead to equal decisions
--- a/poplarpitch/dispatch/worker_table.cpp
+++ b/poplarpitch/dispatch/worker_table.cpp
@@ -13,7 +13,7 @@
     }
     auto& worker = m_workers[incarnation];
     worker.report.incarnation = incarnation;
-    worker.spread = hash_bytes(incarnation.id);
+    worker.worker_hash = hash_bytes(incarnation.id);
     m_by_incarnation[incarnation] = &worker;
     const auto position = find_position(incarnation);
     const auto index = static_cast<std::size_t>(std::distance(m_all.cbegin(), position));
--- a/poplarpitch/relay/relay_agent.cpp
+++ b/poplarpitch/relay/relay_agent.cpp
@@ -107,7 +107,7 @@
         ++m_received;
         const auto number = message.number();
         const auto answer = [this, alive = m_is_alive, number,
-                             term = frame.term()](const hold_outcome& outcome) {
+                             term = frame.term()](const order_outcome& outcome) {
             if (!*alive) {
                 return;
             }
--- a/poplarpitch/relay/relay_agent.h
+++ b/poplarpitch/relay/relay_agent.h
@@ -34,7 +34,7 @@
 /// none, as for all methods; the handler may be called at any later time.
 class relay_agent {
 public:
-    using outcome_handler = std::function<void(hold_outcome)>;
+    using outcome_handler = std::function<void(order_outcome)>;
     /// Sends an order to its worker and calls the handler once.
     using order_executor = std::function<void(const worker_order&, outcome_handler)>;
 
--- a/poplarpitch/relay/relay_codec.cpp
+++ b/poplarpitch/relay/relay_codec.cpp
@@ -24,9 +24,9 @@
 void encode_order(const hold_order& order, job_wire::relayed_order& message,
                   job_wire::relay_orders& /*frame*/) {
     auto& hold = *message.mutable_hold();
-    hold.set_has_until(order.until_ms.has_value());
-    hold.set_until_ms(order.until_ms.value_or(0));
-    hold.set_acknowledged(order.acknowledged);
+    hold.set_has_until(order.lease_end_ms.has_value());
+    hold.set_until_ms(order.lease_end_ms.value_or(0));
+    hold.set_acknowledged(order.acknowledged_up_to);
     hold.set_wait_ms(to_milliseconds(order.wait));
 }
 
@@ -38,8 +38,8 @@
         frame.add_payloads(order.job->payload);
     }
     start.set_payload(static_cast<std::uint32_t>(frame.payloads_size()) - 1);
-    start.set_until_ms(order.until_ms);
-    start.set_saved(order.saved);
+    start.set_until_ms(order.lease_end_ms);
+    start.set_saved(order.checkpoint);
     start.set_ticket(order.ticket);
 }
 
@@ -57,9 +57,9 @@
 hold_order read_hold(const job_wire::relayed_hold& message) {
     hold_order order;
     if (message.has_until()) {
-        order.until_ms = message.until_ms();
+        order.lease_end_ms = message.until_ms();
     }
-    order.acknowledged = message.acknowledged();
+    order.acknowledged_up_to = message.acknowledged();
     order.wait = milliseconds{message.wait_ms()};
     return order;
 }
@@ -74,8 +74,8 @@
     start_order order;
     order.run = decode_run(message);
     order.job = std::move(job);
-    order.until_ms = message.until_ms();
-    order.saved = message.saved();
+    order.lease_end_ms = message.until_ms();
+    order.checkpoint = message.saved();
     order.ticket = message.ticket();
     return order;
 }
@@ -129,7 +129,7 @@
     message.set_fence(target.fence);
     message.set_address(target.address);
     message.set_timeout_ms(to_milliseconds(target.timeout));
-    message.set_is_fresh(target.is_fresh);
+    message.set_is_fresh(target.use_new_connection);
     std::visit(
         [&](const auto& item) {
             if constexpr (!std::is_same_v<std::decay_t<decltype(item)>, advise_order>) {
@@ -172,14 +172,14 @@
     return order;
 }
 
-void encode(const hold_outcome& outcome, job_wire::relayed_answer& message) {
+void encode(const order_outcome& outcome, job_wire::relayed_answer& message) {
     message.set_failure(outcome.failure.has_value() ? static_cast<std::uint32_t>(*outcome.failure) : 0);
     message.set_clock_ms(outcome.answer.clock_ms);
     message.set_born_ms(outcome.answer.process_start_ms);
     for (const auto& row : outcome.answer.running) {
         auto& item = *message.add_running();
         encode_run(row.run, item);
-        item.set_saved(row.saved);
+        item.set_saved(row.checkpoint);
         item.set_percent(row.percent);
         item.set_level(row.level);
     }
@@ -188,12 +188,12 @@
         item.set_number(row.number);
         encode_run(row.run, item);
         item.set_end(static_cast<std::uint32_t>(row.end));
-        item.set_saved(row.saved);
+        item.set_saved(row.checkpoint);
     }
 }
 
-hold_outcome decode(const job_wire::relayed_answer& message) {
-    hold_outcome outcome;
+order_outcome decode(const job_wire::relayed_answer& message) {
+    order_outcome outcome;
     if (message.failure() != 0) {
         outcome.failure = static_cast<order_failure>(message.failure());
     }
--- a/poplarpitch/relay/relay_codec.h
+++ b/poplarpitch/relay/relay_codec.h
@@ -35,9 +35,9 @@
 [[nodiscard]] std::optional<worker_order> read_order(const job_wire::relayed_order& message,
                                                      const job_wire::relay_orders& frame);
 /// Writes the outcome of an order.
-void encode(const hold_outcome& outcome, job_wire::relayed_answer& message);
+void encode(const order_outcome& outcome, job_wire::relayed_answer& message);
 /// Reads the outcome of an order.
-[[nodiscard]] hold_outcome decode(const job_wire::relayed_answer& message);
+[[nodiscard]] order_outcome decode(const job_wire::relayed_answer& message);
 /// Writes a full worker report.
 void encode(const worker_report& report, job_wire::relayed_report& message);
 /// Reads a full worker report.
--- a/poplarpitch/relay/relay_hub.cpp
+++ b/poplarpitch/relay/relay_hub.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Returns the outcome of an order without an answer.
-hold_outcome make_lost_outcome(const order_name& name) {
+order_outcome make_lost_outcome(const order_name& name) {
     const bool is_hold = name.what == order_name::kind::hold;
     return {is_hold ? order_failure::not_sent : order_failure::unanswered, {}};
 }
@@ -88,7 +88,7 @@
     return outcomes;
 }
 
-std::optional<relayed_outcome> relay_hub::complete_order(std::uint64_t number, hold_outcome outcome) {
+std::optional<relayed_outcome> relay_hub::complete_order(std::uint64_t number, order_outcome outcome) {
     const auto found = m_open.find(number);
     if (found == m_open.end()) {
         return std::nullopt; // it has its outcome already
--- a/poplarpitch/relay/relay_hub.h
+++ b/poplarpitch/relay/relay_hub.h
@@ -100,7 +100,7 @@
     /// Removes an order that got no answer, and appends its outcome. Does nothing when the order is not open.
     void fail_order(std::uint64_t number, std::vector<relayed_outcome>& outcomes);
     /// Removes an order and returns its outcome, or nothing when the order is not open.
-    std::optional<relayed_outcome> complete_order(std::uint64_t number, hold_outcome outcome);
+    std::optional<relayed_outcome> complete_order(std::uint64_t number, order_outcome outcome);
     void on_relays_changed();
 
     relay_settings m_settings;
--- a/poplarpitch/relay/relayed_outcome.h
+++ b/poplarpitch/relay/relayed_outcome.h
@@ -8,7 +8,7 @@
 /// Outcome of a relayed order. Only the answer to a hold order has lists.
 struct relayed_outcome {
     order_name order;
-    hold_outcome outcome;
+    order_outcome outcome;
 
     friend bool operator==(const relayed_outcome&, const relayed_outcome&) = default;
 };
--- a/poplarpitch/scheduler/scheduler_dialect.h
+++ b/poplarpitch/scheduler/scheduler_dialect.h
@@ -33,7 +33,7 @@
     { T::write_order(advise) } -> std::same_as<http_request>;
     { T::read_advice(response) } -> std::same_as<advice_outcome>;
     { T::read_order_answer(response) } -> std::same_as<order_answer>;
-    { T::read_hold_answer(response) } -> std::same_as<hold_outcome>;
+    { T::read_hold_answer(response) } -> std::same_as<order_outcome>;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -29,7 +29,7 @@
 template <scheduler_dialect Dialect>
 class worker_link {
 public:
-    using outcome_handler = std::function<void(hold_outcome)>;
+    using outcome_handler = std::function<void(order_outcome)>;
 
     /// Precondition: `loop` and `caller` outlive the object.
     worker_link(event_loop& loop, http_caller& caller) : m_loop(loop), m_caller(caller) {}
@@ -67,13 +67,13 @@
     /// Returns true when the refusal of a repeated start does not tell whether the earlier attempt succeeded.
     /// A refusal because the run is old, or because another incarnation of the worker answered, does tell.
     static bool is_inconclusive(const http_response& response, const std::optional<order_failure>& failure) {
-        const bool is_refused = failure.has_value() && failure != order_failure::old_run &&
+        const bool is_refused = failure.has_value() && failure != order_failure::stale_run &&
                                 failure != order_failure::other_incarnation;
         return response.is_repeated && is_refused;
     }
 
     template <class Order>
-    static hold_outcome read(const result<http_response>& response) {
+    static order_outcome read(const result<http_response>& response) {
         if (!response) {
             return {get_failure(response.error()), {}};
         }
@@ -81,7 +81,7 @@
             return Dialect::read_hold_answer(response.value());
         } else {
             const auto answer = Dialect::read_order_answer(response.value());
-            hold_outcome outcome;
+            order_outcome outcome;
             outcome.failure = answer.failure;
             if (std::is_same_v<Order, start_order> && is_inconclusive(response.value(), answer.failure)) {
                 outcome.failure = order_failure::unanswered;
@@ -100,7 +100,7 @@
     void send_hold(const hold_order& order, outcome_handler on_outcome) {
         const bool has_one_incarnation =
             order.target.worker.process_start_ms == 0; // the id alone identifies it
-        if (order.acknowledged == 0 || has_one_incarnation) {
+        if (order.acknowledged_up_to == 0 || has_one_incarnation) {
             request_list(order, make_call(order), std::move(on_outcome));
             return;
         }
@@ -113,7 +113,7 @@
         pinned.is_fresh = false;
         pinned.opened_before = last->second.requested_at;
         request_list(order, std::move(pinned),
-                     [this, order, on_outcome = std::move(on_outcome)](hold_outcome outcome) {
+                     [this, order, on_outcome = std::move(on_outcome)](order_outcome outcome) {
                          if (outcome.failure == order_failure::not_sent) {
                              request_without_acknowledgement(order, on_outcome);
                              return;
@@ -123,14 +123,14 @@
     }
 
     void request_without_acknowledgement(hold_order order, outcome_handler on_outcome) {
-        order.acknowledged = 0;
+        order.acknowledged_up_to = 0;
         order.wait = duration{0};
         request_list(order, make_call(order), std::move(on_outcome));
     }
 
     void request_list(const hold_order& order, http_call request, outcome_handler on_outcome) {
         call<hold_order>(std::move(request), [this, target = order.target, requested_at = m_loop.now(),
-                                              on_outcome = std::move(on_outcome)](hold_outcome outcome) {
+                                              on_outcome = std::move(on_outcome)](order_outcome outcome) {
             if (!outcome.failure.has_value()) {
                 record_list(target, outcome.answer.process_start_ms, requested_at);
             }
@@ -151,7 +151,7 @@
         call.address = order.target.address;
         call.request = Dialect::write_order(order);
         call.timeout = order.target.timeout;
-        call.is_fresh = order.target.is_fresh;
+        call.is_fresh = order.target.use_new_connection;
         call.importance = get_importance(order);
         call.is_long = std::is_same_v<Order, hold_order>;
         return call;
--- a/poplarpitch/scheduler/worker_orders.h
+++ b/poplarpitch/scheduler/worker_orders.h
@@ -61,19 +61,19 @@
             return;
         }
         auto name = get_order_name(order);
-        m_link.send(
-            order, [this, name = std::move(*name), term = m_parts.dispatch.get_term()](hold_outcome outcome) {
-                if (term == m_parts.dispatch.get_term()) {
-                    deliver({name, std::move(outcome)});
-                }
-            });
+        m_link.send(order, [this, name = std::move(*name),
+                            term = m_parts.dispatch.get_term()](order_outcome outcome) {
+            if (term == m_parts.dispatch.get_term()) {
+                deliver({name, std::move(outcome)});
+            }
+        });
     }
 
     /// Queues an order for a relay. Returns false when the order has to be sent directly.
     bool try_relay(const worker_order& order) {
         const auto* worker = m_parts.dispatch.find_worker_state(get_order_target(order)->worker);
         return worker != nullptr &&
-               m_parts.relays.add(order, worker->report.data_centre, worker->spread, m_parts.loop.now());
+               m_parts.relays.add(order, worker->report.data_centre, worker->worker_hash, m_parts.loop.now());
     }
 
     void send_frames() {
--- a/poplarpitch/scheduling/hold_answer.h
+++ b/poplarpitch/scheduling/hold_answer.h
@@ -12,31 +12,31 @@
 namespace poplarpitch {
 
 /// A run that a worker reports as running.
-struct run_row {
+struct run_entry {
     run_key run;
-    std::string saved;        ///< newest checkpoint; empty for none
+    std::string checkpoint;   ///< newest checkpoint; empty for none
     std::int64_t percent = 0; ///< progress of its work; for a long-running task, 100 when it is working
     std::int64_t level = 0;   ///< over the last half second; serving tasks: tail latency of their answers in
                               ///< ms; others: millicores in use
 
-    friend auto operator<=>(const run_row&, const run_row&) = default;
+    friend auto operator<=>(const run_entry&, const run_entry&) = default;
 };
 
 /// A run that a worker reports as ended, until the end is acknowledged.
-struct end_row {
+struct run_end_entry {
     std::uint64_t number = 0; ///< increases from 1 in each incarnation of the worker
     run_key run;
     run_end end = run_end::done;
-    std::string saved;
+    std::string checkpoint;
 
-    friend auto operator<=>(const end_row&, const end_row&) = default;
+    friend auto operator<=>(const run_end_entry&, const run_end_entry&) = default;
 };
 
 /// A worker's complete list of runs.
 struct hold_answer {
     std::int64_t clock_ms = 0; ///< the worker's clock
-    std::vector<run_row> running;
-    std::vector<end_row> ended; ///< at most `max_ended_rows` in one answer
+    std::vector<run_entry> running;
+    std::vector<run_end_entry> ended; ///< at most `max_ended_rows` in one answer
     std::int64_t process_start_ms =
         0; ///< Unix time at which the worker's process started; 0 when not reported
 
@@ -44,7 +44,7 @@
 
     /// Returns the keys of all listed runs, sorted. Thread safety: any thread while no thread modifies the
     /// object.
-    [[nodiscard]] std::vector<run_key> get_listed() const {
+    [[nodiscard]] std::vector<run_key> get_listed_runs() const {
         std::vector<run_key> listed;
         listed.reserve(running.size() + ended.size());
         for (const auto& row : running) {
--- a/poplarpitch/scheduling/job_codec.cpp
+++ b/poplarpitch/scheduling/job_codec.cpp
@@ -95,7 +95,7 @@
     message.set_phase(static_cast<std::uint32_t>(task.phase));
     message.set_last_run(task.last_run);
     message.set_failures(task.failures);
-    message.set_saved(task.saved);
+    message.set_saved(task.checkpoint);
     for (const auto& run : task.runs) {
         auto& item = *message.add_runs();
         item.set_run(run.run);
@@ -116,7 +116,7 @@
     task.phase = static_cast<task_phase>(message.phase());
     task.last_run = message.last_run();
     task.failures = message.failures();
-    task.saved = message.saved();
+    task.checkpoint = message.saved();
     for (const auto& run : message.runs()) {
         task.runs.push_back({run.run(), {run.worker(), run.born_ms()}, run.address()});
     }
--- a/poplarpitch/scheduling/job_record.h
+++ b/poplarpitch/scheduling/job_record.h
@@ -27,7 +27,7 @@
     task_phase phase = task_phase::waiting;
     std::uint32_t last_run = 0;     ///< highest run number assigned so far
     std::uint32_t failures = 0;     ///< ended runs that count against the queue's `max_attempts`
-    std::string saved;              ///< newest checkpoint; empty for none
+    std::string checkpoint;         ///< newest checkpoint; empty for none
     std::vector<assigned_run> runs; ///< more than one only for speculative copies
     crash_history crash;            ///< crashes of workers under the task
 
--- a/poplarpitch/scheduling/job_state_machine.cpp
+++ b/poplarpitch/scheduling/job_state_machine.cpp
@@ -150,7 +150,7 @@
     return command_outcome::applied;
 }
 
-command_outcome job_state_machine::end(const job_state_event& ended, const std::string& saved,
+command_outcome job_state_machine::end(const job_state_event& ended, const std::string& checkpoint,
                                        std::vector<job_state_event>& events) {
     events.push_back(ended); // even when nothing changes, so that the worker may forget the end
     const auto found = m_jobs.find(ended.run.task.step.job);
@@ -172,8 +172,8 @@
     if (task->phase != task_phase::active) {
         return command_outcome::applied; // another copy ended before, or the job was cancelled
     }
-    if (!saved.empty()) {
-        task->saved = saved;
+    if (!checkpoint.empty()) {
+        task->checkpoint = checkpoint;
     }
     task->crash.record_run_age(ended.age_ms);
     if (ended.crash != crash_evidence::none && count_crash(record, *task, ended, events)) {
--- a/poplarpitch/scheduling/job_state_machine.h
+++ b/poplarpitch/scheduling/job_state_machine.h
@@ -62,7 +62,7 @@
     command_outcome cancel(job_id id, std::vector<job_state_event>& events);
     command_outcome assign(const run_key& key, assigned_run run, std::vector<job_state_event>& events);
     command_outcome retire(const worker_incarnation& worker, std::vector<job_state_event>& events);
-    command_outcome end(const job_state_event& ended, const std::string& saved,
+    command_outcome end(const job_state_event& ended, const std::string& checkpoint,
                         std::vector<job_state_event>& events);
     /// Records a crash that was detected after its run had been given up.
     command_outcome record_crash(const job_state_event& crashed, std::vector<job_state_event>& events);
--- a/poplarpitch/scheduling/order_failure.h
+++ b/poplarpitch/scheduling/order_failure.h
@@ -6,14 +6,14 @@
 
 /// Why an order to a worker was not carried out, or why its result is unknown.
 enum class order_failure : std::uint8_t {
-    unreachable = 1,   ///< no connection; nothing was sent
-    not_sent,          ///< surely not sent; nothing is known about the worker
-    unanswered,        ///< sent without an answer: it may have been carried out, or may be seconds later
-    other_incarnation, ///< another incarnation of a worker answers at that address
-    lower_fence,       ///< the worker has seen a higher fence
-    old_run,           ///< a run with the same or a higher number was stopped or ended there
-    late_lease,        ///< the lease in the order had expired
-    no_room,
+    unreachable = 1,       ///< no connection; nothing was sent
+    not_sent,              ///< surely not sent; nothing is known about the worker
+    unanswered,            ///< sent without an answer: it may have been carried out, or may be seconds later
+    other_incarnation,     ///< another incarnation of a worker answers at that address
+    lower_fence,           ///< the worker has seen a higher fence
+    stale_run,             ///< a run with the same or a higher number was stopped or ended there
+    lease_already_expired, ///< the lease in the order had expired
+    no_capacity,
     no_ticket,
     unhealthy, ///< the worker refuses all orders at present and did not carry this one out
     malformed, ///< the worker cannot parse the order
@@ -32,11 +32,11 @@
         return "other_life";
     case order_failure::lower_fence:
         return "lower_fence";
-    case order_failure::old_run:
+    case order_failure::stale_run:
         return "old_run";
-    case order_failure::late_lease:
+    case order_failure::lease_already_expired:
         return "late_lease";
-    case order_failure::no_room:
+    case order_failure::no_capacity:
         return "no_room";
     case order_failure::no_ticket:
         return "no_ticket";
--- a/poplarpitch/scheduling/run_end.h
+++ b/poplarpitch/scheduling/run_end.h
@@ -7,13 +7,13 @@
 /// How a run ended. The numeric values are stored in the log.
 enum class run_end : std::uint8_t {
     done = 1,
-    failed = 2,      ///< by its own fault or the worker's; counts against the queue's `max_attempts`
-    stopped = 3,     ///< by the leader's order
-    lapsed = 4,      ///< its worker's lease expired
-    broken = 5,      ///< another member of its gang ended
-    alone = 6,       ///< it waited too long for the other members of its gang
-    not_started = 7, ///< it surely never ran and never will
-    lost = 8,        ///< its worker is gone, or was unreachable until its lease had surely expired
+    failed = 2,        ///< by its own fault or the worker's; counts against the queue's `max_attempts`
+    stopped = 3,       ///< by the leader's order
+    lease_expired = 4, ///< its worker's lease expired
+    gang_broken = 5,   ///< another member of its gang ended
+    gang_timeout = 6,  ///< it waited too long for the other members of its gang
+    not_started = 7,   ///< it surely never ran and never will
+    lost = 8,          ///< its worker is gone, or was unreachable until its lease had surely expired
 };
 
 /// Returns the name of the end in logs. Thread safety: any thread.
@@ -25,11 +25,11 @@
         return "failed";
     case run_end::stopped:
         return "stopped";
-    case run_end::lapsed:
+    case run_end::lease_expired:
         return "lapsed";
-    case run_end::broken:
+    case run_end::gang_broken:
         return "broken";
-    case run_end::alone:
+    case run_end::gang_timeout:
         return "alone";
     case run_end::not_started:
         return "not_started";
--- a/poplarpitch/scheduling/worker_order.h
+++ b/poplarpitch/scheduling/worker_order.h
@@ -23,7 +23,7 @@
     std::string address;
     std::uint64_t fence = 0; ///< fencing token: increases with each leader and each incarnation of the
                              ///< worker, which refuses a lower one
-    bool is_fresh = false;   ///< use a new connection
+    bool use_new_connection = false;
     duration timeout{};
 
     friend bool operator==(const order_target&, const order_target&) = default;
@@ -33,9 +33,9 @@
 struct hold_order {
     order_target target;
     std::optional<std::int64_t>
-        until_ms; ///< end of the lease on the worker's clock; nothing while that clock is unknown
-    std::uint64_t acknowledged = 0; ///< the worker may forget ends up to this number
-    duration wait{};                ///< the worker answers at the next end, at the latest after this time
+        lease_end_ms; ///< end of the lease on the worker's clock; nothing while that clock is unknown
+    std::uint64_t acknowledged_up_to = 0; ///< the worker may forget ends up to this number
+    duration wait{}; ///< the worker answers at the next end, at the latest after this time
 
     friend bool operator==(const hold_order&, const hold_order&) = default;
 };
@@ -45,9 +45,9 @@
     order_target target;
     run_key run;
     std::shared_ptr<const step_job> job; ///< for its payload
-    std::int64_t until_ms = 0;
-    std::string saved;  ///< checkpoint to resume from; empty for none
-    std::string ticket; ///< from the advice service; empty for none
+    std::int64_t lease_end_ms = 0;
+    std::string checkpoint; ///< checkpoint to resume from; empty for none
+    std::string ticket;     ///< from the advice service; empty for none
 
     friend bool operator==(const start_order&, const start_order&) = default;
 };
@@ -91,12 +91,12 @@
     friend auto operator<=>(const order_answer&, const order_answer&) = default;
 };
 
-/// A worker's answer to a hold.
-struct hold_outcome {
+/// The outcome of an order. Only a hold has a list of runs in its answer.
+struct order_outcome {
     std::optional<order_failure> failure;
     hold_answer answer; ///< empty with a failure
 
-    friend bool operator==(const hold_outcome&, const hold_outcome&) = default;
+    friend bool operator==(const order_outcome&, const order_outcome&) = default;
 };
 
 } // namespace poplarpitch
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -79,7 +79,7 @@
     std::int64_t lease_ms = 0;
     std::map<run_key, simulated_run> running;
     std::map<task_key, std::uint32_t> highest_runs; ///< runs up to this number are refused
-    std::vector<end_row> ended;
+    std::vector<run_end_entry> ended;
     std::set<std::uint64_t> lapsed_ends; ///< numbers of the ends listed when the lease expired; the outcome
                                          ///< of these may be unknown
     std::optional<hold_order> hold;
@@ -357,7 +357,7 @@
         relay_settings{}, node.place,
         [this, &node](const worker_order& order, const relay_agent::outcome_handler& on_outcome) {
             const auto process_number = node.process_number;
-            send_to_worker(order, [this, &node, process_number, on_outcome](const hold_outcome& outcome) {
+            send_to_worker(order, [this, &node, process_number, on_outcome](const order_outcome& outcome) {
                 if (node.process_number != process_number || node.agent == nullptr) {
                     return;
                 }
@@ -561,7 +561,7 @@
 void crash_world::lapse(worker& target) {
     m_lapsed_runs += static_cast<int>(target.running.size());
     while (!target.running.empty()) {
-        end_run(target, target.running.begin()->first, run_end::lapsed);
+        end_run(target, target.running.begin()->first, run_end::lease_expired);
     }
     for (const auto& row : target.ended) {
         target.lapsed_ends.insert(row.number);
@@ -702,10 +702,10 @@
     }
     const auto* state = m_scheduler.find_worker_state(name->worker);
     if (m_settings.data_centres > 0 && state != nullptr &&
-        m_hub.add(order, state->report.data_centre, state->spread, m_now)) {
+        m_hub.add(order, state->report.data_centre, state->worker_hash, m_now)) {
         return;
     }
-    send_to_worker(order, [this, name = *name, term = m_term](const hold_outcome& outcome) {
+    send_to_worker(order, [this, name = *name, term = m_term](const order_outcome& outcome) {
         if (m_has_leader && term == m_term) {
             deliver({name, outcome});
         }
@@ -725,7 +725,7 @@
 }
 
 void crash_world::send_to_worker(const worker_order& order,
-                                 const std::function<void(hold_outcome)>& on_outcome) {
+                                 const std::function<void(order_outcome)>& on_outcome) {
     std::visit(
         [&](const auto& item) {
             using order_type = std::decay_t<decltype(item)>;
@@ -757,7 +757,7 @@
         order);
 }
 
-void crash_world::complete(const sent_order_ptr& sent, const hold_outcome& outcome) {
+void crash_world::complete(const sent_order_ptr& sent, const order_outcome& outcome) {
     if (!std::exchange(sent->is_completed, true)) {
         sent->on_outcome(outcome);
     }
@@ -767,7 +767,7 @@
     schedule_call(wait, [sent] { complete(sent, {order_failure::unanswered, {}}); });
 }
 
-void crash_world::send_answer(worker& target, const sent_order_ptr& sent, const hold_outcome& outcome) {
+void crash_world::send_answer(worker& target, const sent_order_ptr& sent, const order_outcome& outcome) {
     if (m_now < target.one_way_partition_until) {
         return; // the sender's timeout completes the order
     }
@@ -783,8 +783,8 @@
     complete(sent, outcome);
 }
 
-hold_outcome crash_world::make_outcome(const worker& target, std::optional<order_failure> failure) const {
-    hold_outcome outcome{failure, {}};
+order_outcome crash_world::make_outcome(const worker& target, std::optional<order_failure> failure) const {
+    order_outcome outcome{failure, {}};
     if (m_settings.data_centres > 0) {
         outcome.answer.clock_ms = get_clock(target);
     }
@@ -812,10 +812,10 @@
 
 void crash_world::execute(const hold_order& order, worker& target, const sent_order_ptr& sent) {
     target.lease_ms =
-        std::max(target.lease_ms, std::min(order.until_ms.value_or(0), get_clock(target) + max_lease_ms));
+        std::max(target.lease_ms, std::min(order.lease_end_ms.value_or(0), get_clock(target) + max_lease_ms));
     if (order.target.worker.process_start_ms ==
         target.process_start_ms) { // it is valid only for the incarnation it names
-        acknowledge(target, order.acknowledged);
+        acknowledge(target, order.acknowledged_up_to);
     }
     if (target.hold.has_value()) {
         answer_hold(target); // every hold gets an answer
@@ -847,7 +847,7 @@
                                    " was acknowledged after its task was started again");
         }
     }
-    std::erase_if(target.ended, [&](const end_row& row) { return row.number <= number; });
+    std::erase_if(target.ended, [&](const run_end_entry& row) { return row.number <= number; });
 }
 
 void crash_world::answer_hold(worker& target) {
@@ -886,18 +886,19 @@
 
 std::optional<order_failure> crash_world::start_run(const start_order& order, worker& target) {
     const auto& key = order.run;
-    if (order.until_ms < get_clock(target)) {
+    if (order.lease_end_ms < get_clock(target)) {
         ++m_late_leases;
-        return order_failure::late_lease;
+        return order_failure::lease_already_expired;
     }
-    target.lease_ms = std::max(target.lease_ms, std::min(order.until_ms, get_clock(target) + max_lease_ms));
+    target.lease_ms =
+        std::max(target.lease_ms, std::min(order.lease_end_ms, get_clock(target) + max_lease_ms));
     if (target.running.contains(key)) {
         return std::nullopt;
     }
     const auto other = std::find_if(target.running.begin(), target.running.end(),
                                     [&](const auto& item) { return item.first.task == key.task; });
     if (key.run <= target.highest_runs[key.task] || other != target.running.end()) {
-        return order_failure::old_run;
+        return order_failure::stale_run;
     }
     const auto& job = m_jobs.at(key.task.step.job);
     const auto& spec = job->steps[key.task.step.step];
@@ -907,7 +908,7 @@
             free -= get_need(run.job->steps[running.task.step.step]);
         }
         if (!free.holds(get_need(spec))) {
-            return order_failure::no_room;
+            return order_failure::no_capacity;
         }
     }
     auto& history = m_histories[key.task];
@@ -953,7 +954,7 @@
         schedule_call(gang_timeout, [this, member, count] {
             for (const auto& [host, key] : find_members(member)) {
                 if (key == member && find_members(member).size() < count) {
-                    end_run(*host, key, run_end::alone);
+                    end_run(*host, key, run_end::gang_timeout);
                 }
             }
         });
@@ -988,7 +989,7 @@
     }
     schedule_call(gang_break_delay, [this, member] {
         for (const auto& [host, key] : find_members(member)) {
-            end_run(*host, key, run_end::broken);
+            end_run(*host, key, run_end::gang_broken);
         }
     });
 }
@@ -1030,7 +1031,7 @@
         m_histories[ended.task].is_done = true;
         m_histories[ended.task].is_started_since = false;
     }
-    if (how != run_end::done && how != run_end::broken) {
+    if (how != run_end::done && how != run_end::gang_broken) {
         break_gang(ended);
     }
     auto& highest_runs = target.highest_runs[ended.task];
--- a/unit_tests/dispatch/crash_world.h
+++ b/unit_tests/dispatch/crash_world.h
@@ -124,7 +124,7 @@
     struct relay;
     /// An order whose sender waits for its outcome.
     struct sent_order {
-        std::function<void(hold_outcome)> on_outcome;
+        std::function<void(order_outcome)> on_outcome;
         bool is_completed = false;
     };
     using sent_order_ptr = std::shared_ptr<sent_order>;
@@ -167,7 +167,7 @@
     void change_capacity(worker& target);
     void send_report(const worker_report& report);
     void send(const worker_order& order);
-    void send_to_worker(const worker_order& order, const std::function<void(hold_outcome)>& on_outcome);
+    void send_to_worker(const worker_order& order, const std::function<void(order_outcome)>& on_outcome);
     void deliver(const relayed_outcome& item);
     template <class Order>
     void receive_order(const Order& order, worker& target, const sent_order_ptr& sent);
@@ -191,12 +191,13 @@
     [[nodiscard]] hold_answer make_list(const worker& target);
     void check_capacity(const worker& target);
     /// Passes the outcome to the order's sender unless it already has one.
-    static void complete(const sent_order_ptr& sent, const hold_outcome& outcome);
+    static void complete(const sent_order_ptr& sent, const order_outcome& outcome);
     /// Sends an answer that a worker writes now; faults may delay or lose it.
-    void send_answer(worker& target, const sent_order_ptr& sent, const hold_outcome& outcome);
+    void send_answer(worker& target, const sent_order_ptr& sent, const order_outcome& outcome);
     void time_out_after(duration wait, const sent_order_ptr& sent);
     /// Returns the answer to a start or stop. It contains the worker's clock when there are relays.
-    [[nodiscard]] hold_outcome make_outcome(const worker& target, std::optional<order_failure> failure) const;
+    [[nodiscard]] order_outcome make_outcome(const worker& target,
+                                             std::optional<order_failure> failure) const;
 
     void inject_control_faults();
     void inject_worker_faults();
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -169,7 +169,7 @@
     world.add_worker("w1");
     const auto job = world.submit({make_step()});
     const auto order = take_only_start(world);
-    world.answer(order, order_failure::old_run);
+    world.answer(order, order_failure::stale_run);
     ASSERT_NE(world.scheduler.find_track(order.run), nullptr);
     EXPECT_FALSE(world.scheduler.find_track(order.run)->is_ending);
     world.advance(milliseconds{20});
@@ -191,7 +191,7 @@
         world.wait_for_hold("w1");
         const auto holds = world.take<hold_order>();
         ASSERT_EQ(holds.size(), 1U);
-        EXPECT_EQ(holds[0].until_ms.has_value(), round == 0)
+        EXPECT_EQ(holds[0].lease_end_ms.has_value(), round == 0)
             << "no lease is renewed for what is not to run there";
         world.answer_hold("w1", make_list_of(stray));
         const auto stops = world.take<stop_order>();
@@ -223,7 +223,7 @@
         world.advance(
             milliseconds{11}); // not a divisor of a lease: an expired one is noticed in the next step
         for (const auto& hold : world.take<hold_order>()) {
-            granted = hold.until_ms.has_value() && hold.target.worker.id == "w1" ? world.now : granted;
+            granted = hold.lease_end_ms.has_value() && hold.target.worker.id == "w1" ? world.now : granted;
         }
         world.send_heartbeat("w2");
         again = world.take<start_order>();
@@ -238,11 +238,11 @@
     world.add_worker("w1");
     world.submit({make_step()});
     const auto order = take_only_start(world);
-    world.answer(order, order_failure::late_lease);
+    world.answer(order, order_failure::lease_already_expired);
     world.advance(milliseconds{100});
     const auto again = take_only_start(world);
     EXPECT_EQ(again.run, order.run);
-    EXPECT_GT(again.until_ms, order.until_ms);
+    EXPECT_GT(again.lease_end_ms, order.lease_end_ms);
 }
 
 TEST(dispatcher_ending, takes_a_list_that_hides_its_life_for_no_word_of_another_one) {
@@ -289,7 +289,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(all, dispatcher_refusal,
-                         testing::Values(order_failure::no_room, order_failure::no_ticket,
+                         testing::Values(order_failure::no_capacity, order_failure::no_ticket,
                                          order_failure::unhealthy, order_failure::malformed,
                                          order_failure::lower_fence),
                          [](const auto& item) { return std::string(get_failure_name(item.param)); });
--- a/unit_tests/dispatch/dispatcher_history_log_test.cpp
+++ b/unit_tests/dispatch/dispatcher_history_log_test.cpp
@@ -20,7 +20,7 @@
 
 hold_answer list_running(const start_order& order) {
     hold_answer list;
-    run_row row;
+    run_entry row;
     row.run = order.run;
     list.running.push_back(row);
     return list;
@@ -74,7 +74,7 @@
     expect_one(logs, "run_ended", {"end=not_started", "ground=not_listed"});
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
-    world.answer(again[0], order_failure::no_room);
+    world.answer(again[0], order_failure::no_capacity);
     EXPECT_NE(logs.find("run_ended").back().find("ground=given_back"), std::string::npos);
 }
 
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -49,7 +49,7 @@
     const auto holds = world.take<hold_order>();
     ASSERT_FALSE(holds.empty());
     for (const auto& hold : holds) {
-        EXPECT_FALSE(hold.until_ms.has_value());
+        EXPECT_FALSE(hold.lease_end_ms.has_value());
     }
 }
 
@@ -119,7 +119,7 @@
     const auto again = world.take<start_order>();
     ASSERT_EQ(again.size(), 1U);
     EXPECT_EQ(again[0].target.worker.id, "w2");
-    EXPECT_EQ(again[0].saved, "saved");
+    EXPECT_EQ(again[0].checkpoint, "saved");
 }
 
 TEST(dispatcher_loss, sends_no_start_to_a_worker_that_said_it_leaves_while_the_assignment_was_committed) {
@@ -192,9 +192,9 @@
 TEST(dispatcher_loss, acknowledges_an_end_only_after_it_is_committed) {
     dispatch_world world;
     list_one_end_of_two_runs(world);
-    EXPECT_EQ(world.find_worker("w1")->acknowledged, 0U);
+    EXPECT_EQ(world.find_worker("w1")->acknowledged_up_to, 0U);
     world.run_until_idle();
-    EXPECT_EQ(world.find_worker("w1")->acknowledged, 1U);
+    EXPECT_EQ(world.find_worker("w1")->acknowledged_up_to, 1U);
 }
 
 TEST(dispatcher_loss, sends_the_next_hold_only_once_the_listed_ends_are_committed) {
@@ -213,7 +213,7 @@
     world.advance(milliseconds{10});
     const auto holds = world.take<hold_order>();
     ASSERT_EQ(holds.size(), 1U);
-    EXPECT_EQ(holds[0].acknowledged, 1U);
+    EXPECT_EQ(holds[0].acknowledged_up_to, 1U);
     EXPECT_GT(holds[0].wait, duration{0});
 }
 
@@ -262,8 +262,8 @@
     world.advance(seconds{1});
     const auto holds = world.take<hold_order>();
     ASSERT_EQ(holds.size(), 1U);
-    EXPECT_TRUE(holds[0].until_ms.has_value());
-    EXPECT_EQ(holds[0].acknowledged, 0U);
+    EXPECT_TRUE(holds[0].lease_end_ms.has_value());
+    EXPECT_EQ(holds[0].acknowledged_up_to, 0U);
 }
 
 // A leader was killed 2 s after four workers had crashed. The next leader knew these incarnations only by id,
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -54,7 +54,7 @@
 std::uint64_t get_last_acknowledged(dispatch_world& world) {
     const auto holds = world.take<hold_order>();
     EXPECT_FALSE(holds.empty());
-    return holds.empty() ? 0 : holds.back().acknowledged;
+    return holds.empty() ? 0 : holds.back().acknowledged_up_to;
 }
 
 TEST(dispatcher_restart, acknowledges_to_the_next_incarnation_nothing_that_the_former_one_listed) {
--- a/unit_tests/dispatch/dispatcher_start_test.cpp
+++ b/unit_tests/dispatch/dispatcher_start_test.cpp
@@ -34,7 +34,7 @@
     ASSERT_EQ(second.size(), 1U);
     EXPECT_EQ(second[0].run, first[0].run);
     EXPECT_EQ(second[0].target.worker.id, first[0].target.worker.id);
-    EXPECT_TRUE(second[0].target.is_fresh);
+    EXPECT_TRUE(second[0].target.use_new_connection);
 }
 
 TEST(dispatcher_start, takes_a_run_that_ended_unheard_for_what_its_worker_lists) {
@@ -47,7 +47,7 @@
     world.advance(milliseconds{200});
     const auto second = world.take<start_order>();
     ASSERT_EQ(second.size(), 1U);
-    world.answer(second[0], order_failure::old_run); // the run had ended by then
+    world.answer(second[0], order_failure::stale_run); // the run had ended by then
     world.wait_for_hold("w1");
     hold_answer list;
     list.ended.push_back({1, first[0].run, run_end::done, ""});
--- a/unit_tests/platform/dialect_test.cpp
+++ b/unit_tests/platform/dialect_test.cpp
@@ -121,8 +121,8 @@
     step_job job;
     job.payload = "text";
     order.job = std::make_shared<const step_job>(job);
-    order.until_ms = 486000;
-    order.saved = "00ab";
+    order.lease_end_ms = 486000;
+    order.checkpoint = "00ab";
     const auto request = write_order(order);
     EXPECT_EQ(request.target, "/v1/run-start");
     EXPECT_EQ(request.headers.get("Expect-Instance"), "i-7f");
@@ -184,8 +184,8 @@
     EXPECT_EQ(outcome.answer.running[0].level, 52);
     ASSERT_EQ(outcome.answer.ended.size(), 2U);
     EXPECT_EQ(outcome.answer.ended[0].end, run_end::done);
-    EXPECT_EQ(outcome.answer.ended[1].end, run_end::lapsed);
-    EXPECT_EQ(outcome.answer.ended[1].saved, "77");
+    EXPECT_EQ(outcome.answer.ended[1].end, run_end::lease_expired);
+    EXPECT_EQ(outcome.answer.ended[1].checkpoint, "77");
 }
 
 TEST(platform_worker, takes_a_list_that_cannot_be_read_for_no_answer) {
@@ -219,9 +219,9 @@
     };
     EXPECT_EQ(read(200, ""), std::nullopt);
     EXPECT_EQ(read(409, "fence"), order_failure::lower_fence);
-    EXPECT_EQ(read(409, "old"), order_failure::old_run);
-    EXPECT_EQ(read(409, "late"), order_failure::late_lease);
-    EXPECT_EQ(read(409, "room"), order_failure::no_room);
+    EXPECT_EQ(read(409, "old"), order_failure::stale_run);
+    EXPECT_EQ(read(409, "late"), order_failure::lease_already_expired);
+    EXPECT_EQ(read(409, "room"), order_failure::no_capacity);
     EXPECT_EQ(read(409, "ticket"), order_failure::no_ticket);
     EXPECT_EQ(read(421, ""), order_failure::other_incarnation);
     EXPECT_EQ(read(429, ""), order_failure::unhealthy);
--- a/unit_tests/platform/start_link_test.cpp
+++ b/unit_tests/platform/start_link_test.cpp
@@ -85,9 +85,9 @@
     order.job = std::make_shared<step_job>();
     loop.call_after(wait_timeout, [&] { loop.stop(); });
     std::optional<order_failure> failure;
-    link.send(order, [&](const hold_outcome& first) {
+    link.send(order, [&](const order_outcome& first) {
         EXPECT_FALSE(first.failure.has_value());
-        link.send(order, [&](const hold_outcome& second) {
+        link.send(order, [&](const order_outcome& second) {
             failure = second.failure;
             loop.stop();
         });
@@ -109,7 +109,7 @@
 
 TEST(start_link, accepts_a_refusal_of_the_second_attempt_that_concerns_the_run_or_its_worker) {
     EXPECT_EQ(start_over_a_dropped_connection(409, R"({"clockMs":1,"reason":"old"})"),
-              order_failure::old_run);
+              order_failure::stale_run);
     EXPECT_EQ(start_over_a_dropped_connection(421, ""), order_failure::other_incarnation);
 }
 
--- a/unit_tests/platform/worker_link_test.cpp
+++ b/unit_tests/platform/worker_link_test.cpp
@@ -61,13 +61,13 @@
 class worker_link_test : public testing::Test {
 protected:
     /// Sends a hold to the worker process that started at `process_start_ms`, and waits for its outcome.
-    hold_outcome hold(std::int64_t process_start_ms, std::uint64_t acknowledged) {
+    order_outcome hold(std::int64_t process_start_ms, std::uint64_t acknowledged) {
         hold_order order;
         order.target = {{"w1", process_start_ms}, m_worker.get_address(), 1, false, seconds{5}};
-        order.acknowledged = acknowledged;
-        hold_outcome outcome;
+        order.acknowledged_up_to = acknowledged;
+        order_outcome outcome;
         const auto timeout_timer = m_loop.call_after(wait_timeout, [this] { m_loop.stop(); });
-        m_link.send(order, [&](hold_outcome result) {
+        m_link.send(order, [&](order_outcome result) {
             outcome = std::move(result);
             m_loop.stop();
         });
@@ -175,9 +175,9 @@
         link.send(order, on_outcome);
     };
     loop.call_after(wait_timeout, [&] { loop.stop(); });
-    send_start([&](const hold_outcome& first) {
+    send_start([&](const order_outcome& first) {
         outcomes.push_back(first.failure);
-        send_start([&](const hold_outcome& second) {
+        send_start([&](const order_outcome& second) {
             outcomes.push_back(second.failure);
             loop.stop();
         });
--- a/unit_tests/relay/relay_agent_test.cpp
+++ b/unit_tests/relay/relay_agent_test.cpp
@@ -30,7 +30,7 @@
         for (int number = 0; number < holds; ++number) {
             hold_order order;
             order.target = {{"w1", 0}, "10.9.0.1:80", term, false, milliseconds{900}};
-            order.until_ms = 4000;
+            order.lease_end_ms = 4000;
             append_order(order, next_number++, frame);
         }
         return agent.on_orders(frame, now);
@@ -250,12 +250,12 @@
     frame.set_term(3);
     hold_order order;
     order.target = {{"w1", 0}, "10.9.0.1:80", 3, false, milliseconds{900}};
-    order.until_ms = 4000; // on the worker's clock, set by the leader
+    order.lease_end_ms = 4000; // on the worker's clock, set by the leader
     append_order(order, 1, frame);
     world.now += seconds{8};
     static_cast<void>(world.agent.on_orders(frame, world.now));
     ASSERT_EQ(world.orders.size(), 1U);
-    EXPECT_EQ(std::get<hold_order>(world.orders[0].first).until_ms, 4000);
+    EXPECT_EQ(std::get<hold_order>(world.orders[0].first).lease_end_ms, 4000);
 }
 
 TEST(relay_agent, logs_how_many_orders_of_a_former_leader_it_refused_and_how_many_were_in_progress) {
--- a/unit_tests/relay/relay_hub_test.cpp
+++ b/unit_tests/relay/relay_hub_test.cpp
@@ -62,14 +62,14 @@
     order.target = {{worker, 0}, "10.9.0.1:80", term, false, milliseconds{900}};
     order.run = {{{1, 0, 0}, index}, 1};
     order.job = std::move(job);
-    order.until_ms = 5000;
+    order.lease_end_ms = 5000;
     return order;
 }
 
 hold_order make_hold(const std::string& worker) {
     hold_order order;
     order.target = {{worker, 0}, "10.9.0.1:80", term, false, milliseconds{1800}};
-    order.until_ms = 5000;
+    order.lease_end_ms = 5000;
     order.wait = seconds{1};
     return order;
 }
@@ -269,14 +269,14 @@
     EXPECT_EQ(back.target, start.target);
     EXPECT_EQ(back.run, start.run);
     EXPECT_EQ(back.job->payload, start.job->payload);
-    EXPECT_EQ(back.until_ms, start.until_ms);
+    EXPECT_EQ(back.lease_end_ms, start.lease_end_ms);
     EXPECT_EQ(std::get<hold_order>(*read_order(frame.orders(1), frame)), make_hold("w2"));
     EXPECT_EQ(std::get<stop_order>(*read_order(frame.orders(2), frame)),
               (stop_order{start.target, start.run}));
     EXPECT_EQ(std::get<pace_order>(*read_order(frame.orders(3), frame)),
               (pace_order{start.target, start.run, 35}));
 
-    hold_outcome outcome;
+    order_outcome outcome;
     outcome.answer = {77, {{start.run, "saved", 40, 120}}, {{9, start.run, run_end::failed, "other"}}};
     job_wire::relayed_answer message;
     encode(outcome, message);
--- a/unit_tests/scheduling/job_state_machine_test.cpp
+++ b/unit_tests/scheduling/job_state_machine_test.cpp
@@ -180,7 +180,7 @@
             apply(job_state, make_assign({{1, 0, 0}, index}, run, "w1"));
         }
         apply(job_state, make_end({{1, 0, 0}, run - 1}, run, "w1", run_end::failed));
-        apply(job_state, make_end({{1, 0, 0}, 2 - run}, run, "w1", run_end::broken));
+        apply(job_state, make_end({{1, 0, 0}, 2 - run}, run, "w1", run_end::gang_broken));
     }
     EXPECT_EQ(job_state.find_job(1)->phase, job_phase::failed);
 }
