--- a/performance_test/dispatch_benchmark.cpp
+++ b/performance_test/dispatch_benchmark.cpp
@@ -74,7 +74,7 @@
         job.id = static_cast<job_id>(id);
         job.queue.pool = "mill";
         job.queue.priority = is_serving ? 0 : 2;
-        job.queue.stretch = 2;
+        job.queue.latency_factor = 2;
         step_spec step;
         step.count = tasks_each;
         const auto uneven =
@@ -83,7 +83,7 @@
         step.memory_mb = is_serving ? 26'000 : 13'000;
         step.long_running = is_serving;
         step.target_ms = is_serving ? 50 : 0;
-        step.fills = !is_serving;
+        step.is_filling = !is_serving;
         step.image = (is_serving ? "s" : "f") + std::to_string(id % 9);
         step.estimate_ms = 1700;
         job.steps = {step};
--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 dispatcher::dispatcher(const dispatch_settings& settings, const job_state_machine& job_state)
-    : m_settings(settings), m_job_state(job_state), m_lasting(settings.lasting_share) {}
+    : m_settings(settings), m_job_state(job_state), m_lasting(settings.long_running_share) {}
 
 dispatcher::~dispatcher() = default;
 
@@ -42,7 +42,7 @@
             const auto age = std::max<std::int64_t>(wall_ms - record.job->accepted_ms, 0);
             open(record, now - milliseconds{age}, now, wall_ms);
         } else {
-            m_ended.emplace(now + m_settings.keep_ended, id);
+            m_ended.emplace(now + m_settings.ended_job_retention, id);
         }
     }
     for (const auto& [key, run] : m_job_state.get_assigned_runs()) {
@@ -194,7 +194,7 @@
     m_jobs.erase(id);
     const step_key first_step{id, 0, 0};
     erase_job(m_ready, first_step);
-    m_ended.emplace(now + m_settings.keep_ended, id);
+    m_ended.emplace(now + m_settings.ended_job_retention, id);
     for (const auto& [key, track] : running) {
         stop_run(*track, now);
     }
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -273,7 +273,7 @@
     void stop_stray_run(worker_state& worker, const run_key& key);
     void grant_lease(worker_state& worker, time_point now);
     /// Assumes that the worker holds a lease of the maximum length.
-    void grant_longest_lease(worker_state& worker, time_point now);
+    void grant_max_lease(worker_state& worker, time_point now);
     /// Returns how long after it was sent a lease may be valid at its worker, by this leader's clock.
     [[nodiscard]] duration get_lease_span(duration lease) const;
     /// Returns until when a run may exist on an unreachable worker.
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -30,7 +30,7 @@
     if (m_lasting.contains(job.id)) { // submitted again while the first submission is being decided
         return decided;
     }
-    if (m_load.lag > m_settings.most_lag) {
+    if (m_load.lag > m_settings.max_lag) {
         ++m_counts.refused_jobs;
         decided.outcome = admission::admission_outcome::overloaded;
         decided.lag = m_load.lag;
@@ -97,7 +97,7 @@
         running += worker->fill_millicores;
     }
     for (const auto& [key, ready] : m_ready) {
-        waiting += ready.job->steps[key.step].fills ? ready.get_wanted(key) : 0;
+        waiting += ready.job->steps[key.step].is_filling ? ready.get_wanted(key) : 0;
     }
     const auto share = static_cast<double>(waiting) / static_cast<double>(std::max<std::int64_t>(running, 1));
     m_filling_backlog += backlog_weight * (std::min(share, 1.0) - m_filling_backlog);
--- a/poplarpitch/dispatch/dispatcher_advice.cpp
+++ b/poplarpitch/dispatch/dispatcher_advice.cpp
@@ -45,8 +45,8 @@
         advise_order order;
         order.fence = m_term;
         order.step = key;
-        order.timeout =
-            policy.decide + policy.each * static_cast<std::int64_t>(workers.size()) + answer_slack;
+        order.timeout = policy.base_time +
+                        policy.time_per_worker * static_cast<std::int64_t>(workers.size()) + answer_slack;
         order.workers = std::move(workers);
         m_is_advising = true;
         m_orders.emplace_back(std::move(order));
@@ -94,7 +94,7 @@
     }
     auto& advice = m_advice[request.step];
     // Counted from the start of the call, since the service may have decided then.
-    const auto expires = now + record->job->queue.advice->valid - request.timeout + answer_slack;
+    const auto expires = now + record->job->queue.advice->ticket_validity - request.timeout + answer_slack;
     for (const auto& worker : request.workers) {
         const auto found = std::find_if(outcome.allowed.begin(), outcome.allowed.end(),
                                         [&](const advice_ticket& item) { return item.worker == worker.id; });
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -31,7 +31,8 @@
 
 bool dispatcher::may_forget(const worker_state& worker, time_point now) const {
     const bool is_idle = worker.runs.empty() && worker.ends_committing == 0;
-    const auto kept = worker.lapsed.empty() ? m_settings.forget_after : m_settings.forget_lapsed_after;
+    const auto kept =
+        worker.lapsed.empty() ? m_settings.worker_removal_delay : m_settings.lapsed_worker_removal_delay;
     const bool is_silent = now - worker.last_heartbeat > kept;
     return is_idle && (worker.is_lost || is_silent) && !worker.is_hold_pending;
 }
@@ -95,7 +96,7 @@
     if (worker.report.incarnation.process_start_ms == 0 || !may_be_elsewhere) {
         return worker.lease_end;
     }
-    return std::max(worker.lease_end, worker.granted_at + get_lease_span(m_settings.longest_lease));
+    return std::max(worker.lease_end, worker.granted_at + get_lease_span(m_settings.max_lease));
 }
 
 void dispatcher::check_worker(worker_state& worker, time_point now) {
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -267,7 +267,7 @@
     }
     for (const auto& [key, ready] : m_ready) {
         const auto& spec = ready.job->steps[key.step];
-        if (!spec.fills && !spec.is_serving()) {
+        if (!spec.is_filling && !spec.is_serving()) {
             wanted += static_cast<double>(ready.get_wanted(key));
         }
     }
@@ -293,10 +293,10 @@
     request.avoided = failed == m_failed_on.end() ? nullptr : &failed->second;
     request.is_last_attempt = failed != m_failed_on.end() && !request.spec->long_running &&
                               failed->second.size() + 1 >= ready.job->queue.max_attempts;
-    if (request.spec->fills || request.spec->is_serving()) {
+    if (request.spec->is_filling || request.spec->is_serving()) {
         request.image = m_pressure.get_number(request.spec->image);
     }
-    if (request.spec->fills) {
+    if (request.spec->is_filling) {
         request.factors = m_pressure.get_conservative_factors(request.image);
     }
     return request;
--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -70,7 +70,7 @@
     for (const auto& [key, run] : worker.runs) {
         const auto& track = *run;
         const auto& spec = track.get_spec();
-        if (!spec.fills) {
+        if (!spec.is_filling) {
             continue;
         }
         for (auto& group : groups) {
@@ -92,7 +92,7 @@
     for (const auto& [key, run] : worker.runs) {
         const auto& track = *run;
         const auto& spec = track.get_spec();
-        if (!spec.fills || track.stage != run_stage::running) {
+        if (!spec.is_filling || track.stage != run_stage::running) {
             continue;
         }
         const auto requested = static_cast<double>(spec.millicores) * track.pace / 100;
@@ -182,7 +182,7 @@
     std::vector<run_track*> fills;
     for (const auto& [key, run] : worker.runs) {
         auto& track = *run;
-        if (track.get_spec().fills && track.stage == run_stage::running && !track.is_stop_wanted &&
+        if (track.get_spec().is_filling && track.stage == run_stage::running && !track.is_stop_wanted &&
             !track.is_ending) {
             track.planned_pace = 100;
             fills.push_back(&track);
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -33,7 +33,7 @@
     if (const auto job = m_jobs.find(key.task.step.job); job != m_jobs.end()) {
         job->second.runs.emplace(key, &track);
     }
-    if (track.get_spec().fills || track.get_spec().is_serving()) {
+    if (track.get_spec().is_filling || track.get_spec().is_serving()) {
         track.image = m_pressure.get_number(track.get_spec().image);
         refresh_pressure(state);
     }
@@ -49,7 +49,7 @@
         job->second.runs.erase(key);
         job->second.idle_since = now;
     }
-    const bool matters = found->second.get_spec().fills || found->second.get_spec().is_serving();
+    const bool matters = found->second.get_spec().is_filling || found->second.get_spec().is_serving();
     auto& worker = *found->second.host;
     add_load(worker, found->second, -1);
     m_tracks.erase(found);
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -53,11 +53,11 @@
         }
     }
     worker.count_isolated(track.isolation, sign);
-    if (spec.fills) {
+    if (spec.is_filling) {
         worker.fill_millicores += sign * spec.millicores;
         worker.fills += static_cast<std::uint32_t>(sign);
     }
-    if (!spec.fills && !spec.is_serving()) {
+    if (!spec.is_filling && !spec.is_serving()) {
         worker.short_millicores += sign * spec.millicores;
     }
     if (spec.is_serving()) {
@@ -140,7 +140,8 @@
 void dispatcher::update_room_expiry(worker_state& worker) const {
     const auto* pool = m_job_state.get_configuration().find_pool(worker.report.pool);
     const bool guards_room = pool == nullptr || pool->enforces_capacity;
-    worker.room_known_until = guards_room ? time_point::max() : worker.last_heartbeat + m_settings.room_age;
+    worker.room_known_until =
+        guards_room ? time_point::max() : worker.last_heartbeat + m_settings.max_capacity_age;
 }
 
 void dispatcher::update_clock(worker_state& worker, std::int64_t clock_ms, time_point now) const {
@@ -181,12 +182,12 @@
     worker.lease_end = std::max(worker.lease_end, now + get_lease_span(m_settings.lease));
     // The grant may reach another incarnation of that id, which applies it to its own clock.
     for (auto* other : m_workers.find_other_incarnations(worker.report.incarnation)) {
-        grant_longest_lease(*other, now);
+        grant_max_lease(*other, now);
     }
 }
 
-void dispatcher::grant_longest_lease(worker_state& worker, time_point now) {
-    worker.lease_end = std::max(worker.lease_end, now + get_lease_span(m_settings.longest_lease));
+void dispatcher::grant_max_lease(worker_state& worker, time_point now) {
+    worker.lease_end = std::max(worker.lease_end, now + get_lease_span(m_settings.max_lease));
 }
 
 duration dispatcher::get_lease_span(duration lease) const {
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -89,7 +89,7 @@
 } // namespace
 
 worker_amounts get_need(const step_spec& spec) {
-    return {spec.fills ? 0 : spec.millicores, spec.memory_mb, spec.accelerators};
+    return {spec.is_filling ? 0 : spec.millicores, spec.memory_mb, spec.accelerators};
 }
 
 placement_obstacle find_unusable(const worker_state& worker, time_point now) {
@@ -113,7 +113,7 @@
 }
 
 std::int64_t get_room(const worker_state& worker, const placement_request& request) {
-    if (!request.spec->fills) {
+    if (!request.spec->is_filling) {
         return worker.get_free().millicores;
     }
     auto room = static_cast<double>(worker.get_spare_millicores());
@@ -157,7 +157,7 @@
     if (request.wants_own_worker() && !worker.runs.empty()) {
         return placement_obstacle::not_empty;
     }
-    if (spec.fills && get_room(worker, request) < get_least_room(worker, request)) {
+    if (spec.is_filling && get_room(worker, request) < get_least_room(worker, request)) {
         return placement_obstacle::pressure;
     }
     return placement_obstacle::none;
@@ -169,7 +169,7 @@
     }
     const auto& spec = *request.spec;
     double cost = get_risk_cost(worker, request.isolation);
-    if (spec.fills) {
+    if (spec.is_filling) {
         cost += get_slowdown_cost(worker, request) + fullness_weight * get_fill_cost(worker);
     } else if (spec.is_serving()) {
         cost += get_pack_cost(worker) + get_mixing_cost(worker, request) +
--- a/poplarpitch/dispatch/refused_shapes.h
+++ b/poplarpitch/dispatch/refused_shapes.h
@@ -20,9 +20,9 @@
     /// `most_room` millicores at most. Precondition: only its size and image ruled it out.
     void add(const std::string& pool, const step_spec& spec, std::int64_t most_room) {
         m_shapes.push_back(
-            {pool, spec.image, spec.fills, spec.millicores, spec.memory_mb, spec.accelerators});
+            {pool, spec.image, spec.is_filling, spec.millicores, spec.memory_mb, spec.accelerators});
         if (most_room < spec.millicores) {
-            m_shapes.push_back({pool, spec.image, spec.fills, most_room + 1, 0, 0});
+            m_shapes.push_back({pool, spec.image, spec.is_filling, most_room + 1, 0, 0});
         }
     }
 
@@ -30,7 +30,7 @@
     [[nodiscard]] bool covers(const std::string& pool, const step_spec& spec) const {
         for (const auto& shape : m_shapes) {
             const bool is_alike =
-                shape.fills == spec.fills && shape.image == spec.image && shape.pool == pool;
+                shape.is_filling == spec.is_filling && shape.image == spec.image && shape.pool == pool;
             const bool is_larger = spec.millicores >= shape.millicores && spec.memory_mb >= shape.memory_mb &&
                                    spec.accelerators >= shape.accelerators;
             if (is_alike && is_larger) {
@@ -50,7 +50,7 @@
     struct shape {
         std::string pool;
         std::string image;
-        bool fills = false;
+        bool is_filling = false;
         std::int64_t millicores = 0;
         std::int64_t memory_mb = 0;
         std::int64_t accelerators = 0;
--- a/poplarpitch/gateway/gateway_daemon.cpp
+++ b/poplarpitch/gateway/gateway_daemon.cpp
@@ -27,7 +27,7 @@
 public:
     explicit gateway(const gateway_settings& settings)
         : m_settings(settings), m_link(m_loop, settings.seeds, settings.link_port, settings.leader_wait),
-          m_caller_listener(m_loop, make_listener_settings(settings.callers_host, settings.callers_port),
+          m_caller_listener(m_loop, make_listener_settings(settings.caller_host, settings.caller_port),
                             [this](const http_request& request, const http_responder& respond) {
                                 relay(request, respond);
                             }),
@@ -42,7 +42,7 @@
         if (!caller_port || !readiness_port) {
             log_event(log_level::error, "start_failed")
                 .add("error", caller_port ? readiness_port.error() : caller_port.error())
-                .add("host", m_settings.callers_host);
+                .add("host", m_settings.caller_host);
             return startup_failure_exit_code;
         }
         m_loop.on_signal(SIGTERM, [this] { stop(); });
@@ -71,7 +71,7 @@
         if (m_settings.metrics_port == 0) {
             return;
         }
-        m_metrics_listener = serve_metrics(m_loop, m_settings.callers_host, m_settings.metrics_port,
+        m_metrics_listener = serve_metrics(m_loop, m_settings.caller_host, m_settings.metrics_port,
                                            [this] { return format_metrics(); });
         if (m_metrics_listener == nullptr) {
             log_event(log_level::warn, "metrics_not_served").add("port", m_settings.metrics_port);
--- a/poplarpitch/gateway/gateway_settings.cpp
+++ b/poplarpitch/gateway/gateway_settings.cpp
@@ -26,8 +26,8 @@
 
 void read_entry(section_reader& reader, gateway_settings& value) {
     if (const auto found = read_address(reader, "listen"); found.has_value()) {
-        value.callers_host = format_ip(found->ip);
-        value.callers_port = found->port;
+        value.caller_host = format_ip(found->ip);
+        value.caller_port = found->port;
     }
     if (const auto found = read_address(reader, "ready"); found.has_value()) {
         value.ready_host = format_ip(found->ip);
--- a/poplarpitch/gateway/gateway_settings.h
+++ b/poplarpitch/gateway/gateway_settings.h
@@ -16,8 +16,8 @@
     std::string log_level = "info";
     std::vector<std::string> seeds; ///< hosts of up to three control instances, without port
     int link_port = 0; ///< port on which control instances accept frames; the same on all of them
-    std::string callers_host = "127.0.0.1";
-    int callers_port = 0;
+    std::string caller_host = "127.0.0.1";
+    int caller_port = 0;
     std::string ready_host = "127.0.0.1";
     int ready_port = 0;
     std::string ready_path = "/readyz";                      ///< path of the load balancer's health check
--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -58,13 +58,14 @@
     value.advice_address = reader.get_text("advice", "");
     value.relay.is_enabled = reader.get_flag("relayed", value.relay.is_enabled);
     auto& dispatch = value.dispatch;
-    dispatch.longest_lease = reader.get_duration("longest_lease", dispatch.longest_lease);
-    dispatch.lease = std::min(reader.get_duration("lease", dispatch.lease), dispatch.longest_lease);
+    dispatch.max_lease = reader.get_duration("longest_lease", dispatch.max_lease);
+    dispatch.lease = std::min(reader.get_duration("lease", dispatch.lease), dispatch.max_lease);
     dispatch.stop_limit = reader.get_duration("stop_limit", dispatch.stop_limit);
-    dispatch.keep_ended = reader.get_duration("keep_ended", dispatch.keep_ended) + seconds{5};
-    dispatch.lasting_share = reader.get_number("lasting_share", dispatch.lasting_share, 0.05, 1);
-    dispatch.room_age = reader.get_duration("room_age", dispatch.room_age);
-    dispatch.most_lag = reader.get_duration("most_lag", dispatch.most_lag);
+    dispatch.ended_job_retention =
+        reader.get_duration("keep_ended", dispatch.ended_job_retention) + seconds{5};
+    dispatch.long_running_share = reader.get_number("lasting_share", dispatch.long_running_share, 0.05, 1);
+    dispatch.max_capacity_age = reader.get_duration("room_age", dispatch.max_capacity_age);
+    dispatch.max_lag = reader.get_duration("most_lag", dispatch.max_lag);
     dispatch.max_open_jobs = reader.get_integer("max_open_jobs", dispatch.max_open_jobs, 1, 10'000'000);
 }
 
--- a/poplarpitch/scheduling/dispatch_settings.h
+++ b/poplarpitch/scheduling/dispatch_settings.h
@@ -11,8 +11,8 @@
 struct dispatch_settings {
     duration lease = seconds{7}; ///< of the runs on a worker; outlasts an election and a restart of all
                                  ///< control instances (1 to 5 s); the tasks of a lost worker wait this long
-    duration longest_lease = seconds{10}; ///< a worker cuts a longer lease to this
-    double clock_drift = 0.02;            ///< a worker's clock may be slower by this share
+    duration max_lease = seconds{10}; ///< a worker cuts a longer lease to this
+    double clock_drift = 0.02;        ///< a worker's clock may be slower by this share
     duration lease_margin =
         milliseconds{250}; ///< on top of the drift, for reading the clocks and for scheduling delays
     duration hold_wait = milliseconds{1000}; ///< longest time that a worker waits for an end before it
@@ -25,17 +25,21 @@
         milliseconds{900}; ///< a worker answers within milliseconds; an order that hangs is repeated
     duration retry_pause = milliseconds{120}; ///< delay before an order without an answer is repeated
     duration stop_limit = milliseconds{900};  ///< a worker ends a stopped run within this
-    duration forget_after = seconds{12}; ///< a worker without heartbeats and runs is removed after this time
-    duration forget_lapsed_after = seconds{60}; ///< `forget_after` where runs of the worker were given up
-                                                ///< without contact to it: its machine may yet come back
-    duration room_age = seconds{2}; ///< how long a report of free capacity counts where the worker does not
-                                    ///< enforce its capacity: together with an order's time and a late
-                                    ///< heartbeat less than the 3 s and one heartbeat that users allow
-    duration keep_ended = seconds{125}; ///< how long the state of an ended job is kept
-    double lasting_share = 0.8; ///< share of a pool that long-running jobs may reserve while others want the
-                                ///< rest: with 0.75 and 0.82 the total served is the same, above it is less
-    duration most_lag = milliseconds{400}; ///< lag of the leader's timers above which new jobs are refused:
-                                           ///< half an order's time, so that an accepted job is still started
+    duration worker_removal_delay =
+        seconds{12}; ///< a worker without heartbeats and runs is removed after this time
+    duration lapsed_worker_removal_delay =
+        seconds{60}; ///< `worker_removal_delay` where runs of the worker were given up
+                     ///< without contact to it: its machine may yet come back
+    duration max_capacity_age =
+        seconds{2}; ///< how long a report of free capacity counts where the worker does not
+                    ///< enforce its capacity: together with an order's time and a late
+                    ///< heartbeat less than the 3 s and one heartbeat that users allow
+    duration ended_job_retention = seconds{125}; ///< how long the state of an ended job is kept
+    double long_running_share =
+        0.8; ///< share of a pool that long-running jobs may reserve while others want the
+             ///< rest: with 0.75 and 0.82 the total served is the same, above it is less
+    duration max_lag = milliseconds{400}; ///< lag of the leader's timers above which new jobs are refused:
+                                          ///< half an order's time, so that an accepted job is still started
     std::int64_t max_open_jobs =
         20'000; ///< further jobs are refused: 60 MB of records, an hour of a day's peak
 
--- a/poplarpitch/scheduling/job_codec.cpp
+++ b/poplarpitch/scheduling/job_codec.cpp
@@ -24,9 +24,9 @@
     message.set_long_running(step.long_running);
     message.set_image(step.image);
     message.set_target_ms(step.target_ms);
-    message.set_fills(step.fills);
-    message.set_has_miss_allowed(step.miss_allowed.has_value());
-    message.set_miss_allowed(step.miss_allowed.value_or(0));
+    message.set_fills(step.is_filling);
+    message.set_has_miss_allowed(step.max_unavailable.has_value());
+    message.set_miss_allowed(step.max_unavailable.value_or(0));
 }
 
 step_spec decode_step(const job_wire::job_step& message) {
@@ -47,9 +47,9 @@
     step.long_running = message.long_running();
     step.image = message.image();
     step.target_ms = message.target_ms();
-    step.fills = message.fills();
+    step.is_filling = message.fills();
     if (message.has_miss_allowed()) {
-        step.miss_allowed = message.miss_allowed();
+        step.max_unavailable = message.miss_allowed();
     }
     return step;
 }
@@ -61,14 +61,14 @@
     message.set_pool(queue.pool);
     message.set_priority(queue.priority);
     message.set_max_attempts(queue.max_attempts);
-    message.set_stretch(queue.stretch);
+    message.set_stretch(queue.latency_factor);
     message.set_target_latency_ms(to_milliseconds(queue.target_latency));
     message.set_timeout_ms(to_milliseconds(queue.timeout));
     message.set_needs_advice(queue.advice.has_value());
     if (queue.advice.has_value()) {
-        message.set_advice_decide_ms(to_milliseconds(queue.advice->decide));
-        message.set_advice_each_ms(to_milliseconds(queue.advice->each));
-        message.set_advice_valid_ms(to_milliseconds(queue.advice->valid));
+        message.set_advice_decide_ms(to_milliseconds(queue.advice->base_time));
+        message.set_advice_each_ms(to_milliseconds(queue.advice->time_per_worker));
+        message.set_advice_valid_ms(to_milliseconds(queue.advice->ticket_validity));
     }
 }
 
@@ -80,7 +80,7 @@
     queue.pool = message.pool();
     queue.priority = message.priority();
     queue.max_attempts = message.max_attempts();
-    queue.stretch = message.stretch();
+    queue.latency_factor = message.stretch();
     queue.target_latency = milliseconds{message.target_latency_ms()};
     queue.timeout = milliseconds{message.timeout_ms()};
     if (message.needs_advice()) {
--- a/poplarpitch/scheduling/queue_settings.h
+++ b/poplarpitch/scheduling/queue_settings.h
@@ -12,9 +12,9 @@
 /// Response times and ticket validity of the advice service for one queue. The service tells which workers
 /// are allowed to run a step.
 struct advice_settings {
-    duration decide{}; ///< fixed part of the response time
-    duration each{};   ///< additional response time for each worker in the request
-    duration valid{};  ///< validity of a ticket
+    duration base_time{};       ///< fixed part of the response time
+    duration time_per_worker{}; ///< additional response time for each worker in the request
+    duration ticket_validity{}; ///< validity of a ticket
 
     friend auto operator<=>(const advice_settings&, const advice_settings&) = default;
 };
@@ -27,7 +27,7 @@
     std::string pool;                      ///< pool whose workers run the tasks
     int priority = 0;                      ///< 0 is served first
     std::uint32_t max_attempts = 1;        ///< a task that fails this often fails its job
-    double stretch = 1.0;                  ///< the objective allows this multiple of the critical path
+    double latency_factor = 1.0;           ///< the objective allows this multiple of the critical path
     duration target_latency{};             ///< and this time on top
     duration timeout{};                    ///< of a caller's request
     std::optional<advice_settings> advice; ///< if set, only workers with a ticket may run a step
--- a/poplarpitch/scheduling/step_job.cpp
+++ b/poplarpitch/scheduling/step_job.cpp
@@ -19,7 +19,7 @@
 std::int64_t step_job::get_lasting_millicores() const {
     std::int64_t sum = 0;
     for (const auto& step : steps) {
-        sum += step.long_running && !step.fills ? step.millicores * step.count : 0;
+        sum += step.long_running && !step.is_filling ? step.millicores * step.count : 0;
     }
     return sum;
 }
@@ -38,7 +38,7 @@
 }
 
 duration step_job::get_objective(const std::vector<std::int64_t>& lengths_ms) const {
-    const auto stretched = queue.stretch * static_cast<double>(get_critical_path_ms(lengths_ms));
+    const auto stretched = queue.latency_factor * static_cast<double>(get_critical_path_ms(lengths_ms));
     return queue.target_latency + duration{milliseconds{static_cast<std::int64_t>(stretched)}};
 }
 
--- a/poplarpitch/scheduling/step_spec.h
+++ b/poplarpitch/scheduling/step_spec.h
@@ -27,9 +27,9 @@
     bool long_running = false;  ///< runs until the job is cancelled and is restarted when it ends
     std::string image;          ///< tasks of the same image behave alike
     std::int64_t target_ms = 0; ///< long-running: upper bound of the tail latency of its answers; 0 for none
-    bool fills = false;         ///< a filling task: uses the processor time that other tasks leave
-    std::optional<std::uint32_t> miss_allowed; ///< number of tasks that the scheduler's own orders may keep
-                                               ///< from running at the same time
+    bool is_filling = false;    ///< a filling task: uses the processor time that other tasks leave
+    std::optional<std::uint32_t> max_unavailable; ///< number of tasks that the scheduler's own orders may
+                                                  ///< keep from running at the same time
 
     friend auto operator<=>(const step_spec&, const step_spec&) = default;
 
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -156,7 +156,7 @@
     job.queue.name = "queue";
     job.queue.pool = pool;
     job.queue.max_attempts = 3;
-    job.queue.stretch = 2;
+    job.queue.latency_factor = 2;
     job.queue.target_latency = seconds{1};
     job.accepted_ms = m_wall_ms;
     m_lengths[job.id] = length;
--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -134,7 +134,7 @@
     job.payload = "payload";
     job.queue.name = "queue";
     job.queue.pool = world_pool;
-    job.queue.stretch = 2;
+    job.queue.latency_factor = 2;
     job.queue.target_latency = seconds{1};
     job.accepted_ms = wall_ms;
     job_wire::job_command command;
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -336,7 +336,7 @@
 /// Returns how long the longest lease may last at a worker with a slow clock, by the leader's clock.
 duration get_longest_span() {
     const dispatch_settings settings;
-    return std::chrono::duration_cast<duration>(settings.longest_lease * (1 + settings.clock_drift)) +
+    return std::chrono::duration_cast<duration>(settings.max_lease * (1 + settings.clock_drift)) +
            settings.lease_margin;
 }
 
--- a/unit_tests/dispatch/dispatcher_pressure_test.cpp
+++ b/unit_tests/dispatch/dispatcher_pressure_test.cpp
@@ -30,7 +30,7 @@
     step.millicores = 6000;
     step.memory_mb = 1000;
     step.estimate_ms = 2000;
-    step.fills = true;
+    step.is_filling = true;
     step.checkpointing = true;
     step.image = "filling";
     return step;
@@ -63,7 +63,7 @@
     run_all(world, "w1", 15, 6000, 40);
     std::map<run_key, int> paces;
     for (const auto& [key, track] : world.find_worker("w1")->runs) {
-        if (world.scheduler.find_track(key)->get_spec().fills) {
+        if (world.scheduler.find_track(key)->get_spec().is_filling) {
             paces[key] = 100;
         }
     }
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -47,7 +47,7 @@
 /// Returns how long the longest lease may last at a worker with a slow clock, by the leader's clock.
 duration get_longest_span() {
     const dispatch_settings settings;
-    return std::chrono::duration_cast<duration>(settings.longest_lease * (1 + settings.clock_drift)) +
+    return std::chrono::duration_cast<duration>(settings.max_lease * (1 + settings.clock_drift)) +
            settings.lease_margin;
 }
 
--- a/unit_tests/dispatch/placement_test.cpp
+++ b/unit_tests/dispatch/placement_test.cpp
@@ -20,7 +20,7 @@
 
 step_spec make_fill(std::int64_t millicores) {
     step_spec spec;
-    spec.fills = true;
+    spec.is_filling = true;
     spec.image = "press";
     spec.millicores = millicores;
     spec.memory_mb = 1'000;
--- a/unit_tests/platform/dialect_test.cpp
+++ b/unit_tests/platform/dialect_test.cpp
@@ -27,15 +27,15 @@
     EXPECT_EQ(first.affinity_rack, "r1-3");
     EXPECT_EQ(first.required_label, "a");
     EXPECT_TRUE(first.checkpointing);
-    EXPECT_TRUE(first.fills);
-    EXPECT_FALSE(first.miss_allowed.has_value());
+    EXPECT_TRUE(first.is_filling);
+    EXPECT_FALSE(first.max_unavailable.has_value());
     const auto& second = job->steps[1];
     EXPECT_EQ(second.depends_on, std::vector<std::uint32_t>{0});
     EXPECT_TRUE(second.is_serving());
     EXPECT_TRUE(second.gang);
     EXPECT_TRUE(second.same_rack);
     EXPECT_TRUE(second.speculative);
-    EXPECT_EQ(second.miss_allowed, 0U);
+    EXPECT_EQ(second.max_unavailable, 0U);
     EXPECT_EQ(job->schedule, (job_schedule{3, 1000, 500}));
 }
 
@@ -98,7 +98,7 @@
     EXPECT_EQ(queue.priority, 2);
     EXPECT_EQ(queue.max_attempts, 4U);
     EXPECT_EQ(queue.target_latency, milliseconds{250});
-    EXPECT_EQ(queue.advice->valid, seconds{3});
+    EXPECT_EQ(queue.advice->ticket_validity, seconds{3});
     EXPECT_TRUE(put->configuration.pools.at(0).enforces_capacity);
 }
 
--- a/unit_tests/platform/stand_in_workers.cpp
+++ b/unit_tests/platform/stand_in_workers.cpp
@@ -128,8 +128,7 @@
 
     void extend_lease(simulated_worker& worker, const json& body) {
         const auto requested_ms = body.value("untilMs", std::int64_t{0});
-        const auto until =
-            std::min(requested_ms, get_clock(worker) + to_milliseconds(behaviour.longest_lease));
+        const auto until = std::min(requested_ms, get_clock(worker) + to_milliseconds(behaviour.max_lease));
         if (until > worker.lease_end_ms) {
             worker.lease_end_ms = until;
             schedule_lease_expiry(worker);
--- a/unit_tests/platform/worker_behaviour.h
+++ b/unit_tests/platform/worker_behaviour.h
@@ -23,17 +23,17 @@
     std::vector<std::string> zones = {"here"}; ///< worker by worker, in turn
     duration shortest_run = milliseconds{200};
     duration longest_run = milliseconds{200};
-    duration longest_stop{};              ///< a stopped run goes on for up to this
-    duration longest_lease = seconds{10}; ///< a longer one is shortened to this
-    double slowest_clock = 1.0;           ///< each worker's clock runs at a rate between this and 1
-    duration idle_timeout = seconds{30};  ///< connections that are idle are closed after this
-    int failed_run_percent = 0;           ///< runs that end as failed
-    int late_answer_percent = 0;          ///< orders executed at once and answered late
-    int unanswered_order_percent = 0;     ///< orders executed at once and never answered in time
-    int late_order_percent = 0;           ///< orders executed late and never answered in time
-    int disconnect_percent = 0;           ///< orders after which the worker closes all connections
-    int late_list_percent = 0;            ///< answers to holds that are sent late
-    int late_heartbeat_percent = 0;       ///< heartbeats repeated late to another instance
+    duration longest_stop{};             ///< a stopped run goes on for up to this
+    duration max_lease = seconds{10};    ///< a longer one is shortened to this
+    double slowest_clock = 1.0;          ///< each worker's clock runs at a rate between this and 1
+    duration idle_timeout = seconds{30}; ///< connections that are idle are closed after this
+    int failed_run_percent = 0;          ///< runs that end as failed
+    int late_answer_percent = 0;         ///< orders executed at once and answered late
+    int unanswered_order_percent = 0;    ///< orders executed at once and never answered in time
+    int late_order_percent = 0;          ///< orders executed late and never answered in time
+    int disconnect_percent = 0;          ///< orders after which the worker closes all connections
+    int late_list_percent = 0;           ///< answers to holds that are sent late
+    int late_heartbeat_percent = 0;      ///< heartbeats repeated late to another instance
     duration longest_delay = seconds{3}; ///< upper bound of the delays of late orders, answers and heartbeats
 };
 
--- a/unit_tests/scheduler/settings_test.cpp
+++ b/unit_tests/scheduler/settings_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_EQ(parsed.value.replica.voters, 5U);
     EXPECT_TRUE(parsed.value.replica.may_found);
     EXPECT_EQ(parsed.value.control_port, 8166);
-    EXPECT_EQ(parsed.value.dispatch.keep_ended, seconds{125});
+    EXPECT_EQ(parsed.value.dispatch.ended_job_retention, seconds{125});
     EXPECT_EQ(parsed.value.advice_address, "10.200.1.9:8169");
 }
 
@@ -108,7 +108,7 @@
     for (const auto& error : parsed.errors) {
         ADD_FAILURE() << error.format("entry.ini");
     }
-    EXPECT_EQ(parsed.value.callers_port, 8161);
+    EXPECT_EQ(parsed.value.caller_port, 8161);
     EXPECT_EQ(parsed.value.ready_port, 8167);
     EXPECT_EQ(parsed.value.seeds.at(0), "10.1.0.16");
 }
