--- a/performance_test/scheduler_load.cpp
+++ b/performance_test/scheduler_load.cpp
@@ -26,7 +26,7 @@
 
 struct load_shape {
     int workers = 0;
-    int lasting = 0;
+    int long_running = 0;
     int starts_per_second = 0;
     int seconds_long = 0;
     bool prints_pids = false;
@@ -59,10 +59,10 @@
     return ticks / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-std::string make_job(const char* spec, int count, bool lasts) {
+std::string make_job(const char* spec, int count, bool is_long_running) {
     nlohmann::json step = {
-        {"count", count}, {"cpu", lasts ? 2000 : 500}, {"memMb", 100}, {"estimateMs", 900}};
-    if (lasts) {
+        {"count", count}, {"cpu", is_long_running ? 2000 : 500}, {"memMb", 100}, {"estimateMs", 900}};
+    if (is_long_running) {
         step["longRunning"] = true;
         step["targetMs"] = 50;
         step["image"] = "serving";
@@ -132,7 +132,7 @@
     const stand_in_workers workers(shape.workers, cluster.get_controls(), run_time);
     cluster.put_config(1);
     int number = 1;
-    for (int started = 0; started < shape.lasting; started += tasks_of_a_job) {
+    for (int started = 0; started < shape.long_running; started += tasks_of_a_job) {
         submit(cluster, number++, make_job(stand_in_workers::lasting_spec, tasks_of_a_job, true));
     }
     number = submit_steadily(cluster, number, shape.starts_per_second, settle_time);
@@ -144,7 +144,7 @@
     submit_steadily(cluster, number, shape.starts_per_second, seconds{shape.seconds_long});
     const auto done = workers.get_done_counts().size() - done_before;
     std::cout << absl::StrFormat("workers=%d lasting=%d ended tasks=%d in %d s, twice at once=%d\n",
-                                 shape.workers, shape.lasting, done, shape.seconds_long,
+                                 shape.workers, shape.long_running, done, shape.seconds_long,
                                  workers.get_overlaps());
     print_usage(cluster, before, done, shape.seconds_long);
     return workers.get_overlaps() == 0 ? 0 : 1;
--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 dispatcher::dispatcher(const dispatch_settings& settings, const job_state_machine& job_state)
-    : m_settings(settings), m_job_state(job_state), m_lasting(settings.long_running_share) {}
+    : m_settings(settings), m_job_state(job_state), m_long_running(settings.long_running_share) {}
 
 dispatcher::~dispatcher() = default;
 
@@ -33,7 +33,7 @@
 void dispatcher::start_leading(log_term term, time_point now, std::int64_t wall_ms) {
     stop_leading();
     m_term = term;
-    m_lasting.clear(now);
+    m_long_running.clear(now);
     m_filling_backlog = 0;
     m_pressure.load(m_job_state.get_pressure());
     for (const auto& [id, record] : m_job_state.get_jobs()) {
@@ -119,8 +119,8 @@
     auto& job = m_jobs[record.job->id];
     job.accepted = accepted;
     job.idle_since = now;
-    if (const auto lasting = record.job->get_lasting_millicores(); lasting > 0) {
-        m_lasting.add(record.job->id, record.job->queue.pool, lasting);
+    if (const auto millicores = record.job->get_long_running_millicores(); millicores > 0) {
+        m_long_running.add(record.job->id, record.job->queue.pool, millicores);
     }
     for (const auto& [number, occurrence] : record.occurrences) {
         for (const auto& step : occurrence.steps) {
@@ -189,7 +189,7 @@
 void dispatcher::close(job_id id, time_point now) {
     record_job_end(id, now);
     m_forecast.forget(id);
-    m_lasting.remove(id);
+    m_long_running.remove(id);
     const auto running = m_jobs.contains(id) ? std::move(m_jobs.at(id).runs) : decltype(open_job::runs){};
     m_jobs.erase(id);
     const step_key first_step{id, 0, 0};
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -4,8 +4,8 @@
 #include "poplarpitch/core/time.h"
 #include "poplarpitch/dispatch/admission.h"
 #include "poplarpitch/dispatch/dispatch_counts.h"
-#include "poplarpitch/dispatch/lasting_quota.h"
 #include "poplarpitch/dispatch/leader_load.h"
+#include "poplarpitch/dispatch/long_running_quota.h"
 #include "poplarpitch/dispatch/long_wait.h"
 #include "poplarpitch/dispatch/placement.h"
 #include "poplarpitch/dispatch/pressure_model.h"
@@ -425,7 +425,7 @@
     dispatch_counts m_counts;
     pressure_model m_pressure;
     work_forecast m_forecast;
-    lasting_quota m_lasting;
+    long_running_quota m_long_running;
     leader_load m_load;
     std::set<std::string> m_underused_pools; ///< pools of which less than half is reserved
     double m_filling_backlog =
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -26,8 +26,8 @@
 
 admission dispatcher::admit(const step_job& job, time_point now) {
     admission decided;
-    decided.wanted = job.get_lasting_millicores();
-    if (m_lasting.contains(job.id)) { // submitted again while the first submission is being decided
+    decided.wanted = job.get_long_running_millicores();
+    if (m_long_running.contains(job.id)) { // submitted again while the first submission is being decided
         return decided;
     }
     if (m_load.lag > m_settings.max_lag) {
@@ -41,22 +41,22 @@
         return decided;
     }
     const auto& pool = job.queue.pool;
-    decided.reserved = m_lasting.get_reserved(pool);
-    decided.allowed = m_lasting.get_allowed(pool, now);
-    if (m_lasting.has_room(pool, decided.wanted, now)) {
+    decided.reserved = m_long_running.get_reserved(pool);
+    decided.allowed = m_long_running.get_allowed(pool, now);
+    if (m_long_running.has_room(pool, decided.wanted, now)) {
         // Counted from now on, so that jobs arriving at the same moment do not all find the same room.
-        m_lasting.add(job.id, pool, decided.wanted);
+        m_long_running.add(job.id, pool, decided.wanted);
         return decided;
     }
     ++m_counts.refused_jobs;
     decided.outcome = admission::admission_outcome::long_running_quota;
-    decided.retry_after = m_lasting.get_retry_after(job.id, pool, decided.wanted, now);
+    decided.retry_after = m_long_running.get_retry_after(job.id, pool, decided.wanted, now);
     return decided;
 }
 
 void dispatcher::cancel_admission(job_id job) {
     if (!m_jobs.contains(job)) {
-        m_lasting.remove(job);
+        m_long_running.remove(job);
     }
 }
 
@@ -65,7 +65,7 @@
         return;
     }
     m_next_pools = now + pool_interval;
-    std::map<std::string, lasting_quota::pool_use> pools;
+    std::map<std::string, long_running_quota::pool_use> pools;
     std::map<std::string, std::int64_t> reserved; // millicores
     for (const auto* worker : m_workers.get_all()) {
         if (worker->has_report && !worker->is_lost && !worker->is_draining) {
@@ -82,7 +82,7 @@
     }
     m_underused_pools.clear();
     for (const auto& [pool, use] : pools) {
-        m_lasting.observe(pool, use, now);
+        m_long_running.observe(pool, use, now);
         if (2 * reserved[pool] < use.capacity) {
             m_underused_pools.insert(pool);
         }
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -20,13 +20,14 @@
 constexpr duration max_serving_wait = milliseconds{1800}; // maximum wait of a serving task that could run
 constexpr std::int64_t retry_bonus_ms = 4000; // a failed task delays everything that its job has done so far
 constexpr std::int64_t started_bonus_ms = 3000; // a job that has begun outranks new ones with as much slack
-constexpr std::int64_t lasting_bonus_ms =
+constexpr std::int64_t long_running_bonus_ms =
     100'000; // long-running tasks that have waited outrank all others of their priority
 constexpr std::int64_t starving_bonus_ms = 5'000'000; // a starving job outranks all others of its priority
 // Nothing of the job runs and less than half of its pool is reserved. At most 3 s are allowed for this.
 constexpr duration starving_after = milliseconds{1500};
-constexpr std::int64_t lasting_rank_ms = 2000; // rank of a long-running task among others of its priority
-constexpr duration max_lasting_wait =
+constexpr std::int64_t long_running_rank_ms =
+    2000; // rank of a long-running task among others of its priority
+constexpr duration max_long_running_wait =
     milliseconds{1800};                      // a long-running task that could run may wait for 3 s at most
 constexpr std::size_t many_ready_steps = 50; // a pass over fewer steps costs under 0.2 ms
 constexpr duration busy_pass_interval =
@@ -61,9 +62,10 @@
         const auto& queue = ready.job->queue;
         if (ready.job->steps[key.step].long_running) {
             // It has no deadline; one that has waited goes first.
-            const bool is_urgent = now - ready.since > max_lasting_wait;
-            ranked.emplace_back(
-                queue.priority * priority_weight_ms + (is_urgent ? -lasting_bonus_ms : lasting_rank_ms), key);
+            const bool is_urgent = now - ready.since > max_long_running_wait;
+            ranked.emplace_back(queue.priority * priority_weight_ms +
+                                    (is_urgent ? -long_running_bonus_ms : long_running_rank_ms),
+                                key);
             continue;
         }
         const auto due = job->second.due.find(key.occurrence);
@@ -289,7 +291,7 @@
     request.step = key.step;
     request.isolation = m_suspects.get_isolation(key);
     request.may_wait = m_suspects.may_wait(key, now);
-    request.is_overdue = request.spec->long_running && now - ready.since > max_lasting_wait;
+    request.is_overdue = request.spec->long_running && now - ready.since > max_long_running_wait;
     request.avoided = failed == m_failed_on.end() ? nullptr : &failed->second;
     request.is_last_attempt = failed != m_failed_on.end() && !request.spec->long_running &&
                               failed->second.size() + 1 >= ready.job->queue.max_attempts;
--- a/poplarpitch/dispatch/lasting_quota.cpp
+++ b/poplarpitch/dispatch/long_running_quota.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/dispatch/lasting_quota.h"
+#include "poplarpitch/dispatch/long_running_quota.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,20 +20,20 @@
 
 } // namespace
 
-void lasting_quota::clear(time_point now) {
+void long_running_quota::clear(time_point now) {
     m_cleared_at = now;
     m_jobs.clear();
     m_pools.clear();
 }
 
-void lasting_quota::add(job_id job, const std::string& pool, std::int64_t millicores) {
+void long_running_quota::add(job_id job, const std::string& pool, std::int64_t millicores) {
     const auto [found, is_new] = m_jobs.try_emplace(job, job_share{pool, millicores});
     if (is_new) {
         m_pools[pool].reserved += millicores;
     }
 }
 
-void lasting_quota::remove(job_id job) {
+void long_running_quota::remove(job_id job) {
     const auto found = m_jobs.find(job);
     if (found == m_jobs.end()) {
         return;
@@ -44,7 +44,7 @@
     m_jobs.erase(found);
 }
 
-void lasting_quota::observe(const std::string& pool, const pool_use& use, time_point now) {
+void long_running_quota::observe(const std::string& pool, const pool_use& use, time_point now) {
     auto& state = m_pools[pool];
     if (state.first_observed == time_point{}) {
         state.first_observed = now;
@@ -56,11 +56,11 @@
     state.use = use;
 }
 
-bool lasting_quota::is_settled(time_point now) const {
+bool long_running_quota::is_settled(time_point now) const {
     return now - m_cleared_at >= settle_time;
 }
 
-std::int64_t lasting_quota::get_allowed(const std::string& pool, time_point now) const {
+std::int64_t long_running_quota::get_allowed(const std::string& pool, time_point now) const {
     const auto found = m_pools.find(pool);
     if (found == m_pools.end()) {
         return 0;
@@ -74,12 +74,12 @@
     return static_cast<std::int64_t>(allowed);
 }
 
-std::int64_t lasting_quota::get_reserved(const std::string& pool) const {
+std::int64_t long_running_quota::get_reserved(const std::string& pool) const {
     const auto found = m_pools.find(pool);
     return found == m_pools.end() ? 0 : found->second.reserved;
 }
 
-bool lasting_quota::has_room(const std::string& pool, std::int64_t millicores, time_point now) const {
+bool long_running_quota::has_room(const std::string& pool, std::int64_t millicores, time_point now) const {
     const auto found = m_pools.find(pool);
     if (found == m_pools.end() || found->second.use.capacity == 0) {
         return true; // no worker is known yet, so there is no reason to refuse the job
@@ -87,8 +87,8 @@
     return found->second.reserved + millicores <= get_allowed(pool, now);
 }
 
-duration lasting_quota::get_retry_after(job_id job, const std::string& pool, std::int64_t millicores,
-                                        time_point now) const {
+duration long_running_quota::get_retry_after(job_id job, const std::string& pool, std::int64_t millicores,
+                                             time_point now) const {
     if (!is_settled(now)) {
         return unsettled_retry_after;
     }
--- a/poplarpitch/dispatch/lasting_quota.h
+++ b/poplarpitch/dispatch/long_running_quota.h
@@ -19,7 +19,7 @@
 /// short and 10% more filling jobs in time, for 6% less time of serving jobs, and callers learn of the
 /// refusal at once. Where other jobs demand less than the remainder, more is accepted. Thread safety: none,
 /// as for all methods.
-class lasting_quota {
+class long_running_quota {
 public:
     /// The observed use of one pool.
     struct pool_use {
@@ -30,7 +30,7 @@
     };
 
     /// Precondition: `share` lies in (0, 1].
-    explicit lasting_quota(double share) : m_share(share) {}
+    explicit long_running_quota(double share) : m_share(share) {}
 
     /// Resets the quota to no jobs. All workers are expected to report within `settle_time` from `now`.
     void clear(time_point now);
--- a/poplarpitch/scheduling/step_job.cpp
+++ b/poplarpitch/scheduling/step_job.cpp
@@ -16,7 +16,7 @@
     return schedule.has_value() ? schedule->count : 1;
 }
 
-std::int64_t step_job::get_lasting_millicores() const {
+std::int64_t step_job::get_long_running_millicores() const {
     std::int64_t sum = 0;
     for (const auto& step : steps) {
         sum += step.long_running && !step.is_filling ? step.millicores * step.count : 0;
--- a/poplarpitch/scheduling/step_job.h
+++ b/poplarpitch/scheduling/step_job.h
@@ -36,7 +36,7 @@
     [[nodiscard]] std::uint32_t get_occurrence_count() const;
     /// Returns the millicores that the job's long-running steps reserve, except for filling ones. Thread
     /// safety: any thread.
-    [[nodiscard]] std::int64_t get_lasting_millicores() const;
+    [[nodiscard]] std::int64_t get_long_running_millicores() const;
     /// Returns the duration of the critical path, in milliseconds; `lengths_ms` has the duration of each
     /// step. Precondition: one length for each step. Thread safety: any thread.
     [[nodiscard]] std::int64_t get_critical_path_ms(const std::vector<std::int64_t>& lengths_ms) const;
--- a/unit_tests/dispatch/dispatcher_admission_test.cpp
+++ b/unit_tests/dispatch/dispatcher_admission_test.cpp
@@ -12,7 +12,7 @@
 constexpr int workers = 8;
 constexpr std::int64_t worker_millicores = 32'000;
 
-step_job make_lasting(job_id id, std::uint32_t tasks) {
+step_job make_long_running(job_id id, std::uint32_t tasks) {
     step_job job;
     job.id = id;
     job.queue.pool = world_pool;
@@ -34,14 +34,14 @@
 
 /// Recorded load pattern: within one second and before any other job, long-running jobs request more than the
 /// capacity of the whole pool. All were admitted, and short tasks found no free core until the jobs ended.
-TEST(dispatcher_admission, keeps_room_for_short_tasks_when_lasting_jobs_request_more_than_the_pool_has) {
+TEST(dispatcher_admission, keeps_room_for_short_tasks_when_long_running_jobs_request_more_than_the_pool_has) {
     dispatch_world world;
     add_workers(world);
     std::int64_t admitted_millicores = 0;
     for (job_id id = 100; id < 107; ++id) { // 109% of the pool
-        const auto job = make_lasting(id, 6);
+        const auto job = make_long_running(id, 6);
         if (world.scheduler.admit(job, world.now).is_admitted()) {
-            admitted_millicores += job.get_lasting_millicores();
+            admitted_millicores += job.get_long_running_millicores();
             world.submit(job.steps);
             world.scheduler.cancel_admission(id); // the world counts it under its own id
         }
@@ -83,7 +83,7 @@
 TEST(dispatcher_admission, reports_why_a_job_was_refused_and_when_to_retry) {
     dispatch_world world;
     add_workers(world);
-    const auto decision = world.scheduler.admit(make_lasting(100, 40), world.now);
+    const auto decision = world.scheduler.admit(make_long_running(100, 40), world.now);
     EXPECT_EQ(decision.outcome, admission::admission_outcome::long_running_quota);
     EXPECT_EQ(decision.wanted, 256'000);
     EXPECT_EQ(decision.allowed, 204'800);
@@ -94,29 +94,29 @@
 TEST(dispatcher_admission, counts_jobs_that_are_still_being_committed) {
     dispatch_world world;
     add_workers(world);
-    EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 30), world.now).is_admitted());
-    EXPECT_FALSE(world.scheduler.admit(make_lasting(101, 30), world.now).is_admitted());
-    EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 30), world.now).is_admitted()); // sent again
+    EXPECT_TRUE(world.scheduler.admit(make_long_running(100, 30), world.now).is_admitted());
+    EXPECT_FALSE(world.scheduler.admit(make_long_running(101, 30), world.now).is_admitted());
+    EXPECT_TRUE(world.scheduler.admit(make_long_running(100, 30), world.now).is_admitted()); // sent again
     world.scheduler.cancel_admission(100);
-    EXPECT_TRUE(world.scheduler.admit(make_lasting(101, 30), world.now).is_admitted());
+    EXPECT_TRUE(world.scheduler.admit(make_long_running(101, 30), world.now).is_admitted());
 }
 
 TEST(dispatcher_admission, a_new_leader_counts_the_jobs_of_the_one_before) {
     dispatch_world world;
     add_workers(world);
-    world.submit(make_lasting(0, 30).steps);
+    world.submit(make_long_running(0, 30).steps);
     world.start_leading();
     for (int number = 0; number < workers; ++number) {
         world.send_heartbeat("w" + std::to_string(number));
     }
     world.advance(seconds{4});
-    EXPECT_FALSE(world.scheduler.admit(make_lasting(101, 30), world.now).is_admitted());
+    EXPECT_FALSE(world.scheduler.admit(make_long_running(101, 30), world.now).is_admitted());
 }
 
-TEST(dispatcher_admission, admits_jobs_that_end_however_much_lasting_jobs_reserve) {
+TEST(dispatcher_admission, admits_jobs_that_end_however_much_long_running_jobs_reserve) {
     dispatch_world world;
     add_workers(world);
-    EXPECT_TRUE(world.scheduler.admit(make_lasting(100, 32), world.now).is_admitted());
+    EXPECT_TRUE(world.scheduler.admit(make_long_running(100, 32), world.now).is_admitted());
     step_job job;
     job.id = 101;
     job.queue.pool = world_pool;
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -172,9 +172,9 @@
 TEST(dispatcher_crash, clears_a_suspect_that_runs_without_a_crash_and_reopens_its_worker) {
     dispatch_world world;
     world.add_worker("w1");
-    auto lasting = make_step();
-    lasting.long_running = true;
-    const auto job = world.submit({lasting});
+    auto long_running_step = make_step();
+    long_running_step.long_running = true;
+    const auto job = world.submit({long_running_step});
     const task_key task{{job, 0, 0}, 0};
     ASSERT_EQ(confirm_starts(world).size(), 1U);
     world.advance(seconds{1});
@@ -189,12 +189,12 @@
     EXPECT_EQ(world.job_state.find_task(task)->crash.crashes, 1U) << "the first one was refuted";
 }
 
-TEST(dispatcher_crash, keeps_a_lasting_task_however_often_its_machines_fail) {
+TEST(dispatcher_crash, keeps_a_long_running_task_however_often_its_machines_fail) {
     dispatch_world world;
     world.add_worker("w");
-    auto lasting = make_step();
-    lasting.long_running = true;
-    const auto job = world.submit({lasting});
+    auto long_running_step = make_step();
+    long_running_step.long_running = true;
+    const auto job = world.submit({long_running_step});
     std::string worker = "w";
     for (int crash = 1; crash <= 6; ++crash) {
         const auto starts = confirm_starts(world);
@@ -333,12 +333,12 @@
     EXPECT_LE(crashes, max_starts);
 }
 
-TEST(dispatcher_crash, gives_up_a_lasting_task_that_crashes_its_workers) {
+TEST(dispatcher_crash, gives_up_a_long_running_task_that_crashes_its_workers) {
     dispatch_world world;
     add_workers(world, 4);
-    auto lasting = make_step();
-    lasting.long_running = true;
-    const auto crashing_job = world.submit({lasting});
+    auto long_running_step = make_step();
+    long_running_step.long_running = true;
+    const auto crashing_job = world.submit({long_running_step});
     EXPECT_LE(crash_at_each_start(world, crashing_job, round_count), max_starts);
     EXPECT_EQ(world.job_state.find_job(crashing_job)->phase, job_phase::failed);
 }
--- a/unit_tests/dispatch/dispatcher_job_test.cpp
+++ b/unit_tests/dispatch/dispatcher_job_test.cpp
@@ -202,12 +202,12 @@
     EXPECT_EQ(world.scheduler.count_pending_jobs("queue"), 1U);
 }
 
-TEST(dispatcher_job, starts_a_lasting_task_that_has_waited_before_short_ones_however_old_its_job_is) {
+TEST(dispatcher_job, starts_a_long_running_task_that_has_waited_before_short_ones_however_old_its_job_is) {
     dispatch_world world;
     world.add_worker("w1", {1000, 256000, 0});
-    auto lasting = make_step();
-    lasting.long_running = true;
-    world.submit({lasting});
+    auto long_running_step = make_step();
+    long_running_step.long_running = true;
+    world.submit({long_running_step});
     const auto first = world.take<start_order>();
     ASSERT_EQ(first.size(), 1U);
     world.answer(first[0]);
@@ -223,12 +223,12 @@
     EXPECT_EQ(again[0].run.task, first[0].run.task);
 }
 
-TEST(dispatcher_job, starts_a_lasting_task_again_wherever_there_is_room_however_often_it_failed) {
+TEST(dispatcher_job, starts_a_long_running_task_again_wherever_there_is_room_however_often_it_failed) {
     dispatch_world world;
     world.add_worker("w1");
-    auto lasting = make_step();
-    lasting.long_running = true;
-    world.submit({lasting}, 2);
+    auto long_running_step = make_step();
+    long_running_step.long_running = true;
+    world.submit({long_running_step}, 2);
     for (std::uint64_t failure = 1; failure <= 4; ++failure) {
         const auto starts = world.take<start_order>();
         ASSERT_EQ(starts.size(), 1U) << "after " << failure - 1 << " failures";
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -95,9 +95,9 @@
 TEST(dispatcher_loss, starts_nothing_on_a_worker_that_leaves_and_moves_what_lasts) {
     dispatch_world world;
     world.add_worker("w1");
-    auto lasting = make_step();
-    lasting.long_running = true;
-    world.submit({lasting});
+    auto long_running_step = make_step();
+    long_running_step.long_running = true;
+    world.submit({long_running_step});
     const auto first = world.start_one();
     world.send_heartbeat("w1", true, 2000);
     EXPECT_TRUE(world.job_state.is_retired(world.get_incarnation("w1")));
@@ -220,12 +220,12 @@
 TEST(dispatcher_loss, gives_up_what_ran_on_a_worker_that_is_gone_though_a_start_there_is_still_repeated) {
     dispatch_world world;
     world.add_worker("w1");
-    const auto lasting = [] {
+    const auto long_running_step = [] {
         auto step = make_step();
         step.long_running = true;
         return step;
     }();
-    world.submit({lasting});
+    world.submit({long_running_step});
     const auto first = world.take<start_order>();
     ASSERT_EQ(first.size(), 1U);
     world.answer(first[0]);
--- a/unit_tests/dispatch/dispatcher_probation_test.cpp
+++ b/unit_tests/dispatch/dispatcher_probation_test.cpp
@@ -15,7 +15,7 @@
 constexpr worker_amounts small_worker = {4000, 4000, 0};
 constexpr duration max_wait = seconds{3}; // of a task that could run
 
-step_spec make_lasting(std::uint32_t count) {
+step_spec make_long_running(std::uint32_t count) {
     auto step = make_step(count);
     step.long_running = true;
     return step;
@@ -73,23 +73,23 @@
 
 TEST(dispatcher_probation, closes_no_worker_for_a_suspect_that_shares_it) {
     dispatch_world world;
-    crash_twice(world, 4, make_lasting(8));
+    crash_twice(world, 4, make_long_running(8));
     EXPECT_EQ(confirm_for(world, max_wait).size(), 8U);
     EXPECT_LE(count_probations(world), 1U);
 }
 
-TEST(dispatcher_probation, lets_no_lasting_task_wait_where_only_a_kept_worker_has_room) {
+TEST(dispatcher_probation, lets_no_long_running_task_wait_where_only_a_kept_worker_has_room) {
     dispatch_world world;
-    crash_twice(world, 1, make_lasting(1));
+    crash_twice(world, 1, make_long_running(1));
     ASSERT_EQ(confirm_for(world, seconds{1}).size(), 1U);
     ASSERT_EQ(count_probations(world), 1U);
-    world.submit({make_lasting(1)});
+    world.submit({make_long_running(1)});
     EXPECT_EQ(confirm_for(world, max_wait).size(), 1U);
 }
 
 TEST(dispatcher_probation, lets_no_job_starve_where_only_a_kept_worker_has_room) {
     dispatch_world world;
-    crash_twice(world, 1, make_lasting(1));
+    crash_twice(world, 1, make_long_running(1));
     ASSERT_EQ(confirm_for(world, seconds{1}).size(), 1U);
     world.submit({make_step()});
     EXPECT_EQ(confirm_for(world, max_wait).size(), 1U);
@@ -97,7 +97,7 @@
 
 TEST(dispatcher_probation, keeps_no_more_workers_for_a_gang_of_suspects) {
     dispatch_world world;
-    auto gang = make_lasting(3);
+    auto gang = make_long_running(3);
     gang.gang = true;
     crash_twice(world, 1, gang);
     for (int number = 2; number <= 5; ++number) {
@@ -109,7 +109,7 @@
 
 TEST(dispatcher_probation, keeps_no_more_workers_for_suspects_under_a_new_leader) {
     dispatch_world world;
-    crash_twice(world, 4, make_lasting(8));
+    crash_twice(world, 4, make_long_running(8));
     const auto starts = confirm_for(world, max_wait);
     world.start_leading();
     std::map<std::string, hold_answer> lists;
@@ -122,7 +122,7 @@
         world.answer_hold(worker, list);
     }
     EXPECT_LE(count_probations(world), 1U);
-    world.submit({make_lasting(4)});
+    world.submit({make_long_running(4)});
     EXPECT_EQ(confirm_for(world, max_wait).size(), 4U);
 }
 
--- a/unit_tests/dispatch/dispatcher_restart_test.cpp
+++ b/unit_tests/dispatch/dispatcher_restart_test.cpp
@@ -74,12 +74,12 @@
 TEST(dispatcher_restart, takes_up_the_first_end_that_the_next_life_lists) {
     dispatch_world world;
     add_worker(world);
-    auto lasting = make_step();
-    lasting.long_running = true;
+    auto long_running_step = make_step();
+    long_running_step.long_running = true;
     world.submit({make_step()});
     list_end(world, 7, world.start_one(), run_end::done);
     restart_and_confirm(world, second_process_start_ms);
-    world.submit({lasting});
+    world.submit({long_running_step});
     const auto first = world.start_one();
     list_end(world, 1, first, run_end::failed);
     world.advance(milliseconds{200});
--- a/unit_tests/dispatch/lasting_quota_test.cpp
+++ b/unit_tests/dispatch/long_running_quota_test.cpp
@@ -1,5 +1,5 @@
 // How much of a pool long-running jobs may reserve.
-#include "poplarpitch/dispatch/lasting_quota.h"
+#include "poplarpitch/dispatch/long_running_quota.h"
 
 #include <gtest/gtest.h>
 
@@ -12,8 +12,8 @@
 const std::string pool = "pool"; // NOLINT(cert-err58-cpp)
 constexpr time_point start{seconds{100}};
 
-TEST(lasting_quota, allows_lasting_jobs_their_share_and_no_more) {
-    lasting_quota quota(share);
+TEST(long_running_quota, allows_long_running_jobs_their_share_and_no_more) {
+    long_running_quota quota(share);
     quota.clear(start);
     quota.observe(pool, {1000, 0}, start);
     EXPECT_TRUE(quota.has_room(pool, 800, start));
@@ -27,14 +27,14 @@
     EXPECT_TRUE(quota.has_room(pool, 800, start));
 }
 
-TEST(lasting_quota, admits_all_jobs_while_no_worker_is_known) {
-    lasting_quota quota(share);
+TEST(long_running_quota, admits_all_jobs_while_no_worker_is_known) {
+    long_running_quota quota(share);
     quota.clear(start);
     EXPECT_TRUE(quota.has_room(pool, 1'000'000, start));
 }
 
-TEST(lasting_quota, allows_a_larger_share_where_other_jobs_use_little) {
-    lasting_quota quota(share);
+TEST(long_running_quota, allows_a_larger_share_where_other_jobs_use_little) {
+    long_running_quota quota(share);
     quota.clear(start);
     auto now = start;
     for (; now < start + seconds{31}; now += milliseconds{500}) {
@@ -47,8 +47,8 @@
     EXPECT_EQ(quota.get_allowed(pool, now + seconds{10}), 800);
 }
 
-TEST(lasting_quota, computes_the_retry_time_from_the_rate_at_which_jobs_end) {
-    lasting_quota quota(share);
+TEST(long_running_quota, computes_the_retry_time_from_the_rate_at_which_jobs_end) {
+    long_running_quota quota(share);
     quota.clear(start);
     quota.observe(pool, {1000, 0}, start);
     quota.add(1, pool, 400);
@@ -61,8 +61,8 @@
     EXPECT_EQ(quota.get_retry_after(16, pool, 200, now), seconds{10});
 }
 
-TEST(lasting_quota, spreads_the_retries_of_refused_callers) {
-    lasting_quota quota(share);
+TEST(long_running_quota, spreads_the_retries_of_refused_callers) {
+    long_running_quota quota(share);
     quota.clear(start);
     const auto now = start + seconds{20};
     std::set<duration> times;
@@ -73,8 +73,8 @@
     EXPECT_LT(*times.rbegin(), seconds{45});
 }
 
-TEST(lasting_quota, returns_one_second_to_retry_while_workers_are_still_registering) {
-    lasting_quota quota(share);
+TEST(long_running_quota, returns_one_second_to_retry_while_workers_are_still_registering) {
+    long_running_quota quota(share);
     quota.clear(start);
     EXPECT_EQ(quota.get_retry_after(5, pool, 100, start + seconds{1}), seconds{1});
 }
--- a/unit_tests/dispatch/overlap_property_test.cpp
+++ b/unit_tests/dispatch/overlap_property_test.cpp
@@ -32,7 +32,7 @@
 struct traffic_settings {
     duration max_length = max_task_time;
     std::uint64_t jobs_per_gang = 12;
-    bool has_lasting = true;
+    bool has_long_running = true;
     duration recovery = recovery_time;
 };
 
@@ -67,13 +67,13 @@
         EXPECT_TRUE(m_world.find_stuck().empty())
             << m_world.find_stuck().size()
             << " stuck: " << get_stuck_name(m_world.find_stuck().front().reason);
-        for (const auto& [id, tasks] : m_lasting) {
+        for (const auto& [id, tasks] : m_long_running) {
             if (get_phase(id) == job_phase::open) {
-                EXPECT_EQ(m_world.count_running(id), tasks) << "of job " << id << " that lasts";
+                EXPECT_EQ(m_world.count_running(id), tasks) << "of job " << id << " that is long-running";
             }
         }
         for (const auto& [id, record] : m_world.get_job_state().get_jobs()) {
-            EXPECT_TRUE(record.phase != job_phase::open || m_lasting.contains(id))
+            EXPECT_TRUE(record.phase != job_phase::open || m_long_running.contains(id))
                 << "job " << id << " never ended";
         }
     }
@@ -89,7 +89,7 @@
         auto step = make_step(static_cast<std::uint32_t>(pick(1, 10)));
         step.millicores = static_cast<std::int64_t>(pick(1, 4)) * 1000;
         step.memory_mb = static_cast<std::int64_t>(pick(1, 8)) * 500;
-        step.long_running = pick(1, 20) == 1 && m_traffic.has_lasting;
+        step.long_running = pick(1, 20) == 1 && m_traffic.has_long_running;
         step.gang = !step.long_running && pick(1, m_traffic.jobs_per_gang) == 1;
         step.checkpointing = pick(1, 4) == 1;
         const auto length =
@@ -97,7 +97,7 @@
         step.estimate_ms = to_milliseconds(length);
         const auto id = m_world.submit({step}, length);
         if (step.long_running) {
-            m_lasting[id] = static_cast<int>(step.count);
+            m_long_running[id] = static_cast<int>(step.count);
         }
         m_ids.push_back(id);
     }
@@ -114,7 +114,7 @@
     std::mt19937_64 m_random;
     traffic_settings m_traffic;
     std::vector<job_id> m_ids;
-    std::map<job_id, int> m_lasting; ///< long-running jobs with their task counts
+    std::map<job_id, int> m_long_running; ///< long-running jobs with their task counts
 };
 
 void run_all_seeds(const crash_world_settings& settings, const traffic_settings& traffic_options = {}) {
@@ -281,7 +281,7 @@
         if (seed % 3 == 0) {
             traffic_options.max_length = longer_than_lease;
             traffic_options.recovery = long_recovery_time; // such jobs request more than the total capacity
-            traffic_options.has_lasting = false;
+            traffic_options.has_long_running = false;
         }
         overlap_traffic traffic(draw_settings(seed), seed, traffic_options);
         traffic.run(traffic_time);
--- a/unit_tests/dispatch/restart_property_test.cpp
+++ b/unit_tests/dispatch/restart_property_test.cpp
@@ -42,13 +42,13 @@
         EXPECT_TRUE(m_world.find_stuck().empty())
             << m_world.find_stuck().size()
             << " stuck: " << get_stuck_name(m_world.find_stuck().front().reason);
-        for (const auto& [id, tasks] : m_lasting) {
+        for (const auto& [id, tasks] : m_long_running) {
             if (get_phase(id) == job_phase::open) {
-                EXPECT_EQ(m_world.count_running(id), tasks) << "of job " << id << " that lasts";
+                EXPECT_EQ(m_world.count_running(id), tasks) << "of job " << id << " that is long-running";
             }
         }
         for (const auto& [id, record] : m_world.get_job_state().get_jobs()) {
-            EXPECT_TRUE(record.phase != job_phase::open || m_lasting.contains(id))
+            EXPECT_TRUE(record.phase != job_phase::open || m_long_running.contains(id))
                 << "job " << id << " never ended";
             if (record.phase == job_phase::failed) {
                 EXPECT_GE(m_world.get_max_crashes(id), min_crashes)
@@ -73,7 +73,7 @@
         step.estimate_ms = to_milliseconds(length);
         const auto id = m_world.submit({step}, length);
         if (step.long_running) {
-            m_lasting[id] = static_cast<int>(step.count);
+            m_long_running[id] = static_cast<int>(step.count);
         }
     }
 
@@ -81,7 +81,7 @@
 
     crash_world m_world;
     std::mt19937_64 m_random;
-    std::map<job_id, int> m_lasting; ///< long-running jobs with their task counts
+    std::map<job_id, int> m_long_running; ///< long-running jobs with their task counts
 };
 
 crash_world_settings make_settings() {
