--- a/poplarpitch/relay/relay_agent.cpp
+++ b/poplarpitch/relay/relay_agent.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-relay_agent::relay_agent(const relay_settings& settings, relay_place place, order_executor execute)
+relay_agent::relay_agent(const relay_settings& settings, relay_instance place, order_executor execute)
     : m_settings(settings), m_place(std::move(place)), m_execute(std::move(execute)),
       m_is_alive(std::make_shared<bool>(true)) {}
 
--- a/poplarpitch/relay/relay_codec.cpp
+++ b/poplarpitch/relay/relay_codec.cpp
@@ -92,18 +92,18 @@
 
 } // namespace
 
-std::optional<order_name> get_order_name(const worker_order& order) {
+std::optional<relay_order_key> get_order_key(const worker_order& order) {
     if (const auto* hold = std::get_if<hold_order>(&order); hold != nullptr) {
-        return order_name{order_name::kind::hold, hold->target.worker, {}, 0};
+        return relay_order_key{relay_order_key::kind::hold, hold->target.worker, {}, 0};
     }
     if (const auto* start = std::get_if<start_order>(&order); start != nullptr) {
-        return order_name{order_name::kind::start, start->target.worker, start->run, 0};
+        return relay_order_key{relay_order_key::kind::start, start->target.worker, start->run, 0};
     }
     if (const auto* stop = std::get_if<stop_order>(&order); stop != nullptr) {
-        return order_name{order_name::kind::stop, stop->target.worker, stop->run, 0};
+        return relay_order_key{relay_order_key::kind::stop, stop->target.worker, stop->run, 0};
     }
     if (const auto* pace = std::get_if<pace_order>(&order); pace != nullptr) {
-        return order_name{order_name::kind::pace, pace->target.worker, pace->run, pace->percent};
+        return relay_order_key{relay_order_key::kind::pace, pace->target.worker, pace->run, pace->percent};
     }
     return std::nullopt;
 }
--- a/poplarpitch/relay/relay_codec.h
+++ b/poplarpitch/relay/relay_codec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "poplarpitch/relay/order_name.h"
+#include "poplarpitch/relay/relay_order_key.h"
 #include "poplarpitch/scheduling/worker_order.h"
 #include "poplarpitch/scheduling/worker_report.h"
 
@@ -25,11 +25,11 @@
 /// Conversions between orders to workers and the frames that relay them. Thread safety: any thread, for all.
 
 /// Returns the identity of an order. Returns nothing for a call to the advice service, which is not relayed.
-[[nodiscard]] std::optional<order_name> get_order_name(const worker_order& order);
+[[nodiscard]] std::optional<relay_order_key> get_order_key(const worker_order& order);
 /// Returns the worker that an order is addressed to, or null for a call to the advice service.
 [[nodiscard]] const order_target* get_order_target(const worker_order& order);
 /// Appends an order to a frame. The payload of a start order is shared with the frame's previous start order
-/// where both are equal. Precondition: `get_order_name` returns a value for the order.
+/// where both are equal. Precondition: `get_order_key` returns a value for the order.
 void append_order(const worker_order& order, std::uint64_t number, job_wire::relay_orders& frame);
 /// Reads an order from a frame. Returns nothing when this version does not know it.
 [[nodiscard]] std::optional<worker_order> read_order(const job_wire::relayed_order& message,
--- a/poplarpitch/relay/relay_hub.cpp
+++ b/poplarpitch/relay/relay_hub.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 /// Returns the outcome of an order without an answer.
-order_outcome make_lost_outcome(const order_name& name) {
-    const bool is_hold = name.what == order_name::kind::hold;
+order_outcome make_lost_outcome(const relay_order_key& key) {
+    const bool is_hold = key.type == relay_order_key::kind::hold;
     return {is_hold ? order_failure::not_sent : order_failure::unanswered, {}};
 }
 
@@ -40,13 +40,13 @@
 bool relay_hub::add(const worker_order& order, const std::string& data_centre, std::uint64_t worker_hash,
                     time_point now) {
     const auto relay = m_registry.pick(data_centre, worker_hash);
-    auto name = get_order_name(order);
-    if (!relay.has_value() || !name.has_value()) {
+    auto key = get_order_key(order);
+    if (!relay.has_value() || !key.has_value()) {
         return false;
     }
     const auto number = m_next_number++;
     append_order(order, number, open_frame(*relay));
-    m_open.emplace(number, open_order{std::move(*name), *relay});
+    m_open.emplace(number, open_order{std::move(*key), *relay});
     m_deadlines.push({now + get_order_target(order)->timeout + m_settings.answer_slack, number});
     ++m_relayed;
     return true;
@@ -61,7 +61,7 @@
     return *box.frame;
 }
 
-void relay_hub::ask_report(const std::string& worker) {
+void relay_hub::request_report(const std::string& worker) {
     m_requested_reports.push_back(worker);
 }
 
@@ -93,12 +93,13 @@
     if (found == m_open.end()) {
         return std::nullopt; // it has its outcome already
     }
-    relayed_outcome closed{std::move(found->second.name), std::move(outcome)};
+    relayed_outcome closed{std::move(found->second.key), std::move(outcome)};
     m_open.erase(found);
     return closed;
 }
 
-std::vector<relayed_outcome> relay_hub::on_not_sent(std::uint32_t ip, const job_wire::relay_orders& frame) {
+std::vector<relayed_outcome> relay_hub::on_frame_not_sent(std::uint32_t ip,
+                                                          const job_wire::relay_orders& frame) {
     m_outboxes[ip].sent_places_version = 0;
     std::vector<relayed_outcome> outcomes;
     for (const auto& order : frame.orders()) {
@@ -117,7 +118,7 @@
     }
 }
 
-std::vector<relayed_outcome> relay_hub::take_lost(time_point now) {
+std::vector<relayed_outcome> relay_hub::expire_orders(time_point now) {
     std::vector<relayed_outcome> outcomes;
     for (const auto ip : m_registry.remove_timed_out(now)) {
         on_relays_changed();
--- a/poplarpitch/relay/relay_hub.h
+++ b/poplarpitch/relay/relay_hub.h
@@ -57,14 +57,14 @@
     bool add(const worker_order& order, const std::string& data_centre, std::uint64_t worker_hash,
              time_point now);
     /// Requests a worker's full report from the relays.
-    void ask_report(const std::string& worker);
+    void request_report(const std::string& worker);
     /// Processes a frame of answers from a relay. Returns the outcomes in it.
     std::vector<relayed_outcome> on_answers(const job_wire::relay_answers& frame, time_point now);
     /// Called when a frame could not be sent to `ip`. Returns the outcomes of its orders, which were
     /// certainly not sent.
-    std::vector<relayed_outcome> on_not_sent(std::uint32_t ip, const job_wire::relay_orders& frame);
+    std::vector<relayed_outcome> on_frame_not_sent(std::uint32_t ip, const job_wire::relay_orders& frame);
     /// Returns the outcomes of orders whose relay was lost or whose timeout has passed.
-    std::vector<relayed_outcome> take_lost(time_point now);
+    std::vector<relayed_outcome> expire_orders(time_point now);
     /// Returns the frames that are due to be sent. `instances`: all instances that may relay.
     std::vector<relay_frame> take_frames(const std::vector<std::uint32_t>& instances, time_point now);
 
@@ -80,7 +80,7 @@
 
 private:
     struct open_order {
-        order_name name;
+        relay_order_key key;
         std::uint32_t relay = 0;
     };
     struct deadline {
--- a/poplarpitch/relay/order_name.h
+++ b/poplarpitch/relay/relay_order_key.h
@@ -9,15 +9,15 @@
 namespace poplarpitch {
 
 /// Identifies the order that an answer belongs to.
-struct order_name {
+struct relay_order_key {
     enum class kind : std::uint8_t { hold, start, stop, pace };
 
-    kind what = kind::hold;
+    kind type = kind::hold;
     worker_incarnation worker;
     run_key run;     ///< unused for a hold order
     int percent = 0; ///< only for a pace order
 
-    friend auto operator<=>(const order_name&, const order_name&) = default;
+    friend auto operator<=>(const relay_order_key&, const relay_order_key&) = default;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_registry.cpp
+++ b/poplarpitch/relay/relay_registry.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-std::optional<std::uint32_t> pick_relay(const std::vector<relay_place>& places,
+std::optional<std::uint32_t> pick_relay(const std::vector<relay_instance>& places,
                                         const std::string& data_centre, std::uint64_t worker_hash) {
     std::optional<std::uint32_t> best;
     bool is_best_near = false;
@@ -42,7 +42,7 @@
     m_last_contact.clear();
 }
 
-bool relay_registry::record_contact(const relay_place& place, time_point now) {
+bool relay_registry::record_contact(const relay_instance& place, time_point now) {
     const auto [found, is_new] = m_last_contact.insert_or_assign(place.ip, now);
     if (is_new) {
         m_places.insert(std::lower_bound(m_places.begin(), m_places.end(), place), place);
@@ -59,7 +59,7 @@
     }
     for (const auto ip : lost) {
         m_last_contact.erase(ip);
-        std::erase_if(m_places, [ip](const relay_place& place) { return place.ip == ip; });
+        std::erase_if(m_places, [ip](const relay_instance& place) { return place.ip == ip; });
     }
     return lost;
 }
--- a/poplarpitch/relay/relay_registry.h
+++ b/poplarpitch/relay/relay_registry.h
@@ -12,11 +12,11 @@
 namespace poplarpitch {
 
 /// A control instance that relays, and its data centre.
-struct relay_place {
+struct relay_instance {
     std::uint32_t ip = 0; ///< in host order
     std::string data_centre;
 
-    friend auto operator<=>(const relay_place&, const relay_place&) = default;
+    friend auto operator<=>(const relay_instance&, const relay_instance&) = default;
 };
 
 /// Keeps the instances that relay at present, and assigns one of them to each worker.
@@ -31,23 +31,24 @@
     /// Removes all relays.
     void clear();
     /// Records that a frame of a relay arrived. Returns true when the relay is new.
-    bool record_contact(const relay_place& place, time_point now);
+    bool record_contact(const relay_instance& place, time_point now);
     /// Removes the relays that sent nothing within the timeout, and returns their addresses.
     std::vector<std::uint32_t> remove_timed_out(time_point now);
     /// Returns the relay for a worker, or nothing where there is none.
     [[nodiscard]] std::optional<std::uint32_t> pick(const std::string& data_centre,
                                                     std::uint64_t worker_hash) const;
     /// Returns all relays, sorted by address.
-    [[nodiscard]] const std::vector<relay_place>& get_places() const { return m_places; }
+    [[nodiscard]] const std::vector<relay_instance>& get_places() const { return m_places; }
 
 private:
     relay_settings m_settings;
-    std::vector<relay_place> m_places;
+    std::vector<relay_instance> m_places;
     std::map<std::uint32_t, time_point> m_last_contact; ///< time of the last frame of each relay, by address
 };
 
 /// Returns the relay out of `places` for a worker, as `relay_registry` assigns it. Thread safety: any thread.
-[[nodiscard]] std::optional<std::uint32_t>
-pick_relay(const std::vector<relay_place>& places, const std::string& data_centre, std::uint64_t worker_hash);
+[[nodiscard]] std::optional<std::uint32_t> pick_relay(const std::vector<relay_instance>& places,
+                                                      const std::string& data_centre,
+                                                      std::uint64_t worker_hash);
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/worker_orders.h
+++ b/poplarpitch/scheduler/worker_orders.h
@@ -27,7 +27,7 @@
         if (!m_parts.may_answer()) {
             return;
         }
-        for (const auto& lost : m_parts.relays.take_lost(m_parts.loop.now())) {
+        for (const auto& lost : m_parts.relays.expire_orders(m_parts.loop.now())) {
             deliver(lost);
         }
         for (const auto& order : m_parts.dispatch.take_orders()) {
@@ -46,7 +46,7 @@
             if (report.is_whole()) {
                 m_parts.dispatch.on_heartbeat(decode(report), now);
             } else if (!m_parts.dispatch.on_unchanged_report(decode_unchanged_report(report), now)) {
-                m_parts.relays.ask_report(report.worker());
+                m_parts.relays.request_report(report.worker());
             }
         }
     }
@@ -60,13 +60,13 @@
         if (try_relay(order)) {
             return;
         }
-        auto name = get_order_name(order);
-        m_link.send(order, [this, name = std::move(*name),
-                            term = m_parts.dispatch.get_term()](order_outcome outcome) {
-            if (term == m_parts.dispatch.get_term()) {
-                deliver({name, std::move(outcome)});
-            }
-        });
+        auto key = get_order_key(order);
+        m_link.send(order,
+                    [this, key = std::move(*key), term = m_parts.dispatch.get_term()](order_outcome outcome) {
+                        if (term == m_parts.dispatch.get_term()) {
+                            deliver({key, std::move(outcome)});
+                        }
+                    });
     }
 
     /// Queues an order for a relay. Returns false when the order has to be sent directly.
@@ -87,7 +87,7 @@
             if (m_parts.log.send_frame(frame.ip, message)) {
                 continue;
             }
-            for (const auto& outcome : m_parts.relays.on_not_sent(frame.ip, message.orders())) {
+            for (const auto& outcome : m_parts.relays.on_frame_not_sent(frame.ip, message.orders())) {
                 deliver(outcome);
             }
         }
@@ -98,17 +98,17 @@
         const auto now = m_parts.loop.now();
         const auto& order = item.order;
         const order_answer answer{item.outcome.failure, item.outcome.answer.clock_ms};
-        switch (order.what) {
-        case order_name::kind::hold:
+        switch (order.type) {
+        case relay_order_key::kind::hold:
             m_parts.dispatch.on_hold(order.worker, item.outcome, now);
             return;
-        case order_name::kind::start:
+        case relay_order_key::kind::start:
             m_parts.dispatch.on_start(order.run, answer, now);
             return;
-        case order_name::kind::stop:
+        case relay_order_key::kind::stop:
             m_parts.dispatch.on_stop(order.run, order.worker, answer, now);
             return;
-        case order_name::kind::pace:
+        case relay_order_key::kind::pace:
             m_parts.dispatch.on_pace(order.run, order.percent, answer, now);
             return;
         }
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -100,7 +100,7 @@
 
 /// A control instance that relays orders to the workers of its data centre.
 struct crash_world::relay {
-    relay_place place;
+    relay_instance place;
     std::unique_ptr<relay_agent> agent; ///< null while the process is down
     std::uint64_t process_number = 0;   ///< number of its process
     time_point stalled_until{};
@@ -391,7 +391,7 @@
     for (const auto& frame : m_hub.take_frames(addresses, m_now)) {
         auto& node = *m_relays[frame.ip - 1];
         if (node.agent == nullptr) {
-            for (const auto& outcome : m_hub.on_not_sent(frame.ip, *frame.orders)) {
+            for (const auto& outcome : m_hub.on_frame_not_sent(frame.ip, *frame.orders)) {
                 deliver(outcome);
             }
             continue;
@@ -429,7 +429,7 @@
         if (report.is_whole()) {
             m_scheduler.on_heartbeat(decode(report), m_now);
         } else if (!m_scheduler.on_unchanged_report(decode_unchanged_report(report), m_now)) {
-            m_hub.ask_report(report.worker());
+            m_hub.request_report(report.worker());
         }
     }
 }
@@ -462,7 +462,7 @@
     if (!m_has_leader) {
         return;
     }
-    for (const auto& lost : m_hub.take_lost(m_now)) {
+    for (const auto& lost : m_hub.expire_orders(m_now)) {
         deliver(lost);
     }
     m_scheduler.tick(m_now, m_wall_ms, m_committing_commands.empty());
@@ -696,18 +696,18 @@
 // ---- orders
 
 void crash_world::send(const worker_order& order) {
-    const auto name = get_order_name(order);
-    if (!name.has_value()) {
+    const auto key = get_order_key(order);
+    if (!key.has_value()) {
         return;
     }
-    const auto* state = m_scheduler.find_worker_state(name->worker);
+    const auto* state = m_scheduler.find_worker_state(key->worker);
     if (m_settings.data_centres > 0 && state != nullptr &&
         m_hub.add(order, state->report.data_centre, state->worker_hash, m_now)) {
         return;
     }
-    send_to_worker(order, [this, name = *name, term = m_term](const order_outcome& outcome) {
+    send_to_worker(order, [this, key = *key, term = m_term](const order_outcome& outcome) {
         if (m_has_leader && term == m_term) {
-            deliver({name, outcome});
+            deliver({key, outcome});
         }
     });
 }
@@ -715,11 +715,11 @@
 void crash_world::deliver(const relayed_outcome& item) {
     const auto& order = item.order;
     const order_answer answer{item.outcome.failure, item.outcome.answer.clock_ms};
-    if (order.what == order_name::kind::hold) {
+    if (order.type == relay_order_key::kind::hold) {
         m_scheduler.on_hold(order.worker, item.outcome, m_now);
-    } else if (order.what == order_name::kind::start) {
+    } else if (order.type == relay_order_key::kind::start) {
         m_scheduler.on_start(order.run, answer, m_now);
-    } else if (order.what == order_name::kind::stop) {
+    } else if (order.type == relay_order_key::kind::stop) {
         m_scheduler.on_stop(order.run, order.worker, answer, m_now);
     }
 }
--- a/unit_tests/relay/relay_hub_test.cpp
+++ b/unit_tests/relay/relay_hub_test.cpp
@@ -137,12 +137,12 @@
     const auto numbers = world.take_numbers().at(near);
     const auto outcomes = world.answer(near, numbers);
     ASSERT_EQ(outcomes.size(), 1U);
-    EXPECT_EQ(outcomes[0].order.what, order_name::kind::start);
+    EXPECT_EQ(outcomes[0].order.type, relay_order_key::kind::start);
     EXPECT_EQ(outcomes[0].order.run.task.index, 3U);
     EXPECT_FALSE(outcomes[0].outcome.failure.has_value());
     EXPECT_TRUE(world.answer(near, numbers).empty());
     world.now += seconds{10};
-    EXPECT_TRUE(world.hub.take_lost(world.now).empty());
+    EXPECT_TRUE(world.hub.expire_orders(world.now).empty());
 }
 
 TEST(relay_hub, reports_a_start_at_a_silent_relay_as_unanswered) {
@@ -152,7 +152,7 @@
     ASSERT_TRUE(world.hub.add(make_hold("w1"), "near", 1, world.now));
     const auto numbers = world.take_numbers().at(near);
     world.now += world.settings.peer_timeout + milliseconds{1};
-    const auto lost = world.hub.take_lost(world.now);
+    const auto lost = world.hub.expire_orders(world.now);
     ASSERT_EQ(lost.size(), 2U);
     EXPECT_EQ(lost[0].outcome.failure, order_failure::unanswered) << "the start may have been carried out";
     EXPECT_EQ(lost[1].outcome.failure, order_failure::not_sent) << "this has nothing to do with the worker";
@@ -167,7 +167,7 @@
     ASSERT_TRUE(world.hub.add(make_start("w1", 0), "near", 1, world.now));
     const auto frames = world.hub.take_frames({near}, world.now);
     ASSERT_EQ(frames.size(), 1U);
-    const auto outcomes = world.hub.on_not_sent(near, *frames[0].orders);
+    const auto outcomes = world.hub.on_frame_not_sent(near, *frames[0].orders);
     ASSERT_EQ(outcomes.size(), 1U);
     EXPECT_EQ(outcomes[0].outcome.failure, order_failure::not_sent);
     EXPECT_EQ(world.hub.count_open(), 0U);
@@ -187,7 +187,7 @@
     world.announce(near, "near");
     world.announce(far, "far");
     world.now += milliseconds{1};
-    static_cast<void>(world.hub.take_lost(world.now));
+    static_cast<void>(world.hub.expire_orders(world.now));
     int moved_to_near = 0;
     int moved_to_far = 0;
     for (const auto& [worker_hash, relay] : before) {
@@ -212,7 +212,7 @@
         world.now += milliseconds{100};
         world.announce(near, "near");
     }
-    const auto lost = world.hub.take_lost(world.now);
+    const auto lost = world.hub.expire_orders(world.now);
     ASSERT_EQ(lost.size(), 1U);
     EXPECT_EQ(lost[0].outcome.failure, order_failure::unanswered);
 }
