--- a/performance_test/scheduler_failover.cpp
+++ b/performance_test/scheduler_failover.cpp
@@ -62,13 +62,14 @@
 int main(int count, char** values) {
     const auto shape = read_arguments(count, values);
     scheduler_cluster cluster(instances);
-    const stand_in_workers workers(shape.workers, cluster.get_controls(), run_time);
+    const stand_in_workers workers(shape.workers, cluster.get_control_addresses(), run_time);
     cluster.put_config(1);
     bool is_good = true;
     for (int round = 1; round <= shape.rounds && is_good; ++round) {
         pause(settle_time);
         is_good = measure_round(cluster, round);
     }
-    std::cout << absl::StrFormat("workers=%d twice at once=%d\n", shape.workers, workers.get_overlaps());
-    return is_good && workers.get_overlaps() == 0 ? 0 : 1;
+    std::cout << absl::StrFormat("workers=%d twice at once=%d\n", shape.workers,
+                                 workers.get_concurrent_start_count());
+    return is_good && workers.get_concurrent_start_count() == 0 ? 0 : 1;
 }
--- a/performance_test/scheduler_load.cpp
+++ b/performance_test/scheduler_load.cpp
@@ -74,7 +74,7 @@
 }
 
 int submit(scheduler_cluster& cluster, int number, const std::string& body) {
-    const auto response = cluster.ask("POST", absl::StrFormat("/jobs/%016x", number), body);
+    const auto response = cluster.send_caller_request("POST", absl::StrFormat("/jobs/%016x", number), body);
     return response.has_value() ? response->status : 0;
 }
 
@@ -129,11 +129,11 @@
 int main(int count, char** values) {
     const auto shape = read_arguments(count, values);
     scheduler_cluster cluster(schedulers);
-    const stand_in_workers workers(shape.workers, cluster.get_controls(), run_time);
+    const stand_in_workers workers(shape.workers, cluster.get_control_addresses(), run_time);
     cluster.put_config(1);
     int number = 1;
     for (int started = 0; started < shape.long_running; started += tasks_of_a_job) {
-        submit(cluster, number++, make_job(stand_in_workers::lasting_spec, tasks_of_a_job, true));
+        submit(cluster, number++, make_job(stand_in_workers::long_running_spec, tasks_of_a_job, true));
     }
     number = submit_steadily(cluster, number, shape.starts_per_second, settle_time);
     if (shape.prints_pids) {
@@ -145,7 +145,7 @@
     const auto done = workers.get_done_counts().size() - done_before;
     std::cout << absl::StrFormat("workers=%d lasting=%d ended tasks=%d in %d s, twice at once=%d\n",
                                  shape.workers, shape.long_running, done, shape.seconds_long,
-                                 workers.get_overlaps());
+                                 workers.get_concurrent_start_count());
     print_usage(cluster, before, done, shape.seconds_long);
-    return workers.get_overlaps() == 0 ? 0 : 1;
+    return workers.get_concurrent_start_count() == 0 ? 0 : 1;
 }
--- a/unit_tests/platform/crash_cluster_test.cpp
+++ b/unit_tests/platform/crash_cluster_test.cpp
@@ -40,7 +40,7 @@
 
 TEST(crash_cluster, fails_a_job_that_crashes_its_workers_and_completes_the_others) {
     scheduler_cluster cluster(3);
-    const stand_in_workers workers(worker_count, cluster.get_controls(), milliseconds{700});
+    const stand_in_workers workers(worker_count, cluster.get_control_addresses(), milliseconds{700});
     cluster.put_config(1);
     submit_both(cluster);
     expect_crashing_job_failed_and_healthy_job_done(cluster, workers);
@@ -48,7 +48,7 @@
 
 TEST(crash_cluster, keeps_crash_counts_when_the_leader_that_saw_the_first_crash_is_killed) {
     scheduler_cluster cluster(3);
-    const stand_in_workers workers(worker_count, cluster.get_controls(), milliseconds{700});
+    const stand_in_workers workers(worker_count, cluster.get_control_addresses(), milliseconds{700});
     cluster.put_config(1);
     submit_both(cluster);
     const int leader = cluster.find_leader();
--- a/unit_tests/platform/expect_done.h
+++ b/unit_tests/platform/expect_done.h
@@ -19,7 +19,7 @@
         }
     }
     EXPECT_EQ(done, task_count);
-    EXPECT_EQ(workers.get_overlaps(), 0);
+    EXPECT_EQ(workers.get_concurrent_start_count(), 0);
 }
 
 } // namespace poplarpitch
--- a/unit_tests/platform/relay_cluster_test.cpp
+++ b/unit_tests/platform/relay_cluster_test.cpp
@@ -20,7 +20,7 @@
 class relay_cluster_environment {
 public:
     explicit relay_cluster_environment(duration run_time, const std::string& settings = {})
-        : cluster(3, settings), workers(worker_count, cluster.get_controls(), run_time) {
+        : cluster(3, settings), workers(worker_count, cluster.get_control_addresses(), run_time) {
         cluster.put_config(1);
         leader = cluster.find_leader();
     }
--- a/unit_tests/platform/replaced_cluster_test.cpp
+++ b/unit_tests/platform/replaced_cluster_test.cpp
@@ -110,7 +110,7 @@
     void start_load() {
         m_cluster.put_config(1, max_attempts);
         ASSERT_TRUE(m_cluster.submit_long_running(long_running_job, long_running_count, wait_timeout,
-                                                  stand_in_workers::lasting_spec));
+                                                  stand_in_workers::long_running_spec));
         submit_job();
         submit_job();
         wait_until([this] { return m_cluster.have_rejoined({}); });
@@ -215,7 +215,7 @@
             EXPECT_TRUE(m_cluster.wait_for_state(id, "completed", wait_timeout)) << id;
         }
         wait_until([this] { return m_workers.get_running_count() == long_running_count; });
-        EXPECT_EQ(m_workers.get_overlaps(), 0);
+        EXPECT_EQ(m_workers.get_concurrent_start_count(), 0);
         EXPECT_EQ(m_workers.get_starts_after_done(), 0);
     }
 
@@ -225,7 +225,7 @@
     std::vector<int> m_wiped;
     int m_crashes = 0;
     scheduler_cluster m_cluster{instance_count, get_lease_setting(GetParam()), data_centres};
-    stand_in_workers m_workers{worker_count, m_cluster.get_controls(), make_behaviour(GetParam())};
+    stand_in_workers m_workers{worker_count, m_cluster.get_control_addresses(), make_behaviour(GetParam())};
 };
 
 TEST_P(replaced_cluster, runs_nothing_twice_when_all_lose_power_and_two_their_disks) {
--- a/unit_tests/platform/restart_cluster_test.cpp
+++ b/unit_tests/platform/restart_cluster_test.cpp
@@ -36,7 +36,7 @@
     void submit_all() {
         m_cluster.put_config(1);
         ASSERT_TRUE(m_cluster.submit(long_running_job, long_running_count, wait_timeout,
-                                     stand_in_workers::lasting_spec));
+                                     stand_in_workers::long_running_spec));
         for (int number = 0; number < job_count; ++number) {
             ASSERT_TRUE(m_cluster.submit(make_job_id(number), task_count, wait_timeout));
         }
@@ -45,13 +45,13 @@
         for (int number = 0; number < job_count; ++number) {
             EXPECT_TRUE(m_cluster.wait_for_state(make_job_id(number), "completed", wait_timeout));
         }
-        EXPECT_EQ(m_workers.get_overlaps(), 0);
+        EXPECT_EQ(m_workers.get_concurrent_start_count(), 0);
         EXPECT_EQ(m_workers.get_starts_after_done(), 0);
         wait_until([this] { return m_workers.get_running_count() == long_running_count; });
     }
 
     scheduler_cluster m_cluster{3};
-    stand_in_workers m_workers{worker_count, m_cluster.get_controls(), milliseconds{200},
+    stand_in_workers m_workers{worker_count, m_cluster.get_control_addresses(), milliseconds{200},
                                stand_in_workers::restart_mode::same_id};
 };
 
--- a/unit_tests/platform/run_record.cpp
+++ b/unit_tests/platform/run_record.cpp
@@ -83,7 +83,7 @@
     add_history_line(m_tasks[task], what);
 }
 
-int run_record::get_overlaps() const {
+int run_record::get_concurrent_start_count() const {
     const absl::MutexLock lock(&m_mutex);
     return m_overlaps;
 }
--- a/unit_tests/platform/run_record.h
+++ b/unit_tests/platform/run_record.h
@@ -29,7 +29,7 @@
     void add_note(const std::string& task, const std::string& what);
 
     /// Returns how often a task was started while another run of it was active.
-    [[nodiscard]] int get_overlaps() const;
+    [[nodiscard]] int get_concurrent_start_count() const;
     /// Returns how often a task was started although an end of it as done had been acknowledged.
     [[nodiscard]] int get_starts_after_done() const;
     /// Returns the number of active runs.
--- a/unit_tests/platform/scheduler_cluster.cpp
+++ b/unit_tests/platform/scheduler_cluster.cpp
@@ -84,7 +84,7 @@
     return m_data_centres.empty() ? "default" : m_data_centres.at(static_cast<std::size_t>(number) - 1);
 }
 
-std::vector<std::string> scheduler_cluster::get_controls() const {
+std::vector<std::string> scheduler_cluster::get_control_addresses() const {
     std::vector<std::string> control_addresses;
     for (int number = 1; number <= m_count; ++number) {
         control_addresses.push_back(absl::StrCat(get_host(number), ":", m_control_port.get_port()));
@@ -93,7 +93,7 @@
 }
 
 void scheduler_cluster::start_scheduler(int number, bool may_found) {
-    const auto control_addresses = get_controls();
+    const auto control_addresses = get_control_addresses();
     const auto seeds =
         std::vector<std::string>(control_addresses.begin(), control_addresses.begin() + std::min(m_count, 3));
     const auto name = absl::StrCat("scheduler-", number);
@@ -115,7 +115,7 @@
 void scheduler_cluster::start_gateway() {
     const auto file = absl::StrCat(m_folder, "/gateway.ini");
     std::ofstream(file) << "[instance]\nid = gateway\nlink_port = " << m_link_port.get_port()
-                        << "\nseeds = " << absl::StrJoin(get_controls(), ",")
+                        << "\nseeds = " << absl::StrJoin(get_control_addresses(), ",")
                         << "\n[entry]\nlisten = 127.0.0.1:" << m_caller_port.get_port()
                         << "\nready = 127.0.0.1:" << m_readiness_port.get_port() << "\ndrain_wait = 100ms\n";
     m_gateway = std::make_unique<child_process>(
@@ -181,10 +181,10 @@
     return exchange.response;
 }
 
-std::optional<http_response> scheduler_cluster::ask_control(int number, const std::string& method,
-                                                            const std::string& path,
-                                                            const std::string& body) {
-    auto response = send(get_controls()[static_cast<std::size_t>(number) - 1], method, path, body);
+std::optional<http_response> scheduler_cluster::send_control_request(int number, const std::string& method,
+                                                                     const std::string& path,
+                                                                     const std::string& body) {
+    auto response = send(get_control_addresses()[static_cast<std::size_t>(number) - 1], method, path, body);
     if (!response.has_value() || response->status != 307) {
         return response;
     }
@@ -193,8 +193,9 @@
     return send(address, method, path, body);
 }
 
-std::optional<http_response> scheduler_cluster::ask(const std::string& method, const std::string& path,
-                                                    const std::string& body) {
+std::optional<http_response> scheduler_cluster::send_caller_request(const std::string& method,
+                                                                    const std::string& path,
+                                                                    const std::string& body) {
     return send(absl::StrCat("127.0.0.1:", m_caller_port.get_port()), method, path, body);
 }
 
@@ -212,7 +213,7 @@
                                      {"services", {{{"name", "mill"}, {"enforcesCapacity", true}}}}};
     const bool is_acknowledged = wait_until(seconds{20}, [&] {
         for (int number = 1; number <= m_count; ++number) {
-            const auto response = ask_control(number, "POST", "/v1/Config.Put", document.dump());
+            const auto response = send_control_request(number, "POST", "/v1/Config.Put", document.dump());
             if (response.has_value() && response->status == 200) {
                 return true;
             }
@@ -237,7 +238,7 @@
                                     const std::string& spec) {
     const nlohmann::json job = {{"spec", spec}, {"steps", {step}}};
     return wait_until(limit, [&] {
-        const auto response = ask("POST", "/jobs/" + id, job.dump());
+        const auto response = send_caller_request("POST", "/jobs/" + id, job.dump());
         return response.has_value() && response->status == 200;
     });
 }
@@ -247,7 +248,7 @@
 }
 
 std::optional<std::string> scheduler_cluster::get_state(const std::string& id) {
-    const auto response = ask("GET", "/jobs/" + id);
+    const auto response = send_caller_request("GET", "/jobs/" + id);
     if (!response.has_value() || response->status != 200) {
         return std::nullopt;
     }
@@ -260,7 +261,7 @@
             continue;
         }
         const auto response =
-            send(get_controls()[static_cast<std::size_t>(number) - 1], "GET", "/v1/Config.Get", "");
+            send(get_control_addresses()[static_cast<std::size_t>(number) - 1], "GET", "/v1/Config.Get", "");
         if (response.has_value() && response->status == 200) {
             return number;
         }
--- a/unit_tests/platform/scheduler_cluster.h
+++ b/unit_tests/platform/scheduler_cluster.h
@@ -49,15 +49,15 @@
     /// POPLARPITCH_KEEP_LOGS is set.
     [[nodiscard]] const std::string& get_folder() const { return m_folder; }
     /// Returns the control addresses of all schedulers.
-    [[nodiscard]] std::vector<std::string> get_controls() const;
+    [[nodiscard]] std::vector<std::string> get_control_addresses() const;
 
     /// Sends a request to a scheduler's control address and follows one redirect. Returns nothing when no
     /// answer arrives.
-    std::optional<http_response> ask_control(int number, const std::string& method, const std::string& path,
-                                             const std::string& body = {});
+    std::optional<http_response> send_control_request(int number, const std::string& method,
+                                                      const std::string& path, const std::string& body = {});
     /// Sends a caller's request through the gateway. Returns nothing when no answer arrives.
-    std::optional<http_response> ask(const std::string& method, const std::string& path,
-                                     const std::string& body = {});
+    std::optional<http_response> send_caller_request(const std::string& method, const std::string& path,
+                                                     const std::string& body = {});
     /// Sends a configuration with one queue at `/jobs/` until it is acknowledged, and fails the test when it
     /// is not.
     void put_config(std::uint64_t version, int max_attempts = 3);
--- a/unit_tests/platform/scheduler_cluster_test.cpp
+++ b/unit_tests/platform/scheduler_cluster_test.cpp
@@ -18,27 +18,27 @@
 void expect_config_version_7(scheduler_cluster& cluster) {
     const auto leader = cluster.find_leader();
     ASSERT_NE(leader, 0);
-    const auto read = cluster.ask_control(leader, "GET", "/v1/Config.Get");
+    const auto read = cluster.send_control_request(leader, "GET", "/v1/Config.Get");
     ASSERT_TRUE(read.has_value());
     EXPECT_NE(read->body.find("\"version\":7"), std::string::npos);
 }
 
 TEST(scheduler_cluster, runs_a_job_from_submission_to_its_end) {
     scheduler_cluster cluster(3);
-    const stand_in_workers workers(2, cluster.get_controls(), milliseconds{100});
+    const stand_in_workers workers(2, cluster.get_control_addresses(), milliseconds{100});
     cluster.put_config(1);
     const std::string id = "00000000000000a1";
     ASSERT_TRUE(cluster.submit(id, task_count, wait_timeout));
     ASSERT_TRUE(cluster.wait_for_state(id, "completed", wait_timeout));
     expect_each_done_once(workers, id, task_count);
-    EXPECT_EQ(cluster.ask("GET", "/jobs/00000000000000ff")->status, 410);
-    EXPECT_EQ(cluster.ask("GET", "/none/00000000000000a1")->status, 404);
-    EXPECT_EQ(cluster.ask("POST", "/jobs/00000000000000a2", "{\"steps\":")->status, 400);
+    EXPECT_EQ(cluster.send_caller_request("GET", "/jobs/00000000000000ff")->status, 410);
+    EXPECT_EQ(cluster.send_caller_request("GET", "/none/00000000000000a1")->status, 404);
+    EXPECT_EQ(cluster.send_caller_request("POST", "/jobs/00000000000000a2", "{\"steps\":")->status, 400);
 }
 
 TEST(scheduler_cluster, completes_a_job_when_the_leader_is_killed_while_it_runs) {
     scheduler_cluster cluster(3);
-    const stand_in_workers workers(2, cluster.get_controls(), milliseconds{1500});
+    const stand_in_workers workers(2, cluster.get_control_addresses(), milliseconds{1500});
     cluster.put_config(1);
     const std::string id = "00000000000000b1";
     ASSERT_TRUE(cluster.submit(id, task_count, wait_timeout));
@@ -54,7 +54,7 @@
 
 TEST(scheduler_cluster, recovers_jobs_and_configuration_after_all_instances_were_killed) {
     scheduler_cluster cluster(3);
-    const stand_in_workers workers(2, cluster.get_controls(), milliseconds{300});
+    const stand_in_workers workers(2, cluster.get_control_addresses(), milliseconds{300});
     cluster.put_config(7);
     const std::string id = "00000000000000c1";
     ASSERT_TRUE(cluster.submit(id, task_count, wait_timeout));
@@ -71,7 +71,7 @@
 
 TEST(scheduler_cluster, readmits_an_instance_that_lost_its_disk) {
     scheduler_cluster cluster(3);
-    const stand_in_workers workers(2, cluster.get_controls(), milliseconds{100});
+    const stand_in_workers workers(2, cluster.get_control_addresses(), milliseconds{100});
     cluster.put_config(1);
     const int leader = cluster.find_leader();
     ASSERT_NE(leader, 0);
@@ -110,7 +110,7 @@
 TEST(scheduler_cluster, knows_what_it_acknowledged_when_two_of_five_disks_are_lost_right_after) {
     constexpr int instances = 5;
     scheduler_cluster cluster(instances);
-    const stand_in_workers workers(2, cluster.get_controls(), milliseconds{300});
+    const stand_in_workers workers(2, cluster.get_control_addresses(), milliseconds{300});
     cluster.put_config(7);
     const auto leader = cluster.find_leader();
     ASSERT_NE(leader, 0);
@@ -139,7 +139,8 @@
     cluster.get_scheduler(1).kill();
     cluster.get_scheduler(2).kill();
     cluster.get_scheduler(3).kill();
-    const auto response = cluster.ask("POST", "/jobs/00000000000000e1", R"({"steps":[{"count":1}]})");
+    const auto response =
+        cluster.send_caller_request("POST", "/jobs/00000000000000e1", R"({"steps":[{"count":1}]})");
     ASSERT_TRUE(response.has_value());
     EXPECT_EQ(response->status, 503);
     EXPECT_TRUE(response->headers.has("Retry-After"));
@@ -151,11 +152,13 @@
     // There are no workers, so the jobs stay open.
     ASSERT_TRUE(cluster.submit("00000000000000f1", 1, wait_timeout));
     ASSERT_TRUE(cluster.submit("00000000000000f2", 1, wait_timeout));
-    const auto third = cluster.ask("POST", "/jobs/00000000000000f3", R"({"steps":[{"count":1}]})");
+    const auto third =
+        cluster.send_caller_request("POST", "/jobs/00000000000000f3", R"({"steps":[{"count":1}]})");
     ASSERT_TRUE(third.has_value());
     EXPECT_EQ(third->status, 429);
     EXPECT_TRUE(third->headers.has("Retry-After"));
-    const auto again = cluster.ask("POST", "/jobs/00000000000000f2", R"({"steps":[{"count":1}]})");
+    const auto again =
+        cluster.send_caller_request("POST", "/jobs/00000000000000f2", R"({"steps":[{"count":1}]})");
     ASSERT_TRUE(again.has_value());
     EXPECT_EQ(again->status, 200); // the same job submitted again
 }
--- a/unit_tests/platform/stand_in_workers.cpp
+++ b/unit_tests/platform/stand_in_workers.cpp
@@ -276,7 +276,7 @@
             });
         }
         const bool is_long_running =
-            spec == stand_in_workers::lasting_spec || spec == stand_in_workers::crashing_spec;
+            spec == stand_in_workers::long_running_spec || spec == stand_in_workers::crashing_spec;
         timer_id timer = 0;
         if (!is_long_running) {
             const char* outcome = happens(behaviour.failed_run_percent) ? "failed" : "done";
@@ -684,8 +684,8 @@
     return m_impl->record.get_start_counts();
 }
 
-int stand_in_workers::get_overlaps() const {
-    return m_impl->record.get_overlaps();
+int stand_in_workers::get_concurrent_start_count() const {
+    return m_impl->record.get_concurrent_start_count();
 }
 
 int stand_in_workers::get_running_count() const {
--- a/unit_tests/platform/stand_in_workers.h
+++ b/unit_tests/platform/stand_in_workers.h
@@ -22,7 +22,7 @@
 class stand_in_workers {
 public:
     /// Payload of jobs whose tasks run until they are stopped.
-    static constexpr const char* lasting_spec = "lasts";
+    static constexpr const char* long_running_spec = "lasts";
     /// Payload of jobs whose tasks crash the workers that start them.
     static constexpr const char* crashing_spec = "crashes";
 
@@ -55,7 +55,7 @@
     /// Returns the number of runs of each task that ended as done.
     [[nodiscard]] std::map<std::string, int> get_done_counts() const;
     /// Returns how often a task was started while another run of it was active.
-    [[nodiscard]] int get_overlaps() const;
+    [[nodiscard]] int get_concurrent_start_count() const;
     /// Returns how often each task was started.
     [[nodiscard]] std::map<std::string, int> get_start_counts() const;
     /// Returns the number of active runs.
