--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -21,7 +21,7 @@
     value.replica.seeds = read_seed_hosts(reader, "seeds");
     value.metrics_port = static_cast<int>(reader.get_integer("metrics_port", 0, 0, max_port));
     if (value.id.empty()) {
-        reader.add_error("id", "id is missing: the name of this instance");
+        reader.add_error("id", "id is missing: it is the name of this instance");
     }
     if (!read_ip(value.replica.host).has_value()) {
         reader.add_error("host", "host must be an IPv4 address, such as 10.0.0.4");
@@ -40,7 +40,7 @@
     replica.voters = static_cast<std::size_t>(2 * lost + 1);
     replica.voter_loss = reader.get_duration("voter_loss", replica.voter_loss);
     if (replica.data_folder.empty()) {
-        reader.add_error("data_folder", "data_folder is missing: where the log and snapshots are kept");
+        reader.add_error("data_folder", "data_folder is missing: it is where the log and snapshots are kept");
     }
 }
 
