--- a/performance_test/crash_load.cpp
+++ b/performance_test/crash_load.cpp
@@ -14,10 +14,10 @@
 
 constexpr std::uint64_t seeds = 40;
 constexpr duration traffic_time = seconds{25};
-constexpr duration rest_time = seconds{30};
+constexpr duration settle_time = seconds{30};
 constexpr duration arrival_pause = milliseconds{250};
-constexpr duration look_pause = milliseconds{50};
-constexpr std::uint64_t jobs_per_killer = 24;
+constexpr duration poll_interval = milliseconds{50};
+constexpr std::uint64_t jobs_per_crashing_job = 24;
 
 /// What one seed or all of them came to.
 struct crash_figures {
@@ -34,16 +34,16 @@
     crash_figures run() {
         for (duration passed{0}; passed < traffic_time; passed += arrival_pause) {
             submit_one();
-            for (duration waited{0}; waited < arrival_pause; waited += look_pause) {
-                m_world.run(look_pause);
-                m_passed += look_pause;
-                look();
+            for (duration waited{0}; waited < arrival_pause; waited += poll_interval) {
+                m_world.run(poll_interval);
+                m_passed += poll_interval;
+                record_done_jobs();
             }
         }
         const auto done_in_time = m_figures.done;
-        m_world.run(rest_time);
+        m_world.run(settle_time);
         m_figures.done = done_in_time;
-        m_figures.crashed = m_world.get_crashed_workers();
+        m_figures.crashed = m_world.count_worker_crashes();
         return m_figures;
     }
 
@@ -66,16 +66,16 @@
         const auto length = milliseconds{pick(200, 3000)};
         step.estimate_ms = to_milliseconds(length);
         const auto id = m_world.submit({step}, length);
-        if (pick(1, jobs_per_killer) == 1) {
-            m_world.make_killer({{id, 0, 0}, 0});
+        if (pick(1, jobs_per_crashing_job) == 1) {
+            m_world.add_crashing_task({{id, 0, 0}, 0});
             return;
         }
         ++m_figures.sent;
         m_open[id] = m_passed;
     }
 
-    /// Takes up which jobs are done by now.
-    void look() {
+    /// Records which jobs are done by now.
+    void record_done_jobs() {
         std::erase_if(m_open, [this](const auto& item) {
             if (m_world.get_job_state().find_job(item.first)->phase != job_phase::completed) {
                 return false;
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -296,7 +296,7 @@
     request.is_last_attempt = failed != m_failed_on.end() && !request.spec->long_running &&
                               failed->second.size() + 1 >= ready.job->queue.max_attempts;
     if (request.spec->is_filling || request.spec->is_serving()) {
-        request.image = m_pressure.get_number(request.spec->image);
+        request.image = m_pressure.get_image_number(request.spec->image);
     }
     if (request.spec->is_filling) {
         request.factors = m_pressure.get_conservative_factors(request.image);
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -34,7 +34,7 @@
         job->second.runs.emplace(key, &track);
     }
     if (track.get_spec().is_filling || track.get_spec().is_serving()) {
-        track.image = m_pressure.get_number(track.get_spec().image);
+        track.image = m_pressure.get_image_number(track.get_spec().image);
         refresh_pressure(state);
     }
     return track;
--- a/poplarpitch/dispatch/pressure_model.cpp
+++ b/poplarpitch/dispatch/pressure_model.cpp
@@ -39,7 +39,7 @@
     m_numbers.clear();
     m_names.clear();
     for (const auto& known : factors) {
-        const pair_key pair{get_number(known.serving), get_number(known.filling)};
+        const pair_key pair{get_image_number(known.serving), get_image_number(known.filling)};
         m_factors[pair] = {known.mean, known.variance};
     }
 }
@@ -75,7 +75,7 @@
     return known.mean + uncertainty_weight * std::sqrt(known.variance);
 }
 
-image_number pressure_model::get_number(const std::string& image) {
+image_number pressure_model::get_image_number(const std::string& image) {
     const auto [found, is_new] = m_numbers.try_emplace(image, static_cast<image_number>(m_names.size()));
     if (is_new) {
         m_names.push_back(image);
--- a/poplarpitch/dispatch/pressure_model.h
+++ b/poplarpitch/dispatch/pressure_model.h
@@ -64,7 +64,7 @@
     /// Returns the expected factor of a pair.
     [[nodiscard]] double get_factor(image_number serving, image_number filling) const;
     /// Returns the number of an image. Assigns a new one to an unknown image.
-    image_number get_number(const std::string& image);
+    image_number get_image_number(const std::string& image);
     /// Returns the conservative factors of a filling image beside every serving image, by the number of the
     /// latter.
     [[nodiscard]] std::vector<double> get_conservative_factors(image_number filling) const;
--- a/unit_tests/dispatch/crash_property_test.cpp
+++ b/unit_tests/dispatch/crash_property_test.cpp
@@ -91,7 +91,7 @@
         const bool crashes_workers = pick(1, 12) == 1;
         const auto id = m_world.submit({step}, length);
         if (crashes_workers) {
-            m_world.make_killer(get_crashing_task(id));
+            m_world.add_crashing_task(get_crashing_task(id));
             m_crashing_jobs.push_back(id);
         } else {
             m_harmless_jobs.push_back(id);
--- a/unit_tests/dispatch/crash_world.h
+++ b/unit_tests/dispatch/crash_world.h
@@ -84,7 +84,7 @@
     /// Cancels a job.
     void cancel(job_id id);
     /// Makes a task crash every worker that starts it, `crash_after` after the start.
-    void make_killer(const task_key& task) { m_crashing_tasks.insert(task); }
+    void add_crashing_task(const task_key& task) { m_crashing_tasks.insert(task); }
     /// Advances the simulation.
     void run(duration length);
 
@@ -114,7 +114,7 @@
     /// Returns the number of starts that reached a worker with an expired lease.
     [[nodiscard]] int get_late_leases() const { return m_late_leases; }
     /// Returns the number of worker crashes.
-    [[nodiscard]] int get_crashed_workers() const { return m_crashed; }
+    [[nodiscard]] int count_worker_crashes() const { return m_crashed; }
     /// Returns the observed violations of invariants: two runs of a task at a time, a start after the end of
     /// a run as done was committed or acknowledged, a start beyond a worker's capacity.
     [[nodiscard]] const std::vector<std::string>& get_violations() const { return m_violations; }
--- a/unit_tests/dispatch/log_capture.cpp
+++ b/unit_tests/dispatch/log_capture.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 /// Keeps all log lines in memory.
-class keeping_appender : public log4cplus::Appender {
+class memory_appender : public log4cplus::Appender {
 public:
-    ~keeping_appender() override { destructorImpl(); }
-    keeping_appender() = default;
-    keeping_appender(const keeping_appender&) = delete;
-    keeping_appender& operator=(const keeping_appender&) = delete;
+    ~memory_appender() override { destructorImpl(); }
+    memory_appender() = default;
+    memory_appender(const memory_appender&) = delete;
+    memory_appender& operator=(const memory_appender&) = delete;
 
     void close() override { closed = true; }
     [[nodiscard]] const std::vector<std::string>& get_lines() const { return m_lines; }
@@ -33,7 +33,7 @@
 
 /// Turns logging off outside of captures. Otherwise lines that no test captures would use up the log budgets
 /// of lines that a later test captures.
-class quiet_logs : public testing::Environment {
+class disable_logging_environment : public testing::Environment {
 public:
     void SetUp() override {
         static const log4cplus::Initializer initializer;
@@ -42,13 +42,13 @@
 };
 
 // NOLINTNEXTLINE: the test library owns it
-const auto* const environment = testing::AddGlobalTestEnvironment(new quiet_logs);
+const auto* const environment = testing::AddGlobalTestEnvironment(new disable_logging_environment);
 
 } // namespace
 
 log_capture::log_capture() {
     static const log4cplus::Initializer initializer;
-    const log4cplus::SharedAppenderPtr appender(new keeping_appender); // NOLINT: the library counts it
+    const log4cplus::SharedAppenderPtr appender(new memory_appender); // NOLINT: the library counts it
     appender->setName(name);
     auto root = log4cplus::Logger::getRoot();
     root.addAppender(appender);
@@ -64,7 +64,7 @@
 std::vector<std::string> log_capture::find(const std::string& event) const {
     const auto appender = log4cplus::Logger::getRoot().getAppender(name);
     std::vector<std::string> found;
-    for (const auto& line : dynamic_cast<const keeping_appender&>(*appender).get_lines()) {
+    for (const auto& line : dynamic_cast<const memory_appender&>(*appender).get_lines()) {
         if (line.rfind("event=" + event + " ", 0) == 0) {
             found.push_back(line);
         }
--- a/unit_tests/dispatch/pressure_model_test.cpp
+++ b/unit_tests/dispatch/pressure_model_test.cpp
@@ -35,9 +35,9 @@
         const double tail = get_tail(get_load(time), 1 + factor * share) * noise(random);
         std::vector<image_share> others;
         if (is_there) {
-            others.push_back({model.get_number(filling), share});
+            others.push_back({model.get_image_number(filling), share});
         }
-        model.observe(model.get_number("serving"), tail, target_ms, others, interval_s, load_state);
+        model.observe(model.get_image_number("serving"), tail, target_ms, others, interval_s, load_state);
     }
 }
 
@@ -45,8 +45,8 @@
     pressure_model model;
     serving_load load_state;
     for (double time = 0; time < 30; time += interval_s) {
-        model.observe(model.get_number("serving"), get_tail(get_load(time), 1), target_ms, {}, interval_s,
-                      load_state);
+        model.observe(model.get_image_number("serving"), get_tail(get_load(time), 1), target_ms, {},
+                      interval_s, load_state);
         if (time > 3) {
             EXPECT_NEAR(load_state.load, get_load(time), 0.08) << "at " << time << " s";
         }
@@ -59,15 +59,15 @@
     std::mt19937 random(7);
     train(model, load_state, "light", 0.2, 14, random);
     train(model, load_state, "heavy", 4.5, 14, random);
-    const auto serving = model.get_number("serving");
-    EXPECT_LT(model.get_factor(serving, model.get_number("light")), 0.9);
-    EXPECT_GT(model.get_factor(serving, model.get_number("heavy")), 2.5);
+    const auto serving = model.get_image_number("serving");
+    EXPECT_LT(model.get_factor(serving, model.get_image_number("light")), 0.9);
+    EXPECT_GT(model.get_factor(serving, model.get_image_number("heavy")), 2.5);
 }
 
 TEST(pressure_model, assumes_a_medium_factor_for_an_unknown_pair) {
     pressure_model model;
-    const auto serving = model.get_number("serving");
-    const auto unseen = model.get_number("unseen");
+    const auto serving = model.get_image_number("serving");
+    const auto unseen = model.get_image_number("unseen");
     EXPECT_GT(model.get_factor(serving, unseen), 0.8);
     EXPECT_LT(model.get_factor(serving, unseen), 2.0);
     EXPECT_GT(model.get_conservative_factor(serving, unseen), model.get_factor(serving, unseen));
@@ -79,16 +79,16 @@
     std::mt19937 random(7);
     train(first, load_state, "heavy", 4.5, 14, random);
     pressure_model second;
-    second.get_number("another"); // image numbers differ between leaders, image names do not
+    second.get_image_number("another"); // image numbers differ between leaders, image names do not
     second.load(first.save());
     EXPECT_EQ(second.save(), first.save());
-    EXPECT_EQ(second.get_factor(second.get_number("serving"), second.get_number("heavy")),
-              first.get_factor(first.get_number("serving"), first.get_number("heavy")));
+    EXPECT_EQ(second.get_factor(second.get_image_number("serving"), second.get_image_number("heavy")),
+              first.get_factor(first.get_image_number("serving"), first.get_image_number("heavy")));
 }
 
 TEST(pressure_model, leaves_less_room_the_higher_the_load) {
     pressure_model model;
-    const auto serving = model.get_number("serving");
+    const auto serving = model.get_image_number("serving");
     const auto low = model.get_room(serving, target_ms, 0.9, 0.25);
     const auto high = model.get_room(serving, target_ms, 0.9, 0.65);
     EXPECT_GT(low, 1.0);
