--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -60,8 +60,7 @@
         loop.on_signal(SIGTERM, [this] { stop(); });
         loop.on_signal(SIGINT, [this] { stop(); });
         loop.on_signal(SIGHUP, [] {
-            log_event(log_level::info, "reload_ignored")
-                .add("reason", "seeds count only at the start of the process");
+            log_event(log_level::info, "reload_ignored").add("reason", "seeds only count at startup");
         });
         log_event(log_level::info, "started")
             .add("id", m_parts.settings.id)
