--- a/unit_tests/dispatch/crash_property_test.cpp
+++ b/unit_tests/dispatch/crash_property_test.cpp
@@ -117,7 +117,7 @@
     }
 }
 
-TEST(crash_property, only_those_jobs_fail_that_crash_workers_where_nothing_else_does) {
+TEST(crash_property, fails_only_jobs_that_crash_workers_when_there_are_no_other_faults) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         crash_world_settings settings;
         const std::array<int, 3> after_ms = {5, 150, 900};
@@ -126,7 +126,7 @@
     }
 }
 
-TEST(crash_property, holds_through_cuts_crashes_lost_answers_and_new_leaders) {
+TEST(crash_property, holds_through_partitions_crashes_lost_answers_and_new_leaders) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         crash_world_settings settings;
         settings.crash_after = milliseconds{10};
@@ -142,7 +142,7 @@
 // Guards against starts beyond a capacity that shrank, at a worker that does not enforce its capacity: an
 // unanswered start was repeated, and a start whose assignment was being committed was sent, without checking
 // the capacity again.
-TEST(crash_property, starts_nothing_beyond_the_room_that_a_worker_has_told) {
+TEST(crash_property, starts_nothing_beyond_the_capacity_that_a_worker_reported) {
     for (std::uint64_t seed = 1; seed <= get_seed_count(); ++seed) {
         crash_world_settings settings;
         settings.enforces_capacity = false;
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -124,7 +124,7 @@
     }
 }
 
-TEST(dispatcher_crash, keeps_those_apart_that_were_beside_each_other_at_a_crash) {
+TEST(dispatcher_crash, places_tasks_apart_that_ran_together_at_a_crash) {
     dispatch_world world;
     world.add_worker("first");
     const auto job = world.submit({make_step(4)});
@@ -231,7 +231,7 @@
     EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 2U);
 }
 
-TEST(dispatcher_crash, counts_nothing_against_the_tasks_of_a_worker_that_said_it_leaves) {
+TEST(dispatcher_crash, counts_no_crash_for_the_tasks_of_a_draining_worker) {
     dispatch_world world;
     add_workers(world, 2);
     const auto job = world.submit({make_step()});
@@ -243,7 +243,7 @@
     EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
 }
 
-TEST(dispatcher_crash, counts_nothing_against_a_task_that_the_worker_surely_never_got) {
+TEST(dispatcher_crash, counts_no_crash_for_a_task_that_the_worker_certainly_never_received) {
     dispatch_world world;
     world.add_worker("w1");
     const auto job = world.submit({make_step()});
@@ -269,7 +269,7 @@
     EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 1U);
 }
 
-TEST(dispatcher_crash, counts_nothing_where_a_worker_that_was_cut_off_is_heard_again) {
+TEST(dispatcher_crash, counts_no_crash_when_a_partitioned_worker_answers_again) {
     dispatch_world world;
     add_workers(world, 2);
     const auto job = world.submit({make_step()});
--- a/unit_tests/dispatch/dispatcher_job_test.cpp
+++ b/unit_tests/dispatch/dispatcher_job_test.cpp
@@ -40,7 +40,7 @@
     EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::completed);
 }
 
-TEST(dispatcher_job, fails_a_job_whose_task_failed_as_often_as_its_queue_allows) {
+TEST(dispatcher_job, fails_a_job_whose_task_reached_the_attempts_of_its_queue) {
     dispatch_world world;
     world.add_worker("w1");
     world.add_worker("w2");
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -92,7 +92,7 @@
     EXPECT_TRUE(world.take<start_order>().empty());
 }
 
-TEST(dispatcher_loss, starts_nothing_on_a_worker_that_leaves_and_moves_what_lasts) {
+TEST(dispatcher_loss, starts_nothing_on_a_draining_worker_and_moves_long_running_tasks) {
     dispatch_world world;
     world.add_worker("w1");
     auto long_running_step = make_step();
--- a/unit_tests/dispatch/dispatcher_pressure_test.cpp
+++ b/unit_tests/dispatch/dispatcher_pressure_test.cpp
@@ -142,7 +142,7 @@
 
 /// Load pattern: the rest of an overload. Small filling tasks take free capacity as soon as there is any, so
 /// that a larger one never ran, in a pool of which half was not even reserved.
-TEST(dispatcher_pressure, lets_a_large_filling_task_share_a_worker_rather_than_stand_still) {
+TEST(dispatcher_pressure, places_a_large_filling_task_on_a_shared_worker_rather_than_never) {
     dispatch_world world;
     world.add_worker("w1", {20'000, 256'000, 0});
     world.submit({make_filling(3)}, 3, 2); // 18 of 20 cores
--- a/unit_tests/scheduling/job_state_machine_test.cpp
+++ b/unit_tests/scheduling/job_state_machine_test.cpp
@@ -76,7 +76,7 @@
     EXPECT_EQ(apply(job_state, make_assign(task, 2, "w2")), command_outcome::applied);
 }
 
-TEST(job_state_machine, assigns_nothing_to_a_worker_that_leaves) {
+TEST(job_state_machine, assigns_nothing_to_a_draining_worker) {
     job_state_machine job_state;
     apply(job_state, make_submit(make_job(1, 1)));
     job_wire::job_command retire;
