--- a/poplarpitch/control/cluster_former.h
+++ b/poplarpitch/control/cluster_bootstrap.h
@@ -11,17 +11,17 @@
 namespace poplarpitch {
 
 /// What an instance with a blank data folder learned about one other instance.
-struct peer_sighting {
+struct peer_bootstrap_state {
     bool is_reached = false;
     bool has_cluster = false;     ///< it holds a log with something committed
     bool is_own_id_voter = false; ///< the cluster counts our id among its voters
-    friend auto operator<=>(const peer_sighting&, const peer_sighting&) = default;
+    friend auto operator<=>(const peer_bootstrap_state&, const peer_bootstrap_state&) = default;
 };
 
 /// What a blank instance is to do.
-enum class forming_decision : std::uint8_t {
+enum class bootstrap_action : std::uint8_t {
     wait,   ///< ask again
-    found,  ///< all founders are there and blank: found the cluster
+    create, ///< all initial voters were reached and are blank: create the cluster
     join,   ///< a cluster exists and does not know us: wait to be added
     refuse, ///< the cluster counts on us, but our disk is gone
 };
@@ -30,10 +30,11 @@
 /// founded only when every founder was seen without one, and a voter that comes back without its files is
 /// refused, because the votes and entries it confirmed are gone with them. It must be removed and come back
 /// under a new number. Thread safety: any thread.
-[[nodiscard]] forming_decision decide_forming(bool is_spare, const std::vector<peer_sighting>& founders);
+[[nodiscard]] bootstrap_action decide_bootstrap(bool is_spare,
+                                                const std::vector<peer_bootstrap_state>& initial_voters);
 
 /// Returns the members that a cluster is founded with: all of the settings that are no spares. Thread safety:
 /// any thread.
-[[nodiscard]] raft_membership get_founders(const std::vector<peer_address>& control);
+[[nodiscard]] raft_membership get_initial_voters(const std::vector<peer_address>& control);
 
 } // namespace poplarpitch
--- a/poplarpitch/control/control_daemon.cpp
+++ b/poplarpitch/control/control_daemon.cpp
@@ -1,6 +1,6 @@
 #include "poplarpitch/control/control_daemon.h"
 
-#include "poplarpitch/control/cluster_former.h"
+#include "poplarpitch/control/cluster_bootstrap.h"
 #include "poplarpitch/control/control_node.h"
 #include "poplarpitch/core/stop_signal.h"
 #include "poplarpitch/telemetry/log_event.h"
@@ -18,14 +18,15 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int cannot_start_code = 1;
-constexpr duration forming_interval = milliseconds{100};
-constexpr duration founder_wait = milliseconds{300};
+constexpr int start_failed_code = 1;
+constexpr duration bootstrap_poll_interval = milliseconds{100};
+constexpr duration status_timeout = milliseconds{300};
 constexpr int http_threads = 8; // health checks only
 
 /// Asks the other founders for their status; an answer that did not come is empty. Blank instances answer
 /// too.
-std::vector<wire::query_answer> ask_founders(const daemon_settings& settings, control_client& client) {
+std::vector<wire::query_answer> query_initial_voters(const daemon_settings& settings,
+                                                     control_client& client) {
     std::vector<wire::query_answer> answers;
     for (const auto& peer : settings.control) {
         if (peer.id == settings.node_id || peer.is_spare) {
@@ -34,20 +35,21 @@
         wire::query_request request;
         request.set_kind(wire::query_status);
         request.set_stale_allowed(true);
-        auto answer = client.query_node(peer.id, request, system_clock().now() + founder_wait);
+        auto answer = client.query_node(peer.id, request, system_clock().now() + status_timeout);
         answers.push_back(answer ? std::move(answer.value()) : wire::query_answer{});
     }
     return answers;
 }
 
-std::vector<peer_sighting> look_at_founders(const daemon_settings& settings, control_client& client) {
-    std::vector<peer_sighting> founders;
-    for (const auto& answer : ask_founders(settings, client)) {
+std::vector<peer_bootstrap_state> probe_initial_voters(const daemon_settings& settings,
+                                                       control_client& client) {
+    std::vector<peer_bootstrap_state> initial_voters;
+    for (const auto& answer : query_initial_voters(settings, client)) {
         const auto& voters = answer.status().members().voters();
         const bool is_voter = std::find(voters.begin(), voters.end(), settings.node_id) != voters.end();
-        founders.push_back({answer.answered(), answer.status().commit() > 0, is_voter});
+        initial_voters.push_back({answer.answered(), answer.status().commit() > 0, is_voter});
     }
-    return founders;
+    return initial_voters;
 }
 
 bool is_spare(const daemon_settings& settings) {
@@ -56,15 +58,15 @@
             return peer.is_spare;
         }
     }
-    return true; // not among the founders
+    return true; // not among the initial voters
 }
 
 /// Waits until the blank instance knows whether it founds or joins. Returns false when it must not start.
-bool form_cluster(const daemon_settings& settings, control_node& node, stop_signal& signal) {
+bool bootstrap_cluster(const daemon_settings& settings, control_node& node, stop_signal& signal) {
     control_client client(settings.control);
     while (!signal.is_raised()) {
-        const auto decision = decide_forming(is_spare(settings), look_at_founders(settings, client));
-        if (decision == forming_decision::refuse) {
+        const auto action = decide_bootstrap(is_spare(settings), probe_initial_voters(settings, client));
+        if (action == bootstrap_action::refuse) {
             log_event(log_level::error, "lost_disk")
                 .add("node", settings.node_id)
                 .add("reason",
@@ -72,17 +74,18 @@
                      "node and start it again under a new node_id");
             return false;
         }
-        if (decision == forming_decision::wait) {
-            signal.wait_for(forming_interval);
+        if (action == bootstrap_action::wait) {
+            signal.wait_for(bootstrap_poll_interval);
             continue;
         }
-        const bool is_founder = decision == forming_decision::found;
-        const auto formed = node.form(is_founder ? get_founders(settings.control) : raft_membership{});
-        if (!formed) {
-            log_event(log_level::error, "storage_failed").add("error", formed.error());
+        const bool is_new_cluster = action == bootstrap_action::create;
+        const auto bootstrapped =
+            node.bootstrap(is_new_cluster ? get_initial_voters(settings.control) : raft_membership{});
+        if (!bootstrapped) {
+            log_event(log_level::error, "storage_failed").add("error", bootstrapped.error());
             return false;
         }
-        log_event(log_level::info, is_founder ? "cluster_founded" : "cluster_joined")
+        log_event(log_level::info, is_new_cluster ? "cluster_founded" : "cluster_joined")
             .add("node", settings.node_id);
         return true;
     }
@@ -91,10 +94,10 @@
 
 /// Waits until every founder has written the founding members. Before that none may stand for election: a
 /// commit of the first two would make the third, still blank, look like a voter that lost its disk.
-void wait_for_founders(const daemon_settings& settings, stop_signal& signal) {
+void wait_for_initial_voters(const daemon_settings& settings, stop_signal& signal) {
     control_client client(settings.control);
     while (!signal.is_raised()) {
-        const auto answers = ask_founders(settings, client);
+        const auto answers = query_initial_voters(settings, client);
         const bool is_complete =
             std::all_of(answers.begin(), answers.end(), [](const wire::query_answer& answer) {
                 return answer.answered() && answer.status().role() != "blank";
@@ -102,11 +105,11 @@
         if (is_complete) {
             return;
         }
-        signal.wait_for(forming_interval);
+        signal.wait_for(bootstrap_poll_interval);
     }
 }
 
-wire::query_answer make_forming_answer(const daemon_settings& settings, bool is_blank) {
+wire::query_answer make_bootstrap_answer(const daemon_settings& settings, bool is_blank) {
     wire::query_answer answer;
     answer.set_answered(true);
     answer.mutable_status()->set_node(settings.node_id);
@@ -135,7 +138,7 @@
         log_event(log_level::error, "storage_failed")
             .add("error", opened.error())
             .add("place", node.get_error_place());
-        return cannot_start_code;
+        return start_failed_code;
     }
     std::atomic<bool> is_running{false};
     std::atomic<bool> is_blank{node.is_blank()};
@@ -155,7 +158,7 @@
         return is_running ? node.propose_batch(request) : wire::propose_batch_answer{};
     };
     handler.on_query = [&](const wire::query_request& request) {
-        return is_running ? node.query(request) : make_forming_answer(settings, is_blank);
+        return is_running ? node.query(request) : make_bootstrap_answer(settings, is_blank);
     };
     handler.on_members = [&](const wire::member_request& request) {
         return is_running ? node.change_members(request) : wire::member_answer{};
@@ -173,7 +176,7 @@
         log_event(log_level::error, "listen_failed")
             .add("host", settings.host)
             .add("grpc_port", settings.grpc_port);
-        return cannot_start_code;
+        return start_failed_code;
     }
     log_event(log_level::info, "listening")
         .add("node", settings.node_id)
@@ -181,12 +184,12 @@
         .add("http_port", http_port.value());
 
     if (node.is_blank()) {
-        if (!form_cluster(settings, node, signal)) {
-            return signal.is_raised() ? 0 : cannot_start_code;
+        if (!bootstrap_cluster(settings, node, signal)) {
+            return signal.is_raised() ? 0 : start_failed_code;
         }
         is_blank = false;
         if (!is_spare(settings)) {
-            wait_for_founders(settings, signal);
+            wait_for_initial_voters(settings, signal);
         }
     }
     std::thread control([&] { node.run(); });
--- a/poplarpitch/control/control_node.cpp
+++ b/poplarpitch/control/control_node.cpp
@@ -29,7 +29,7 @@
     return boost::outcome_v2::success();
 }
 
-result<void> control_node::form(const raft_membership& members) {
+result<void> control_node::bootstrap(const raft_membership& members) {
     BOOST_OUTCOME_TRY(m_storage.form(members));
     m_stored.initial = members;
     m_stored.is_blank = false;
--- a/poplarpitch/control/control_node.h
+++ b/poplarpitch/control/control_node.h
@@ -41,7 +41,7 @@
     [[nodiscard]] bool is_blank() const { return m_stored.is_blank; }
     /// Founds the cluster with these members, or joins one as a spare when they are empty. Thread safety: as
     /// `open`.
-    result<void> form(const raft_membership& members);
+    result<void> bootstrap(const raft_membership& members);
 
     /// Runs until `stop`. Thread safety: one thread, the control thread.
     void run();
--- a/poplarpitch/control/data_folder_restorer.cpp
+++ b/poplarpitch/control/data_folder_restorer.cpp
@@ -1,7 +1,7 @@
 #include "poplarpitch/control/data_folder_restorer.h"
 
 #include "poplarpitch/config/daemon_settings.h"
-#include "poplarpitch/control/cluster_former.h"
+#include "poplarpitch/control/cluster_bootstrap.h"
 #include "poplarpitch/core/text_file.h"
 #include "poplarpitch/core/wall_time.h"
 #include "poplarpitch/state/snapshot_restorer.h"
@@ -23,7 +23,7 @@
     if (!stored.is_blank) {
         return false;
     }
-    const auto members = get_founders(settings.control);
+    const auto members = get_initial_voters(settings.control);
     BOOST_OUTCOME_TRY(storage.form(members));
     const raft_snapshot snapshot{restored.index, first_term, members,
                                  std::make_shared<const std::string>(restored.data)};
@@ -38,7 +38,7 @@
         log_event(log_level::error, "restore_refused").add("file", backup_file).add("reason", reason);
         return failed_code;
     };
-    if (!get_founders(settings.control).is_voter(settings.node_id)) {
+    if (!get_initial_voters(settings.control).is_voter(settings.node_id)) {
         return refuse("this node is no founder in its settings: restore the founders, then add it");
     }
     const auto restored = restore_snapshot(read_text_file(backup_file).value_or(""), get_wall_ms());
--- a/unit_tests/control/leader_duties_test.cpp
+++ b/unit_tests/control/leader_duties_test.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/control/cluster_former.h"
+#include "poplarpitch/control/cluster_bootstrap.h"
 #include "poplarpitch/control/leader_duties.h"
 #include "poplarpitch/control/renew_answerer.h"
 #include "poplarpitch/state/state_machine.h"
@@ -271,16 +271,16 @@
     EXPECT_FALSE(second.has_config());
 }
 
-TEST(decide_forming, founds_only_when_all_founders_are_blank) {
-    const peer_sighting blank{true, false, false};
-    const peer_sighting absent{false, false, false};
-    const peer_sighting member{true, true, true};
-    const peer_sighting stranger{true, true, false};
-    EXPECT_EQ(decide_forming(false, {blank, blank}), forming_decision::found);
-    EXPECT_EQ(decide_forming(false, {blank, absent}), forming_decision::wait);
-    EXPECT_EQ(decide_forming(false, {absent, member}), forming_decision::refuse); // its disk is gone
-    EXPECT_EQ(decide_forming(false, {stranger, absent}), forming_decision::join);
-    EXPECT_EQ(decide_forming(true, {absent, absent}), forming_decision::join);
+TEST(decide_bootstrap, creates_a_cluster_only_when_all_initial_voters_are_blank) {
+    const peer_bootstrap_state blank{true, false, false};
+    const peer_bootstrap_state absent{false, false, false};
+    const peer_bootstrap_state member{true, true, true};
+    const peer_bootstrap_state stranger{true, true, false};
+    EXPECT_EQ(decide_bootstrap(false, {blank, blank}), bootstrap_action::create);
+    EXPECT_EQ(decide_bootstrap(false, {blank, absent}), bootstrap_action::wait);
+    EXPECT_EQ(decide_bootstrap(false, {absent, member}), bootstrap_action::refuse); // its disk is gone
+    EXPECT_EQ(decide_bootstrap(false, {stranger, absent}), bootstrap_action::join);
+    EXPECT_EQ(decide_bootstrap(true, {absent, absent}), bootstrap_action::join);
 }
 
 } // namespace
