--- a/poplarpitch/control/control_node.cpp
+++ b/poplarpitch/control/control_node.cpp
@@ -13,8 +13,8 @@
 
 control_node::control_node(const daemon_settings& daemon, const control_settings& settings)
     : m_daemon(daemon), m_settings(settings), m_files(daemon.data_folder),
-      m_storage(m_files, {daemon.cluster, daemon.node_id}), m_member_keeper(settings.voter_loss),
-      m_proposals(settings.append_interval) {}
+      m_storage(m_files, {daemon.cluster, daemon.node_id}), m_voter_replacer(settings.voter_loss_timeout),
+      m_proposals(settings.min_append_interval) {}
 
 control_node::~control_node() = default;
 
@@ -57,8 +57,8 @@
             m_links[peer.id] = std::make_unique<peer_link>(peer.address, m_daemon.cluster);
         }
     }
-    while (!m_loop.is_stopped()) {
-        const auto tasks = m_loop.take(get_next_turn() - m_clock.now());
+    while (!m_task_queue.is_stopped()) {
+        const auto tasks = m_task_queue.take(get_next_turn() - m_clock.now());
         for (const auto& task : tasks) {
             task();
         }
@@ -159,9 +159,9 @@
         auto& heard = m_last_heard[id];
         const bool is_expected = m_node->get_role() == raft_role::leader || m_node->get_leader() == id;
         if (heard == time_point{} || !is_expected) {
-            heard = std::max(heard, now - m_settings.peer_silence / 2);
+            heard = std::max(heard, now - m_settings.peer_silence_timeout / 2);
         }
-        if (now - heard > m_settings.peer_silence) {
+        if (now - heard > m_settings.peer_silence_timeout) {
             link->reset();
             heard = now;
         }
@@ -185,7 +185,7 @@
     // The first own commit says that everything older is applied here too.
     if (!m_is_duty_started && m_node->has_own_commit()) {
         m_duties.start(m_machine, now);
-        m_member_keeper.start(now);
+        m_voter_replacer.start(now);
         m_duty_index = 0;
         m_next_duty = now;
         m_is_duty_started = true;
@@ -205,7 +205,7 @@
         }
         m_duty_index = index.value();
     }
-    const auto change = m_member_keeper.run(*m_node, now);
+    const auto change = m_voter_replacer.run(*m_node, now);
     if (change.has_value()) {
         const bool is_promotion = change->action == member_change::kind::promote;
         log_event(log_level::warn, "voter_replaced")
--- a/poplarpitch/control/control_node.h
+++ b/poplarpitch/control/control_node.h
@@ -2,11 +2,11 @@
 
 #include "poplarpitch/config/daemon_settings.h"
 #include "poplarpitch/consensus/raft_node.h"
-#include "poplarpitch/control/control_loop.h"
 #include "poplarpitch/control/control_settings.h"
+#include "poplarpitch/control/control_task_queue.h"
 #include "poplarpitch/control/leader_duties.h"
-#include "poplarpitch/control/member_keeper.h"
 #include "poplarpitch/control/proposal_queue.h"
+#include "poplarpitch/control/voter_replacer.h"
 #include "poplarpitch/core/system_clock.h"
 #include "poplarpitch/state/state_machine.h"
 #include "poplarpitch/storage/posix_file_system.h"
@@ -46,7 +46,7 @@
     /// Runs until `stop`. Thread safety: one thread, the control thread.
     void run();
     /// Ends `run`. Thread safety: any thread.
-    void stop() { m_loop.stop(); }
+    void stop() { m_task_queue.stop(); }
 
     /// Takes a message of a peer. Thread safety: any thread.
     void deliver(raft_message message);
@@ -94,7 +94,7 @@
     const daemon_settings m_daemon;
     const control_settings m_settings;
     const system_clock m_clock{};
-    control_loop m_loop;
+    control_task_queue m_task_queue;
     posix_file_system m_files;
     raft_storage<posix_file_system> m_storage;
     stored_state m_stored;
@@ -103,7 +103,7 @@
     state_machine m_machine;
     raft_membership m_applied_members; ///< membership as of the last applied entry
     leader_duties m_duties;
-    member_keeper m_member_keeper;
+    voter_replacer m_voter_replacer;
     std::map<node_id, std::unique_ptr<peer_link>> m_links;
     std::map<node_id, time_point> m_last_heard;
     proposal_queue m_proposals;
--- a/poplarpitch/control/control_node_calls.cpp
+++ b/poplarpitch/control/control_node_calls.cpp
@@ -160,7 +160,7 @@
 // ---- calls, on other threads
 
 void control_node::deliver(raft_message message) {
-    m_loop.post([this, message = std::move(message)] {
+    m_task_queue.post([this, message = std::move(message)] {
         const auto now = m_clock.now();
         m_last_heard[message.from] = now;
         m_node->step(message, now);
@@ -170,7 +170,7 @@
 template <class Answer>
 Answer control_node::wait_for(std::function<void(std::function<void(const Answer&)>)> work) {
     const auto slot = std::make_shared<answer_slot<Answer>>();
-    const bool is_posted = m_loop.post(
+    const bool is_posted = m_task_queue.post(
         [work = std::move(work), slot] { work([slot](const Answer& answer) { slot->give(answer); }); });
     constexpr duration longest_wait = seconds{10}; // callers have shorter deadlines of their own
     return is_posted ? slot->wait_for(longest_wait).value_or(Answer{}) : Answer{};
--- a/poplarpitch/control/control_loop.cpp
+++ b/poplarpitch/control/control_task_queue.cpp
@@ -1,10 +1,10 @@
-#include "poplarpitch/control/control_loop.h"
+#include "poplarpitch/control/control_task_queue.h"
 
 #include <algorithm>
 
 namespace poplarpitch {
 
-bool control_loop::post(task work) {
+bool control_task_queue::post(task work) {
     const absl::MutexLock lock(&m_mutex);
     if (m_is_stopped) {
         return false;
@@ -13,7 +13,7 @@
     return true;
 }
 
-std::vector<control_loop::task> control_loop::take(duration limit) {
+std::vector<control_task_queue::task> control_task_queue::take(duration limit) {
     const absl::MutexLock lock(&m_mutex);
     const auto is_ready = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
         return m_is_stopped || !m_tasks.empty();
@@ -23,12 +23,12 @@
     return std::exchange(m_tasks, {});
 }
 
-void control_loop::stop() {
+void control_task_queue::stop() {
     const absl::MutexLock lock(&m_mutex);
     m_is_stopped = true;
 }
 
-bool control_loop::is_stopped() {
+bool control_task_queue::is_stopped() {
     const absl::MutexLock lock(&m_mutex);
     return m_is_stopped;
 }
--- a/poplarpitch/control/control_loop.h
+++ b/poplarpitch/control/control_task_queue.h
@@ -12,7 +12,7 @@
 /// The mailbox of the control thread: other threads post work, one thread runs it. Everything that arrived
 /// while the last batch ran is taken together, which is what makes group commit work. Thread safety: any
 /// thread for `post` and `stop`; `take` is for the one control thread.
-class control_loop {
+class control_task_queue {
 public:
     using task = std::function<void()>;
 
--- a/poplarpitch/control/leader_duties.cpp
+++ b/poplarpitch/control/leader_duties.cpp
@@ -17,7 +17,7 @@
 
 void leader_duties::start(const state_machine& state, time_point now) {
     m_sessions.start(state.get_fleet(), get_session_wait(state), now);
-    m_leases.start();
+    m_lost_leases.start();
     m_next_expiry = now + expiry_interval;
 }
 
@@ -50,7 +50,7 @@
     };
     const auto& system = state.get_configs().get_configuration()->system;
     append(m_owners.run(state.get_fleet(), now));
-    append(m_leases.run(state.get_jobs(), system.task_lease + system.drift_margin, now, wall_ms));
+    append(m_lost_leases.run(state.get_jobs(), system.task_lease + system.drift_margin, now, wall_ms));
     append(m_scheduler.run(state, m_sessions, max_assignments, now, wall_ms));
     expire_records(state, now, wall_ms, commands);
     return commands;
--- a/poplarpitch/control/leader_duties.h
+++ b/poplarpitch/control/leader_duties.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "poplarpitch/control/job_scheduler.h"
-#include "poplarpitch/control/lease_watch.h"
+#include "poplarpitch/control/lost_lease_tracker.h"
 #include "poplarpitch/control/owner_assigner.h"
 #include "poplarpitch/control/session_registry.h"
 #include "poplarpitch/core/time.h"
@@ -35,7 +35,7 @@
     session_registry m_sessions;
     owner_assigner m_owners;
     job_scheduler m_scheduler;
-    lease_watch m_leases;
+    lost_lease_tracker m_lost_leases;
     time_point m_next_expiry{};
 };
 
--- a/poplarpitch/control/member_keeper.h
+++ b/poplarpitch/control/voter_replacer.h
@@ -21,19 +21,19 @@
 /// Replaces a voter that was silent for long by a learner that has caught up: promotes first, then removes,
 /// so that the number of voters never falls below what the operators set up. Without a learner nothing is
 /// done. Thread safety: none, as for all methods.
-class member_keeper {
+class voter_replacer {
 public:
-    explicit member_keeper(duration voter_loss) : m_voter_loss(voter_loss) {}
+    explicit voter_replacer(duration voter_loss_timeout) : m_voter_loss_timeout(voter_loss_timeout) {}
 
     /// Starts a term of leadership: silence counts from here.
-    void start(time_point now) { m_started = now; }
+    void start(time_point now) { m_leading_since = now; }
     /// Returns the next change, if one is due.
     [[nodiscard]] std::optional<member_change> run(const raft_node& node, time_point now);
 
 private:
-    duration m_voter_loss;
-    time_point m_started{};
-    node_id m_replaced = 0; ///< voter whose successor was promoted
+    duration m_voter_loss_timeout;
+    time_point m_leading_since{};
+    node_id m_voter_to_remove = 0; ///< voter whose successor was promoted
 };
 
 } // namespace poplarpitch
