--- a/poplarpitch/control/control_node_calls.cpp
+++ b/poplarpitch/control/control_node_calls.cpp
@@ -19,7 +19,7 @@
 struct batch_in_progress {
     std::vector<std::string> payloads;
     std::vector<bool> are_events; ///< by place: their senders want no whole record back
-    proposal_urgency urgency = proposal_urgency::may_wait;
+    proposal_urgency urgency = proposal_urgency::deferrable;
     std::size_t left = 0; ///< commands without an answer yet
     wire::propose_batch_answer answer;
 
@@ -81,7 +81,7 @@
         }
         answer(first);
     };
-    m_proposals.add(command.SerializeAsString(), proposal_urgency::at_once, take);
+    m_proposals.add(command.SerializeAsString(), proposal_urgency::immediate, take);
 }
 
 void control_node::start_query(const wire::query_request& request,
@@ -193,7 +193,7 @@
     for (const auto& command : request.commands()) {
         batch->payloads.push_back(command.SerializeAsString());
         batch->are_events.push_back(command.has_event());
-        batch->urgency = std::min(batch->urgency, get_urgency(command)); // `at_once` is the lower one
+        batch->urgency = std::min(batch->urgency, get_urgency(command)); // `immediate` is the lower one
         batch->answer.add_answers();
     }
     batch->left = batch->payloads.size();
--- a/poplarpitch/control/proposal_queue.cpp
+++ b/poplarpitch/control/proposal_queue.cpp
@@ -8,14 +8,14 @@
     case wire::command::kEvent:
     case wire::command::kCancel:
     case wire::command::kResolve:
-        return proposal_urgency::may_wait;
+        return proposal_urgency::deferrable;
     default:
-        return proposal_urgency::at_once;
+        return proposal_urgency::immediate;
     }
 }
 
 void proposal_queue::add(std::string payload, proposal_urgency urgency, callback answer) {
-    m_is_urgent = m_is_urgent || urgency == proposal_urgency::at_once;
+    m_has_immediate = m_has_immediate || urgency == proposal_urgency::immediate;
     m_waiting.push_back({std::move(payload), std::move(answer)});
 }
 
@@ -23,7 +23,7 @@
     if (m_waiting.empty()) {
         return std::nullopt;
     }
-    return m_is_urgent ? time_point{} : m_next_append;
+    return m_has_immediate ? time_point{} : m_next_append;
 }
 
 void proposal_queue::on_applied(const log_entry& entry, wire::command_result&& outcome, node_id leader) {
@@ -39,9 +39,9 @@
         answer.set_unknown(true); // another leader's entry took its place
     }
     answer.set_leader(leader);
-    const auto tell = std::move(found->second.answer);
+    const auto notify = std::move(found->second.answer);
     m_proposed.erase(found);
-    tell(answer);
+    notify(answer);
 }
 
 void proposal_queue::fail_all(node_id leader) {
@@ -50,7 +50,7 @@
     for (auto& waiting : std::exchange(m_waiting, {})) {
         waiting.answer(answer);
     }
-    m_is_urgent = false;
+    m_has_immediate = false;
     answer.set_unknown(true);
     for (auto& [index, proposed] : std::exchange(m_proposed, {})) {
         proposed.answer(answer);
--- a/poplarpitch/control/proposal_queue.h
+++ b/poplarpitch/control/proposal_queue.h
@@ -25,8 +25,8 @@
 
 /// How soon a command must get into the log.
 enum class proposal_urgency : std::uint8_t {
-    at_once,  ///< a request or a lease waits for it
-    may_wait, ///< of jobs: it may wait for others, so that they share an append, a sync and its messages
+    immediate,  ///< a request or a lease waits for it
+    deferrable, ///< of jobs: it may wait for others, so that they share an append, a sync and its messages
 };
 
 /// Returns how soon a command must get into the log. Thread safety: any thread.
@@ -57,7 +57,7 @@
     void fail_all(node_id leader);
 
 private:
-    struct waiting_command {
+    struct queued_command {
         std::string payload;
         callback answer;
     };
@@ -67,20 +67,20 @@
     };
 
     duration m_interval;
-    std::vector<waiting_command> m_waiting;
-    bool m_is_urgent = false; ///< one of the waiting cannot wait
+    std::vector<queued_command> m_waiting;
+    bool m_has_immediate = false; ///< one of the waiting cannot wait
     time_point m_next_append{};
     std::map<log_index, proposed_command> m_proposed;
 };
 
 template <proposal_log Log>
 void proposal_queue::propose_due(Log& log, time_point now) {
-    const bool is_due = !m_waiting.empty() && (m_is_urgent || now >= m_next_append);
+    const bool is_due = !m_waiting.empty() && (m_has_immediate || now >= m_next_append);
     if (!is_due) {
         return;
     }
     m_next_append = now + m_interval;
-    m_is_urgent = false;
+    m_has_immediate = false;
     for (auto& waiting : std::exchange(m_waiting, {})) {
         const auto index = log.propose(std::move(waiting.payload), now);
         if (index) {
--- a/unit_tests/control/proposal_queue_test.cpp
+++ b/unit_tests/control/proposal_queue_test.cpp
@@ -43,11 +43,11 @@
 };
 
 TEST_F(proposal_queue_test, idle_log_takes_a_job_command_at_once_and_the_next_ones_together) {
-    add("a", proposal_urgency::may_wait);
+    add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
     EXPECT_EQ(m_log.payloads.size(), 1U);
-    add("b", proposal_urgency::may_wait);
-    add("c", proposal_urgency::may_wait);
+    add("b", proposal_urgency::deferrable);
+    add("c", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now + milliseconds{19});
     EXPECT_EQ(m_log.payloads.size(), 1U);
     EXPECT_EQ(m_queue.get_next_due(), m_now + milliseconds{20});
@@ -57,18 +57,18 @@
 }
 
 TEST_F(proposal_queue_test, urgent_command_takes_the_waiting_ones_with_it) {
-    add("a", proposal_urgency::may_wait);
+    add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
-    add("b", proposal_urgency::may_wait);
-    add("c", proposal_urgency::at_once);
+    add("b", proposal_urgency::deferrable);
+    add("c", proposal_urgency::immediate);
     EXPECT_EQ(m_queue.get_next_due(), time_point{});
     m_queue.propose_due(m_log, m_now);
     EXPECT_EQ(m_log.payloads, (std::vector<std::string>{"a", "b", "c"})); // in the order in which they came
 }
 
 TEST_F(proposal_queue_test, answers_by_the_entry_that_was_committed) {
-    add("a", proposal_urgency::at_once);
-    add("b", proposal_urgency::at_once);
+    add("a", proposal_urgency::immediate);
+    add("b", proposal_urgency::immediate);
     m_queue.propose_due(m_log, m_now);
     apply(1, 5);
     apply(2, 6); // another leader's entry at the same place
@@ -82,7 +82,7 @@
 
 TEST_F(proposal_queue_test, refusal_of_the_log_is_told) {
     m_log.is_leader = false;
-    add("a", proposal_urgency::may_wait);
+    add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
     ASSERT_EQ(m_answers.size(), 1U);
     EXPECT_FALSE(m_answers[0].unknown()); // it surely is not in the log
@@ -90,9 +90,9 @@
 }
 
 TEST_F(proposal_queue_test, lost_leadership_leaves_unknown_only_what_is_in_the_log) {
-    add("a", proposal_urgency::may_wait);
+    add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
-    add("b", proposal_urgency::may_wait);
+    add("b", proposal_urgency::deferrable);
     m_queue.fail_all(2);
     ASSERT_EQ(m_answers.size(), 2U);
     EXPECT_FALSE(m_answers[0].unknown()); // "b" waited
