--- a/poplarpitch/control/job_scheduler.cpp
+++ b/poplarpitch/control/job_scheduler.cpp
@@ -14,7 +14,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int max_misses = 8; // jobs of one tenant that find no room before it waits for the next turn
+constexpr int max_failed_placements =
+    8; // jobs of one tenant that find no room before it waits for the next turn
 
 /// Returns true when the tenant may have this job running on top of what it has.
 bool is_within_quota(const tenant_settings& tenant, const tenant_usage& usage, const resources& need) {
@@ -28,27 +29,29 @@
 } // namespace
 
 /// A tenant's queue in one turn of the scheduler. Records are read one at a time: most are never reached.
-struct job_scheduler::tenant_turn {
+struct job_scheduler::tenant_queue {
     std::string name;
     tenant_settings settings;
     tenant_usage usage;
     std::vector<const packed_job*> jobs; ///< in order, as many as may be looked at
     std::size_t next = 0;
     std::optional<wire::job> head; ///< the record of `next`; none when the turn is over
-    int misses = 0;
+    int failed_placements = 0;
 
-    [[nodiscard]] bool is_over() const { return !head.has_value() || misses >= max_misses; }
-    [[nodiscard]] bool is_urgent() const { return !is_over() && head->urgent(); }
+    [[nodiscard]] bool is_exhausted() const {
+        return !head.has_value() || failed_placements >= max_failed_placements;
+    }
+    [[nodiscard]] bool is_urgent() const { return !is_exhausted() && head->urgent(); }
     [[nodiscard]] double get_share() const {
         return static_cast<double>(usage.active_millicores) / settings.weight;
     }
 
     /// Returns the head and reads the next one. Precondition: the turn is not over.
-    wire::job take_head() {
-        auto taken = std::move(*head);
+    wire::job pop_head() {
+        auto job = std::move(*head);
         ++next;
         read_head();
-        return taken;
+        return job;
     }
 
     void read_head() { head = next < jobs.size() ? std::optional(jobs[next]->unpack()) : std::nullopt; }
@@ -59,17 +62,17 @@
                 sample.run_time_ratio());
 }
 
-void job_scheduler::learn_interference(const configuration& settings, const session_registry& sessions) {
+void job_scheduler::update_interference(const configuration& settings, const session_registry& sessions) {
     m_probes.set_objective(settings.objective);
     for (const auto& batch : settings.batches) {
         m_interference.set_prior(m_batches.get(batch.name), batch.noise);
     }
     // Entries see different requests: their estimates are averaged by the evidence behind them.
-    struct sums {
+    struct weighted_sum {
         double weighted = 0;
         double weight = 0;
     };
-    std::map<std::pair<std::uint32_t, std::uint32_t>, sums> pairs;
+    std::map<std::pair<std::uint32_t, std::uint32_t>, weighted_sum> pairs;
     for (const auto& [entry, report] : sessions.get_reports()) {
         for (const auto& sample : report.interference) {
             auto& pair = pairs[{m_services.get(sample.service()), m_batches.get(sample.batch())}];
@@ -100,7 +103,7 @@
     m_candidates.clear();
     m_candidate_ids.clear();
     m_spread.clear();
-    m_missed.clear();
+    m_unplaceable.clear();
     for (const auto& [id, worker] : state.get_fleet().get_workers()) {
         const auto* load = sessions.find_load(worker.owner(), id);
         placement_candidate candidate;
@@ -130,21 +133,21 @@
     }
 }
 
-std::vector<job_scheduler::tenant_turn> job_scheduler::make_turns(const state_machine& state) {
-    constexpr std::size_t looked_at = 256;
-    std::vector<tenant_turn> turns;
+std::vector<job_scheduler::tenant_queue> job_scheduler::make_tenant_queues(const state_machine& state) {
+    constexpr std::size_t max_queued_read = 256;
+    std::vector<tenant_queue> queues;
     const auto settings = state.get_configs().get_configuration();
     for (const auto& name : state.get_jobs().get_queued_tenants()) {
-        tenant_turn turn;
-        turn.name = name;
+        tenant_queue queue;
+        queue.name = name;
         const auto* tenant = settings->find_tenant(name);
-        turn.settings = tenant == nullptr ? tenant_settings{} : *tenant;
-        turn.usage = state.get_jobs().get_usage(name);
-        turn.jobs = state.get_jobs().get_queued(name, looked_at);
-        turn.read_head();
-        turns.push_back(std::move(turn));
+        queue.settings = tenant == nullptr ? tenant_settings{} : *tenant;
+        queue.usage = state.get_jobs().get_usage(name);
+        queue.jobs = state.get_jobs().get_queued(name, max_queued_read);
+        queue.read_head();
+        queues.push_back(std::move(queue));
     }
-    return turns;
+    return queues;
 }
 
 placement_request job_scheduler::make_request(const wire::job& job) {
@@ -157,7 +160,7 @@
     return request;
 }
 
-void job_scheduler::mark_candidates(const wire::job& job) {
+void job_scheduler::update_candidates(const wire::job& job) {
     const auto tenant = m_tenants.get(job.tenant());
     const auto* by_rack = tenant < m_spread.size() ? &m_spread[tenant] : nullptr;
     for (auto& candidate : m_candidates) {
@@ -173,25 +176,25 @@
     }
 }
 
-bool job_scheduler::is_hopeless(const placement_request& request) const {
-    return std::any_of(m_missed.begin(), m_missed.end(), [&](const missed_need& missed) {
-        return missed.batch == request.batch && missed.is_urgent == request.is_urgent &&
-               request.need.holds(missed.need);
+bool job_scheduler::is_known_unplaceable(const placement_request& request) const {
+    return std::any_of(m_unplaceable.begin(), m_unplaceable.end(), [&](const unplaceable_need& unplaceable) {
+        return unplaceable.batch == request.batch && unplaceable.is_urgent == request.is_urgent &&
+               request.need.holds(unplaceable.need);
     });
 }
 
 bool job_scheduler::place(const wire::job& job, const state_machine& state, time_point now,
                           std::vector<wire::command>& commands) {
     const auto request = make_request(job);
-    if (is_hopeless(request)) {
+    if (is_known_unplaceable(request)) {
         return false;
     }
-    mark_candidates(job);
+    update_candidates(job);
     const cost_placer placer(state.get_configs().get_configuration()->objective);
     const auto picked = pick_or_probe(placer, m_candidates, request, m_interference, m_probes, now);
     if (!picked.has_value()) {
         if (job.failed_workers().empty()) { // else others may still find room where this one must not go
-            m_missed.push_back({request.need, request.batch, request.is_urgent});
+            m_unplaceable.push_back({request.need, request.batch, request.is_urgent});
         }
         return false;
     }
@@ -209,9 +212,9 @@
     return true;
 }
 
-void job_scheduler::displace(const wire::job& urgent, const state_machine& state, time_point now,
-                             std::vector<wire::command>& commands) {
-    if (!m_displacements.has_any(now)) {
+void job_scheduler::evict_for(const wire::job& urgent, const state_machine& state, time_point now,
+                              std::vector<wire::command>& commands) {
+    if (!m_eviction_budget.has_any(now)) {
         return; // before the search, which reads every running task
     }
     const auto need = make_request(urgent).need;
@@ -222,9 +225,9 @@
             continue;
         }
         state.get_jobs().for_each_on(m_candidate_ids[index], 0, [&](const wire::job& job) {
-            const bool is_on_its_way = job.evict_requested() || job.cancel_requested();
+            const bool is_ending = job.evict_requested() || job.cancel_requested();
             const bool is_enough = (candidate.free + decode(job.reserved())).holds(need);
-            if (job.urgent() || is_on_its_way || !is_enough || job.state() != wire::job_running) {
+            if (job.urgent() || is_ending || !is_enough || job.state() != wire::job_running) {
                 return;
             }
             // The one that started last has the least to lose.
@@ -233,7 +236,7 @@
             }
         });
     }
-    if (!victim.has_value() || !m_displacements.try_take(now)) {
+    if (!victim.has_value() || !m_eviction_budget.try_take(now)) {
         return;
     }
     wire::command command;
@@ -249,26 +252,26 @@
     if (state.get_jobs().get_queued_count() == 0) {
         return commands;
     }
-    learn_interference(*state.get_configs().get_configuration(), sessions);
+    update_interference(*state.get_configs().get_configuration(), sessions);
     build_candidates(state, sessions);
-    auto turns = make_turns(state);
+    auto queues = make_tenant_queues(state);
     while (commands.size() < limit) {
-        tenant_turn* best = nullptr;
-        for (auto& turn : turns) {
-            if (turn.is_over()) {
+        tenant_queue* best = nullptr;
+        for (auto& queue : queues) {
+            if (queue.is_exhausted()) {
                 continue;
             }
-            const bool is_first =
-                best == nullptr || (turn.is_urgent() && !best->is_urgent()) ||
-                (turn.is_urgent() == best->is_urgent() && turn.get_share() < best->get_share());
-            if (is_first) {
-                best = &turn;
+            const bool is_preferred =
+                best == nullptr || (queue.is_urgent() && !best->is_urgent()) ||
+                (queue.is_urgent() == best->is_urgent() && queue.get_share() < best->get_share());
+            if (is_preferred) {
+                best = &queue;
             }
         }
         if (best == nullptr) {
             break;
         }
-        const auto job = best->take_head();
+        const auto job = best->pop_head();
         const auto need = decode(job.need());
         if (!state.get_fleet().get_workers().empty() && !state.get_fleet().can_ever_hold(need)) {
             wire::command command;
@@ -282,7 +285,7 @@
             continue;
         }
         if (!is_within_quota(best->settings, best->usage, need)) {
-            ++best->misses;
+            ++best->failed_placements;
             continue;
         }
         if (place(job, state, now, commands)) {
@@ -290,9 +293,9 @@
             best->usage.active_accelerators += need.accelerators;
             continue;
         }
-        ++best->misses;
+        ++best->failed_placements;
         if (job.urgent()) {
-            displace(job, state, now, commands);
+            evict_for(job, state, now, commands);
         }
     }
     return commands;
--- a/poplarpitch/control/job_scheduler.h
+++ b/poplarpitch/control/job_scheduler.h
@@ -33,10 +33,10 @@
                                    std::size_t limit, time_point now, std::int64_t wall_ms);
 
 private:
-    struct tenant_turn;
+    struct tenant_queue;
 
     /// A need that found no room in this turn. Room only shrinks within a turn, so neither does one as large.
-    struct missed_need {
+    struct unplaceable_need {
         resources need;
         std::uint32_t batch = 0; ///< dense number of the batch class
         bool is_urgent = false;
@@ -44,15 +44,15 @@
 
     void add_to_spread(const std::string& tenant, std::uint32_t rack, std::uint32_t tasks);
     void build_candidates(const state_machine& state, const session_registry& sessions);
-    void learn_interference(const configuration& settings, const session_registry& sessions);
-    [[nodiscard]] static std::vector<tenant_turn> make_turns(const state_machine& state);
+    void update_interference(const configuration& settings, const session_registry& sessions);
+    [[nodiscard]] static std::vector<tenant_queue> make_tenant_queues(const state_machine& state);
     /// Fills in what differs from job to job: spread and past failures.
-    void mark_candidates(const wire::job& job);
-    [[nodiscard]] bool is_hopeless(const placement_request& request) const;
+    void update_candidates(const wire::job& job);
+    [[nodiscard]] bool is_known_unplaceable(const placement_request& request) const;
     bool place(const wire::job& job, const state_machine& state, time_point now,
                std::vector<wire::command>& commands);
-    void displace(const wire::job& urgent, const state_machine& state, time_point now,
-                  std::vector<wire::command>& commands);
+    void evict_for(const wire::job& urgent, const state_machine& state, time_point now,
+                   std::vector<wire::command>& commands);
     [[nodiscard]] placement_request make_request(const wire::job& job);
 
     name_index m_services;
@@ -61,12 +61,12 @@
     name_index m_tenants;
     usage_model m_usage;
     interference_model m_interference;
-    eviction_budget m_displacements;
+    eviction_budget m_eviction_budget;
     probe_timer m_probes;
     std::vector<placement_candidate> m_candidates;
     std::vector<std::string> m_candidate_ids;         ///< worker of each candidate
     std::vector<std::vector<std::uint16_t>> m_spread; ///< active tasks by tenant, then rack
-    std::vector<missed_need> m_missed;                ///< of this turn
+    std::vector<unplaceable_need> m_unplaceable;      ///< of this turn
 };
 
 } // namespace poplarpitch
