--- a/poplarpitch/control/leader_duties.cpp
+++ b/poplarpitch/control/leader_duties.cpp
@@ -8,7 +8,7 @@
 constexpr duration expiry_interval = seconds{30};
 
 /// Returns how long a session must have been silent before its workers are given away.
-duration get_session_wait(const state_machine& state) {
+duration get_session_timeout(const state_machine& state) {
     const auto& system = state.get_configs().get_configuration()->system;
     return system.session_lease + system.drift_margin;
 }
@@ -16,13 +16,13 @@
 } // namespace
 
 void leader_duties::start(const state_machine& state, time_point now) {
-    m_sessions.start(state.get_fleet(), get_session_wait(state), now);
+    m_sessions.start(state.get_fleet(), get_session_timeout(state), now);
     m_lost_leases.start();
     m_next_expiry = now + expiry_interval;
 }
 
 void leader_duties::renew(const state_machine& state, const wire::renew_request& request, time_point now) {
-    m_sessions.renew(request, get_session_wait(state), now);
+    m_sessions.renew(request, get_session_timeout(state), now);
     for (const auto& sample : request.usage()) {
         m_scheduler.add_usage(sample);
     }
@@ -62,8 +62,8 @@
         return;
     }
     m_next_expiry = now + expiry_interval;
-    const bool is_anything = state.get_intents().get_count() > 0 || state.get_jobs().get_count() > 0;
-    if (!is_anything) {
+    const bool has_records = state.get_intents().get_count() > 0 || state.get_jobs().get_count() > 0;
+    if (!has_records) {
         return;
     }
     const auto& system = state.get_configs().get_configuration()->system;
--- a/poplarpitch/control/owner_assigner.cpp
+++ b/poplarpitch/control/owner_assigner.cpp
@@ -7,11 +7,11 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_assignments = 200;          // in one turn
-constexpr std::size_t unequal_enough = 2;             // a difference of one is as equal as it gets
-constexpr duration move_interval = milliseconds{300}; // a worker is unused for about one announcement
+constexpr std::size_t max_assignments = 200;               // in one turn
+constexpr std::size_t min_imbalance = 2;                   // a difference of one is as equal as it gets
+constexpr duration rebalance_interval = milliseconds{300}; // a worker is unused for about one announcement
 
-wire::command make_assign(const wire::worker& worker, const std::string& owner) {
+wire::command make_assign_command(const wire::worker& worker, const std::string& owner) {
     wire::command command;
     command.mutable_owner()->set_worker(worker.id());
     command.mutable_owner()->set_owner(owner);
@@ -34,15 +34,15 @@
 std::string owner_assigner::pick_owner(const fleet_table& fleet, const wire::worker& worker,
                                        const owned_counts& counts) {
     std::string best;
-    bool is_best_near = false;
+    bool is_best_local = false;
     std::size_t best_count = 0;
     for (const auto& [entry, count] : counts) {
-        const bool is_near = fleet.find_session(entry)->data_centre() == worker.data_centre();
+        const bool is_local = fleet.find_session(entry)->data_centre() == worker.data_centre();
         const bool is_better =
-            best.empty() || (is_near && !is_best_near) || (is_near == is_best_near && count < best_count);
+            best.empty() || (is_local && !is_best_local) || (is_local == is_best_local && count < best_count);
         if (is_better) {
             best = entry;
-            is_best_near = is_near;
+            is_best_local = is_local;
             best_count = count;
         }
     }
@@ -59,7 +59,7 @@
         const auto& worker = *fleet.find_worker(id);
         const auto owner = pick_owner(fleet, worker, counts);
         ++counts[owner];
-        commands.push_back(make_assign(worker, owner));
+        commands.push_back(make_assign_command(worker, owner));
     };
     for (const auto& id : fleet.get_free()) {
         if (commands.size() >= max_assignments) {
@@ -86,7 +86,7 @@
 
 void owner_assigner::rebalance(const fleet_table& fleet, const owned_counts& counts, time_point now,
                                std::vector<wire::command>& commands) {
-    if (m_last_move != time_point{} && now - m_last_move < move_interval) {
+    if (m_last_rebalance != time_point{} && now - m_last_rebalance < rebalance_interval) {
         return;
     }
     const auto by_count = [](const auto& left, const auto& right) {
@@ -94,18 +94,19 @@
     };
     const auto least = std::min_element(counts.begin(), counts.end(), by_count);
     const auto most = std::max_element(counts.begin(), counts.end(), by_count);
-    if (most->second < least->second + unequal_enough) {
+    if (most->second < least->second + min_imbalance) {
         return;
     }
     // Only a worker that stands in no better place where it is may move.
-    const auto& target = fleet.find_session(least->first)->data_centre();
-    const auto& source = fleet.find_session(most->first)->data_centre();
+    const auto& to_data_centre = fleet.find_session(least->first)->data_centre();
+    const auto& from_data_centre = fleet.find_session(most->first)->data_centre();
     for (const auto& id : fleet.get_owned(most->first)) {
         const auto& worker = *fleet.find_worker(id);
-        const bool is_at_home = worker.data_centre() == source && source != target;
-        if (!is_at_home && !worker.silent()) {
-            commands.push_back(make_assign(worker, least->first));
-            m_last_move = now;
+        const bool is_leaving_data_centre =
+            worker.data_centre() == from_data_centre && from_data_centre != to_data_centre;
+        if (!is_leaving_data_centre && !worker.silent()) {
+            commands.push_back(make_assign_command(worker, least->first));
+            m_last_rebalance = now;
             return;
         }
     }
--- a/poplarpitch/control/owner_assigner.h
+++ b/poplarpitch/control/owner_assigner.h
@@ -29,7 +29,7 @@
     void rebalance(const fleet_table& fleet, const owned_counts& counts, time_point now,
                    std::vector<wire::command>& commands);
 
-    time_point m_last_move{};
+    time_point m_last_rebalance{};
 };
 
 } // namespace poplarpitch
