--- a/poplarpitch/control/control_node.cpp
+++ b/poplarpitch/control/control_node.cpp
@@ -58,32 +58,32 @@
         }
     }
     while (!m_task_queue.is_stopped()) {
-        const auto tasks = m_task_queue.take(get_next_turn() - m_clock.now());
+        const auto tasks = m_task_queue.take(get_next_wakeup() - m_clock.now());
         for (const auto& task : tasks) {
             task();
         }
-        const auto turn = m_clock.now();
-        m_node->tick(turn);
-        m_proposals.propose_due(*m_node, turn);
-        carry_out(m_node->take_output());
-        watch_role(turn);
-        run_duties(turn);
-        carry_out(m_node->take_output());
+        const auto loop_time = m_clock.now();
+        m_node->tick(loop_time);
+        m_proposals.propose_due(*m_node, loop_time);
+        process_output(m_node->take_output());
+        handle_role_change(loop_time);
+        run_duties(loop_time);
+        process_output(m_node->take_output());
         take_snapshot_if_due();
-        watch_peers(turn);
+        reset_silent_links(loop_time);
     }
     m_proposals.fail_all(m_node->get_leader());
     m_links.clear();
 }
 
-time_point control_node::get_next_turn() const {
+time_point control_node::get_next_wakeup() const {
     const auto next = std::min(m_node->get_next_deadline(), m_clock.now() + m_settings.duty_interval);
     return std::min(next, m_proposals.get_next_due().value_or(next));
 }
 
 // ---- one turn
 
-void control_node::carry_out(raft_output output) {
+void control_node::process_output(raft_output output) {
     // 1. What must survive is synced before anybody hears of it.
     if (output.needs_sync()) {
         if (output.state.has_value()) {
@@ -154,21 +154,21 @@
     }
 }
 
-void control_node::watch_peers(time_point now) {
+void control_node::reset_silent_links(time_point now) {
     for (const auto& [id, link] : m_links) {
-        auto& heard = m_last_heard[id];
+        auto& last_received = m_last_received[id];
         const bool is_expected = m_node->get_role() == raft_role::leader || m_node->get_leader() == id;
-        if (heard == time_point{} || !is_expected) {
-            heard = std::max(heard, now - m_settings.peer_silence_timeout / 2);
+        if (last_received == time_point{} || !is_expected) {
+            last_received = std::max(last_received, now - m_settings.peer_silence_timeout / 2);
         }
-        if (now - heard > m_settings.peer_silence_timeout) {
+        if (now - last_received > m_settings.peer_silence_timeout) {
             link->reset();
-            heard = now;
+            last_received = now;
         }
     }
 }
 
-void control_node::watch_role(time_point now) {
+void control_node::handle_role_change(time_point now) {
     const bool is_same = m_node->get_role() == m_last_role && m_node->get_term() == m_last_term;
     if (!is_same) {
         log_event(log_level::info, "role_changed")
@@ -177,24 +177,24 @@
             .add("leader", m_node->get_leader());
         m_last_role = m_node->get_role();
         m_last_term = m_node->get_term();
-        m_is_duty_started = false;
+        m_are_duties_started = false;
         if (m_node->get_role() != raft_role::leader) {
             m_proposals.fail_all(m_node->get_leader());
         }
     }
     // The first own commit says that everything older is applied here too.
-    if (!m_is_duty_started && m_node->has_own_commit()) {
+    if (!m_are_duties_started && m_node->has_own_commit()) {
         m_duties.start(m_machine, now);
         m_voter_replacer.start(now);
-        m_duty_index = 0;
+        m_last_duty_index = 0;
         m_next_duty = now;
-        m_is_duty_started = true;
+        m_are_duties_started = true;
     }
 }
 
 void control_node::run_duties(time_point now) {
-    if (!m_is_duty_started || m_node->get_role() != raft_role::leader || now < m_next_duty ||
-        m_machine.get_applied() < m_duty_index) {
+    if (!m_are_duties_started || m_node->get_role() != raft_role::leader || now < m_next_duty ||
+        m_machine.get_applied() < m_last_duty_index) {
         return;
     }
     m_next_duty = now + m_settings.duty_interval;
@@ -203,7 +203,7 @@
         if (!index) {
             return;
         }
-        m_duty_index = index.value();
+        m_last_duty_index = index.value();
     }
     const auto change = m_voter_replacer.run(*m_node, now);
     if (change.has_value()) {
--- a/poplarpitch/control/control_node.h
+++ b/poplarpitch/control/control_node.h
@@ -70,15 +70,15 @@
     };
 
     // control thread
-    void carry_out(raft_output output);
+    void process_output(raft_output output);
     void apply(const log_entry& entry);
     void install(const raft_snapshot& snapshot);
     void send(raft_message message);
-    void watch_peers(time_point now);
-    void watch_role(time_point now);
+    void reset_silent_links(time_point now);
+    void handle_role_change(time_point now);
     void run_duties(time_point now);
     void take_snapshot_if_due();
-    [[nodiscard]] time_point get_next_turn() const;
+    [[nodiscard]] time_point get_next_wakeup() const;
     void start_renewal(const wire::renew_request& request,
                        const std::function<void(const wire::renew_answer&)>& answer);
     void start_query(const wire::query_request& request,
@@ -89,7 +89,7 @@
 
     /// Posts work that gets a callback, and waits for what the callback is given.
     template <class Answer>
-    Answer wait_for(std::function<void(std::function<void(const Answer&)>)> work);
+    Answer call_on_control_thread(std::function<void(std::function<void(const Answer&)>)> work);
 
     const daemon_settings m_daemon;
     const control_settings m_settings;
@@ -105,13 +105,13 @@
     leader_duties m_duties;
     voter_replacer m_voter_replacer;
     std::map<node_id, std::unique_ptr<peer_link>> m_links;
-    std::map<node_id, time_point> m_last_heard;
+    std::map<node_id, time_point> m_last_received;
     proposal_queue m_proposals;
     std::map<std::uint64_t, pending_query> m_queries; ///< by read token
     raft_role m_last_role = raft_role::follower;
     log_term m_last_term = 0;
-    bool m_is_duty_started = false; ///< the duties of this term of leadership have begun
-    log_index m_duty_index = 0;     ///< last command of the duties; the next turn waits for it
+    bool m_are_duties_started = false; ///< the duties of this term of leadership have begun
+    log_index m_last_duty_index = 0;   ///< last command of the duties; the next turn waits for it
     time_point m_next_duty{};
 };
 
--- a/poplarpitch/control/control_node_calls.cpp
+++ b/poplarpitch/control/control_node_calls.cpp
@@ -16,24 +16,24 @@
 namespace {
 
 /// The commands of one batch; touched by the control thread alone once it is posted.
-struct batch_in_progress {
+struct pending_batch {
     std::vector<std::string> payloads;
-    std::vector<bool> are_events; ///< by place: their senders want no whole record back
+    std::vector<bool> are_events; ///< by index: their senders want no whole record back
     proposal_urgency urgency = proposal_urgency::deferrable;
-    std::size_t left = 0; ///< commands without an answer yet
+    std::size_t remaining = 0; ///< commands without an answer yet
     wire::propose_batch_answer answer;
 
     /// Takes one answer. Of an event's job only what the entry counts by is sent back.
-    void take(std::size_t place, const wire::propose_answer& one) {
-        auto& taken = *answer.mutable_answers(static_cast<int>(place));
-        taken = one;
-        if (are_events[place] && taken.outcome().has_job_record()) {
-            wire::job brief;
-            brief.set_tenant(one.outcome().job_record().tenant());
-            brief.set_batch(one.outcome().job_record().batch());
-            *taken.mutable_outcome()->mutable_job_record() = std::move(brief);
+    void record(std::size_t index, const wire::propose_answer& command_answer) {
+        auto& recorded = *answer.mutable_answers(static_cast<int>(index));
+        recorded = command_answer;
+        if (are_events[index] && recorded.outcome().has_job_record()) {
+            wire::job counted_fields;
+            counted_fields.set_tenant(command_answer.outcome().job_record().tenant());
+            counted_fields.set_batch(command_answer.outcome().job_record().batch());
+            *recorded.mutable_outcome()->mutable_job_record() = std::move(counted_fields);
         }
-        answer.set_leader(one.leader());
+        answer.set_leader(command_answer.leader());
     }
 };
 
@@ -47,7 +47,7 @@
     wire::renew_answer refusal;
     refusal.set_leader(m_node->get_leader());
     // A grant needs proof that no other leader can have been elected: the leader lease.
-    if (!m_is_duty_started || !m_node->has_lease(now)) {
+    if (!m_are_duties_started || !m_node->has_lease(now)) {
         answer(refusal);
         return;
     }
@@ -71,7 +71,7 @@
     opened.set_incarnation(request.incarnation());
     opened.set_http_address(request.http_address());
     opened.set_data_centre(request.data_centre());
-    const auto take = [this, request, answer](const wire::propose_answer& proposed) {
+    const auto on_proposed = [this, request, answer](const wire::propose_answer& proposed) {
         wire::renew_answer first;
         first.set_leader(m_node->get_leader());
         // The renewal itself is granted with the next call, under a lease checked then.
@@ -81,7 +81,7 @@
         }
         answer(first);
     };
-    m_proposals.add(command.SerializeAsString(), proposal_urgency::immediate, take);
+    m_proposals.add(command.SerializeAsString(), proposal_urgency::immediate, on_proposed);
 }
 
 void control_node::start_query(const wire::query_request& request,
@@ -131,7 +131,7 @@
     if (m_node->get_role() != raft_role::leader) {
         return answer;
     }
-    const auto take = [&](const auto& outcome) {
+    const auto set_outcome = [&](const auto& outcome) {
         answer.set_done(outcome.has_value());
         if (!outcome) {
             answer.set_refusal(outcome.error().message());
@@ -139,16 +139,16 @@
     };
     switch (request.action()) {
     case wire::member_add_learner:
-        take(m_node->add_learner(request.node(), now));
+        set_outcome(m_node->add_learner(request.node(), now));
         break;
     case wire::member_promote:
-        take(m_node->promote(request.node(), now));
+        set_outcome(m_node->promote(request.node(), now));
         break;
     case wire::member_remove:
-        take(m_node->remove(request.node(), now));
+        set_outcome(m_node->remove(request.node(), now));
         break;
     case wire::member_transfer:
-        take(m_node->transfer_leadership(request.node(), now));
+        set_outcome(m_node->transfer_leadership(request.node(), now));
         break;
     default:
         answer.set_refusal("unknown action");
@@ -162,84 +162,85 @@
 void control_node::deliver(raft_message message) {
     m_task_queue.post([this, message = std::move(message)] {
         const auto now = m_clock.now();
-        m_last_heard[message.from] = now;
+        m_last_received[message.from] = now;
         m_node->step(message, now);
     });
 }
 
 template <class Answer>
-Answer control_node::wait_for(std::function<void(std::function<void(const Answer&)>)> work) {
+Answer control_node::call_on_control_thread(std::function<void(std::function<void(const Answer&)>)> work) {
     const auto slot = std::make_shared<answer_slot<Answer>>();
     const bool is_posted = m_task_queue.post(
         [work = std::move(work), slot] { work([slot](const Answer& answer) { slot->give(answer); }); });
-    constexpr duration longest_wait = seconds{10}; // callers have shorter deadlines of their own
-    return is_posted ? slot->wait_for(longest_wait).value_or(Answer{}) : Answer{};
+    constexpr duration max_wait = seconds{10}; // callers have shorter deadlines of their own
+    return is_posted ? slot->wait_for(max_wait).value_or(Answer{}) : Answer{};
 }
 
 wire::renew_answer control_node::renew(const wire::renew_request& request) {
-    return wait_for<wire::renew_answer>([this, request](auto answer) { start_renewal(request, answer); });
+    return call_on_control_thread<wire::renew_answer>(
+        [this, request](auto answer) { start_renewal(request, answer); });
 }
 
 wire::propose_answer control_node::propose(const wire::propose_request& request) {
     const auto urgency = get_urgency(request.proposed());
-    return wait_for<wire::propose_answer>(
+    return call_on_control_thread<wire::propose_answer>(
         [this, urgency, payload = request.proposed().SerializeAsString()](auto answer) mutable {
             m_proposals.add(std::move(payload), urgency, std::move(answer));
         });
 }
 
 wire::propose_batch_answer control_node::propose_batch(const wire::propose_batch_request& request) {
-    const auto batch = std::make_shared<batch_in_progress>();
+    const auto batch = std::make_shared<pending_batch>();
     for (const auto& command : request.commands()) {
         batch->payloads.push_back(command.SerializeAsString());
         batch->are_events.push_back(command.has_event());
         batch->urgency = std::min(batch->urgency, get_urgency(command)); // `immediate` is the lower one
         batch->answer.add_answers();
     }
-    batch->left = batch->payloads.size();
-    if (batch->left == 0) {
+    batch->remaining = batch->payloads.size();
+    if (batch->remaining == 0) {
         return {};
     }
-    return wait_for<wire::propose_batch_answer>([this, batch](const auto& answer) {
-        for (std::size_t place = 0; place < batch->payloads.size(); ++place) {
-            const auto take = [batch, place, answer](const wire::propose_answer& one) {
-                batch->take(place, one);
-                if (--batch->left == 0) {
+    return call_on_control_thread<wire::propose_batch_answer>([this, batch](const auto& answer) {
+        for (std::size_t index = 0; index < batch->payloads.size(); ++index) {
+            const auto on_answer = [batch, index, answer](const wire::propose_answer& command_answer) {
+                batch->record(index, command_answer);
+                if (--batch->remaining == 0) {
                     answer(batch->answer);
                 }
             };
-            m_proposals.add(std::move(batch->payloads[place]), batch->urgency, take);
+            m_proposals.add(std::move(batch->payloads[index]), batch->urgency, on_answer);
         }
     });
 }
 
 wire::query_answer control_node::query(const wire::query_request& request) {
-    return wait_for<wire::query_answer>(
+    return call_on_control_thread<wire::query_answer>(
         [this, request](auto answer) { start_query(request, std::move(answer)); });
 }
 
 wire::member_answer control_node::change_members(const wire::member_request& request) {
-    return wait_for<wire::member_answer>(
+    return call_on_control_thread<wire::member_answer>(
         [this, request](auto answer) { answer(start_member_change(request)); });
 }
 
 void control_node::resign() {
-    constexpr int tries = 20;
-    constexpr auto pause = absl::Milliseconds(50);
-    for (int attempt = 0; attempt < tries; ++attempt) {
-        const auto is_leader = wait_for<bool>([this](auto answer) {
-            const bool leads =
+    constexpr int max_attempts = 20;
+    constexpr auto retry_interval = absl::Milliseconds(50);
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
+        const auto is_leader = call_on_control_thread<bool>([this](auto answer) {
+            const bool can_transfer =
                 m_node->get_role() == raft_role::leader && m_node->get_membership().voters.size() > 1;
-            if (leads) {
+            if (can_transfer) {
                 static_cast<void>(
                     m_node->transfer_leadership(0, m_clock.now())); // refused while one is under way
             }
-            answer(leads);
+            answer(can_transfer);
         });
         if (!is_leader) {
             return;
         }
-        absl::SleepFor(pause);
+        absl::SleepFor(retry_interval);
     }
 }
 
