--- a/poplarpitch/transport/connection_headers.cpp
+++ b/poplarpitch/transport/connection_headers.cpp
@@ -7,7 +7,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::array<std::string_view, 15> names = {
+constexpr std::array<std::string_view, 15> connection_header_names = {
     "content-length",   "content-type", "transfer-encoding",
     "connection",       "keep-alive",   "te",
     "trailer",          "upgrade",      "expect",
@@ -15,18 +15,18 @@
     "local_addr",       "local_port",   "proxy-authorization",
 };
 
-bool is_same(std::string_view given, std::string_view lower) {
+bool equals_ignoring_case(std::string_view given, std::string_view lower) {
     return given.size() == lower.size() &&
-           std::equal(given.begin(), given.end(), lower.begin(), [](char letter, char expected) {
-               return std::tolower(static_cast<unsigned char>(letter)) == expected;
+           std::equal(given.begin(), given.end(), lower.begin(), [](char character, char expected) {
+               return std::tolower(static_cast<unsigned char>(character)) == expected;
            });
 }
 
 } // namespace
 
 bool is_connection_header(std::string_view name) {
-    return std::any_of(names.begin(), names.end(),
-                       [&](std::string_view known) { return is_same(name, known); });
+    return std::any_of(connection_header_names.begin(), connection_header_names.end(),
+                       [&](std::string_view known) { return equals_ignoring_case(name, known); });
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/transport/control_client.cpp
+++ b/poplarpitch/transport/control_client.cpp
@@ -13,10 +13,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration pause_without_leader = milliseconds{40};
-constexpr duration longest_attempt =
+constexpr duration retry_interval = milliseconds{40};
+constexpr duration call_attempt_timeout =
     milliseconds{700}; // then another instance is asked, on a fresh connection
-constexpr duration renew_attempt = milliseconds{400};
+constexpr duration renew_attempt_timeout = milliseconds{400};
 
 using control_stub = wire::control_service::Stub;
 
@@ -25,8 +25,8 @@
     return answer.committed() || answer.unknown();
 }
 bool is_from_leader(const wire::propose_batch_answer& answer) {
-    const auto is_settled = [](const wire::propose_answer& one) {
-        return is_from_leader(one);
+    const auto is_settled = [](const wire::propose_answer& command_answer) {
+        return is_from_leader(command_answer);
     };
     return !answer.answers().empty() &&
            std::all_of(answer.answers().begin(), answer.answers().end(), is_settled);
@@ -69,13 +69,13 @@
 
 std::shared_ptr<control_client::link> control_client::get_link(std::size_t index) {
     const absl::MutexLock lock(&m_mutex);
-    auto& entry = m_links[index];
-    if (entry == nullptr) {
-        entry = std::make_shared<link>();
-        entry->channel = make_fresh_channel(m_peers[index].address);
-        entry->stub = wire::control_service::NewStub(entry->channel);
+    auto& slot = m_links[index];
+    if (slot == nullptr) {
+        slot = std::make_shared<link>();
+        slot->channel = make_fresh_channel(m_peers[index].address);
+        slot->stub = wire::control_service::NewStub(slot->channel);
     }
-    return entry;
+    return slot;
 }
 
 void control_client::drop_link(std::size_t index, const std::shared_ptr<link>& used) {
@@ -85,34 +85,34 @@
     }
 }
 
-std::size_t control_client::get_leader() {
+std::size_t control_client::get_leader_index() {
     const absl::MutexLock lock(&m_mutex);
-    return m_leader;
+    return m_leader_index;
 }
 
-void control_client::follow(std::size_t asked, std::uint64_t leader) {
+void control_client::update_leader(std::size_t queried, std::uint64_t leader) {
     const auto found = std::find_if(m_peers.begin(), m_peers.end(),
                                     [&](const peer_address& peer) { return peer.id == leader; });
     const absl::MutexLock lock(&m_mutex);
     if (found != m_peers.end()) {
-        m_leader = static_cast<std::size_t>(found - m_peers.begin());
-    } else if (m_leader == asked) {
-        m_leader = (asked + 1) % m_peers.size();
+        m_leader_index = static_cast<std::size_t>(found - m_peers.begin());
+    } else if (m_leader_index == queried) {
+        m_leader_index = (queried + 1) % m_peers.size();
     }
 }
 
 template <class Request, class Answer, class Call>
-result<Answer> control_client::call_leader(const Request& request, time_point deadline, duration attempt,
-                                           Call call) {
+result<Answer> control_client::call_leader(const Request& request, time_point deadline,
+                                           duration attempt_timeout, Call call) {
     const system_clock clock;
-    bool is_maybe_done = false;
-    bool is_anyone_reached = false;
+    bool is_maybe_executed = false;
+    bool is_any_reached = false;
     for (auto now = clock.now(); now < deadline; now = clock.now()) {
-        const auto index = get_leader();
+        const auto index = get_leader_index();
         const auto used = get_link(index);
         const auto limit =
             std::chrono::system_clock::now() +
-            std::chrono::duration_cast<milliseconds>(std::min<duration>(deadline - now, attempt));
+            std::chrono::duration_cast<milliseconds>(std::min<duration>(deadline - now, attempt_timeout));
         grpc::ClientContext context;
         context.set_deadline(limit);
         Answer answer;
@@ -120,26 +120,26 @@
         const auto status = is_connected ? call(*used->stub, context, request, answer)
                                          : grpc::Status(grpc::StatusCode::UNAVAILABLE, "no connection");
         if (status.ok()) {
-            is_anyone_reached = true;
+            is_any_reached = true;
             if (is_from_leader(answer)) {
                 return answer;
             }
-            follow(index, answer.leader());
+            update_leader(index, answer.leader());
             if (answer.leader() == 0 || answer.leader() == m_peers[index].id) {
-                absl::SleepFor(absl::Nanoseconds(pause_without_leader.count()));
+                absl::SleepFor(absl::Nanoseconds(retry_interval.count()));
             }
             continue;
         }
         // The connection may be silent for good: whatever the peer's state, the next try opens a fresh one.
-        is_maybe_done = is_maybe_done || is_connected;
+        is_maybe_executed = is_maybe_executed || is_connected;
         drop_link(index, used);
-        follow(index, 0);
-        absl::SleepFor(absl::Nanoseconds(pause_without_leader.count()));
+        update_leader(index, 0);
+        absl::SleepFor(absl::Nanoseconds(retry_interval.count()));
     }
-    if (is_maybe_done) {
+    if (is_maybe_executed) {
         return make_error_code(transport_errc::timed_out);
     }
-    return make_error_code(is_anyone_reached ? transport_errc::no_leader : transport_errc::unreachable);
+    return make_error_code(is_any_reached ? transport_errc::no_leader : transport_errc::unreachable);
 }
 
 result<wire::command_result> control_client::propose(const wire::command& command, time_point deadline) {
@@ -153,7 +153,7 @@
     bool is_maybe_committed = false;
     while (true) {
         auto answer = call_leader<wire::propose_request, wire::propose_answer>(request, deadline,
-                                                                               longest_attempt, call);
+                                                                               call_attempt_timeout, call);
         if (!answer) {
             return is_maybe_committed ? make_error_code(transport_errc::timed_out) : answer.error();
         }
@@ -165,7 +165,7 @@
         if (clock.now() >= deadline) {
             return make_error_code(transport_errc::timed_out);
         }
-        absl::SleepFor(absl::Nanoseconds(pause_without_leader.count()));
+        absl::SleepFor(absl::Nanoseconds(retry_interval.count()));
     }
 }
 
@@ -174,7 +174,7 @@
     wire::propose_batch_request request;
     request.mutable_commands()->Add(commands.begin(), commands.end());
     auto answer = call_leader<wire::propose_batch_request, wire::propose_batch_answer>(
-        request, deadline, longest_attempt,
+        request, deadline, call_attempt_timeout,
         [](control_stub& stub, grpc::ClientContext& context, const wire::propose_batch_request& sent,
            wire::propose_batch_answer& received) { return stub.propose_batch(&context, sent, &received); });
     if (!answer) {
@@ -182,25 +182,25 @@
     }
     std::vector<wire::command_result> outcomes;
     outcomes.reserve(commands.size());
-    for (auto& one : *answer.value().mutable_answers()) {
-        if (!one.committed()) {
+    for (auto& command_answer : *answer.value().mutable_answers()) {
+        if (!command_answer.committed()) {
             return make_error_code(transport_errc::timed_out); // its leader lost its place: asked again later
         }
-        outcomes.push_back(std::move(*one.mutable_outcome()));
+        outcomes.push_back(std::move(*command_answer.mutable_outcome()));
     }
     return outcomes;
 }
 
 result<wire::renew_answer> control_client::renew(const wire::renew_request& request, time_point deadline) {
     return call_leader<wire::renew_request, wire::renew_answer>(
-        request, deadline, renew_attempt,
+        request, deadline, renew_attempt_timeout,
         [](control_stub& stub, grpc::ClientContext& context, const wire::renew_request& sent,
            wire::renew_answer& received) { return stub.renew(&context, sent, &received); });
 }
 
 result<wire::query_answer> control_client::query(const wire::query_request& request, time_point deadline) {
     return call_leader<wire::query_request, wire::query_answer>(
-        request, deadline, longest_attempt,
+        request, deadline, call_attempt_timeout,
         [](control_stub& stub, grpc::ClientContext& context, const wire::query_request& sent,
            wire::query_answer& received) { return stub.query(&context, sent, &received); });
 }
@@ -208,7 +208,7 @@
 result<wire::member_answer> control_client::change_members(const wire::member_request& request,
                                                            time_point deadline) {
     return call_leader<wire::member_request, wire::member_answer>(
-        request, deadline, longest_attempt,
+        request, deadline, call_attempt_timeout,
         [](control_stub& stub, grpc::ClientContext& context, const wire::member_request& sent,
            wire::member_answer& received) { return stub.change_members(&context, sent, &received); });
 }
--- a/poplarpitch/transport/control_client.h
+++ b/poplarpitch/transport/control_client.h
@@ -47,17 +47,18 @@
 
     std::shared_ptr<link> get_link(std::size_t index);
     void drop_link(std::size_t index, const std::shared_ptr<link>& used);
-    std::size_t get_leader();
+    std::size_t get_leader_index();
     /// Learns from a refusal where the leader is; goes on to the next instance when it names none.
-    void follow(std::size_t asked, std::uint64_t leader);
+    void update_leader(std::size_t queried, std::uint64_t leader);
 
     template <class Request, class Answer, class Call>
-    result<Answer> call_leader(const Request& request, time_point deadline, duration attempt, Call call);
+    result<Answer> call_leader(const Request& request, time_point deadline, duration attempt_timeout,
+                               Call call);
 
     const std::vector<peer_address> m_peers;
     absl::Mutex m_mutex;
     std::vector<std::shared_ptr<link>> m_links ABSL_GUARDED_BY(m_mutex);
-    std::size_t m_leader ABSL_GUARDED_BY(m_mutex) = 0; ///< index of the instance to ask first
+    std::size_t m_leader_index ABSL_GUARDED_BY(m_mutex) = 0; ///< index of the instance to ask first
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/transport/control_server.cpp
+++ b/poplarpitch/transport/control_server.cpp
@@ -12,7 +12,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int max_message = 64 << 20;
+constexpr int max_message_bytes = 64 << 20;
 constexpr int min_pollers = 4; // fewer, and the library starts a thread for nearly every call
 constexpr int max_pollers = 8;
 constexpr int max_threads = 256;
@@ -105,7 +105,7 @@
     builder.SetSyncServerOption(grpc::ServerBuilder::SyncServerOption::MIN_POLLERS, min_pollers);
     builder.SetSyncServerOption(grpc::ServerBuilder::SyncServerOption::MAX_POLLERS, max_pollers);
     builder.SetSyncServerOption(grpc::ServerBuilder::SyncServerOption::NUM_CQS, 1);
-    builder.SetMaxReceiveMessageSize(max_message);
+    builder.SetMaxReceiveMessageSize(max_message_bytes);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.AddListeningPort(host + ":" + std::to_string(port), grpc::InsecureServerCredentials(), &bound);
     builder.RegisterService(&m_state->peers);
--- a/poplarpitch/transport/growing_task_queue.cpp
+++ b/poplarpitch/transport/growing_task_queue.cpp
@@ -11,8 +11,8 @@
 void growing_task_queue::run(std::function<void()> task) {
     const absl::MutexLock lock(&m_mutex);
     m_tasks.push_back(std::move(task));
-    const bool is_short = m_idle < static_cast<int>(m_tasks.size());
-    if (is_short && static_cast<int>(m_threads.size()) < m_max_threads) {
+    const bool has_too_few_idle = m_idle < static_cast<int>(m_tasks.size());
+    if (has_too_few_idle && static_cast<int>(m_threads.size()) < m_max_threads) {
         m_threads.emplace_back([this] { work(); });
     }
 }
--- a/poplarpitch/transport/http_client_pool.cpp
+++ b/poplarpitch/transport/http_client_pool.cpp
@@ -46,14 +46,14 @@
 http_client_pool::take(const std::string& address, connection_choice choice, time_point now) {
     std::vector<std::unique_ptr<connection>> stale; // closed outside the lock
     if (choice != connection_choice::fresh) {
-        const auto limit =
+        const auto max_age =
             choice == connection_choice::known_alive ? m_settings.alive_window : m_settings.max_idle_age;
         const absl::MutexLock lock(&m_mutex);
         auto& idle = m_idle[address];
         if (!idle.empty()) {
             auto newest = std::move(idle.back());
             idle.pop_back();
-            if (now - newest->last_answer < limit) {
+            if (now - newest->last_answer < max_age) {
                 return newest;
             }
             stale.push_back(std::move(newest));
@@ -74,9 +74,9 @@
     const absl::MutexLock lock(&m_mutex);
     auto& idle = m_idle[address];
     idle.push_back(std::move(used));
-    const bool is_over =
+    const bool must_close_oldest =
         idle.size() > m_settings.max_idle || now - idle.front()->last_answer > m_settings.max_idle_age;
-    if (is_over) {
+    if (must_close_oldest) {
         oldest = std::move(idle.front());
         idle.erase(idle.begin());
     }
--- a/poplarpitch/transport/http_server.cpp
+++ b/poplarpitch/transport/http_server.cpp
@@ -16,9 +16,9 @@
 constexpr int listen_backlog = 4096; // the library's own is 5, which delays bursts of connects by a second
 
 /// Gives the library's task interface our threads.
-class connection_threads final : public httplib::TaskQueue {
+class connection_task_queue final : public httplib::TaskQueue {
 public:
-    explicit connection_threads(int max_threads) : m_threads(max_threads) {}
+    explicit connection_task_queue(int max_threads) : m_threads(max_threads) {}
     void enqueue(std::function<void()> task) override { m_threads.run(std::move(task)); }
     void shutdown() override { m_threads.finish(); }
 
@@ -78,7 +78,7 @@
     auto& server = m_state->server;
     const int threads = settings.max_connections;
     server.new_task_queue = [threads] {
-        return new connection_threads(threads);
+        return new connection_task_queue(threads);
     }; // the library deletes it
     server.set_tcp_nodelay(true);
     server.set_payload_max_length(static_cast<std::size_t>(settings.max_body));
@@ -94,8 +94,8 @@
     const auto serve = [this](const httplib::Request& source, httplib::Response& target) {
         m_state->serve(source, target);
     };
-    const char* everything = "(?:.|\n|\r)*";
-    server.Get(everything, serve).Post(everything, serve).Put(everything, serve).Delete(everything, serve);
+    const char* any_path = "(?:.|\n|\r)*";
+    server.Get(any_path, serve).Post(any_path, serve).Put(any_path, serve).Delete(any_path, serve);
     server.set_error_handler([](const httplib::Request&, httplib::Response& target) {
         if (target.body.empty()) {
             const auto code = target.status == 413 ? "body_too_large" : "bad_request";
--- a/poplarpitch/transport/peer_link.cpp
+++ b/poplarpitch/transport/peer_link.cpp
@@ -9,8 +9,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_queue = 4096;
-constexpr int reconnect_pause_ms = 50;
+constexpr std::size_t max_queued_messages = 4096;
+constexpr int reconnect_delay_ms = 50;
 
 } // namespace
 
@@ -23,7 +23,7 @@
 };
 
 peer_link::peer_link(std::string address, std::string cluster)
-    : m_address(std::move(address)), m_cluster(std::move(cluster)), m_thread([this] { work(); }) {}
+    : m_address(std::move(address)), m_cluster(std::move(cluster)), m_thread([this] { run(); }) {}
 
 peer_link::~peer_link() {
     {
@@ -38,7 +38,7 @@
 
 void peer_link::send(raft_message message) {
     const absl::MutexLock lock(&m_mutex);
-    if (m_queue.size() >= max_queue) {
+    if (m_queue.size() >= max_queued_messages) {
         m_queue.pop_front();
     }
     m_queue.push_back(std::move(message));
@@ -76,7 +76,7 @@
     return true;
 }
 
-void peer_link::work() {
+void peer_link::run() {
     while (true) {
         auto messages = wait_for_messages();
         if (messages.empty()) {
@@ -112,17 +112,17 @@
             const auto is_stopped = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
                 return m_is_stopped;
             };
-            m_mutex.AwaitWithTimeout(absl::Condition(&is_stopped), absl::Milliseconds(reconnect_pause_ms));
+            m_mutex.AwaitWithTimeout(absl::Condition(&is_stopped), absl::Milliseconds(reconnect_delay_ms));
         }
     }
-    std::shared_ptr<stream> last;
+    std::shared_ptr<stream> last_stream;
     {
         const absl::MutexLock lock(&m_mutex);
-        last = std::move(m_stream);
+        last_stream = std::move(m_stream);
     }
-    if (last != nullptr) {
-        last->context.TryCancel();
-        static_cast<void>(last->writer->Finish());
+    if (last_stream != nullptr) {
+        last_stream->context.TryCancel();
+        static_cast<void>(last_stream->writer->Finish());
     }
 }
 
--- a/poplarpitch/transport/peer_link.h
+++ b/poplarpitch/transport/peer_link.h
@@ -32,7 +32,7 @@
 private:
     struct stream;
 
-    void work();
+    void run();
     bool open_stream();
     std::deque<raft_message> wait_for_messages();
 
