--- a/unit_tests/control/leader_duties_test.cpp
+++ b/unit_tests/control/leader_duties_test.cpp
@@ -92,7 +92,7 @@
     time_point m_now{seconds{100}};
 };
 
-TEST_F(leader_duties_test, gives_workers_to_the_near_entry_evenly) {
+TEST_F(leader_duties_test, assigns_workers_evenly_to_entries_of_their_data_centre) {
     renew("e1", "north");
     renew("e2", "south");
     add_worker("w1", "north");
@@ -134,7 +134,7 @@
     EXPECT_EQ(m_state.get_fleet().find_worker("w1")->owner(), "");
 }
 
-TEST_F(leader_duties_test, new_leader_expires_nobody_before_a_full_lease) {
+TEST_F(leader_duties_test, new_leader_expires_no_session_before_a_full_lease) {
     renew("e1");
     add_worker("w1");
     run();
@@ -151,7 +151,7 @@
     EXPECT_TRUE(is_closed);
 }
 
-TEST_F(leader_duties_test, class_that_is_kept_out_is_probed_once_in_a_while) {
+TEST_F(leader_duties_test, class_excluded_for_interference_is_probed_periodically) {
     renew("e1");
     add_worker("w1");
     run();
@@ -161,12 +161,12 @@
     request.add_loads()->set_worker("w1");
     request.mutable_loads(0)->set_ready(true);
     (*request.mutable_loads(0)->mutable_rates())["s"] = 10;
-    auto& learned =
+    auto& sample =
         *request.add_interference(); // what one task of the class does to the service of the worker
-    learned.set_service("s");
-    learned.set_batch("b");
-    learned.set_slowdown(20);
-    learned.set_weight(1000);
+    sample.set_service("s");
+    sample.set_batch("b");
+    sample.set_slowdown(20);
+    sample.set_weight(1000);
     const auto renew_all = [&] {
         m_duties.renew(m_state, request, m_now);
     };
@@ -205,7 +205,7 @@
     EXPECT_NEAR(static_cast<double>(m_state.get_jobs().get_usage("small").active_millicores), 31000, 1000);
 }
 
-TEST_F(leader_duties_test, makes_room_for_an_urgent_job_within_its_budget) {
+TEST_F(leader_duties_test, evicts_for_an_urgent_job_within_the_eviction_budget) {
     renew("e1");
     add_worker("w1");
     run();
@@ -219,10 +219,10 @@
     }
     submit("rush", "small", "rush", 8000);
     run(30);
-    int asked = 0;
-    m_state.get_jobs().for_each([&](const wire::job& job) { asked += job.evict_requested() ? 1 : 0; });
-    EXPECT_GE(asked, 1);
-    EXPECT_LE(asked, 3);
+    int evictions = 0;
+    m_state.get_jobs().for_each([&](const wire::job& job) { evictions += job.evict_requested() ? 1 : 0; });
+    EXPECT_GE(evictions, 1);
+    EXPECT_LE(evictions, 3);
 }
 
 TEST_F(leader_duties_test, parks_a_queued_job_once_no_worker_could_hold_it) {
--- a/unit_tests/control/proposal_queue_test.cpp
+++ b/unit_tests/control/proposal_queue_test.cpp
@@ -42,7 +42,7 @@
     time_point m_now{seconds{10}};
 };
 
-TEST_F(proposal_queue_test, idle_log_takes_a_job_command_at_once_and_the_next_ones_together) {
+TEST_F(proposal_queue_test, idle_log_appends_a_job_command_immediately_and_batches_the_next_ones) {
     add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
     EXPECT_EQ(m_log.payloads.size(), 1U);
@@ -56,7 +56,7 @@
     EXPECT_FALSE(m_queue.get_next_due().has_value());
 }
 
-TEST_F(proposal_queue_test, urgent_command_takes_the_waiting_ones_with_it) {
+TEST_F(proposal_queue_test, immediate_command_is_appended_together_with_the_waiting_ones) {
     add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
     add("b", proposal_urgency::deferrable);
@@ -80,7 +80,7 @@
     EXPECT_EQ(m_answers.size(), 2U);
 }
 
-TEST_F(proposal_queue_test, refusal_of_the_log_is_told) {
+TEST_F(proposal_queue_test, refusal_of_the_log_is_returned) {
     m_log.is_leader = false;
     add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
@@ -89,7 +89,7 @@
     EXPECT_EQ(m_answers[0].leader(), 2U);
 }
 
-TEST_F(proposal_queue_test, lost_leadership_leaves_unknown_only_what_is_in_the_log) {
+TEST_F(proposal_queue_test, lost_leadership_leaves_only_appended_commands_unknown) {
     add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
     add("b", proposal_urgency::deferrable);
--- a/unit_tests/transport/control_link_test.cpp
+++ b/unit_tests/transport/control_link_test.cpp
@@ -18,7 +18,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration generous = seconds{20};
+constexpr duration test_timeout = seconds{20};
 
 /// A control instance that leads and commits everything, behind a relay that can go silent.
 class control_link_test : public testing::Test {
@@ -41,8 +41,8 @@
         };
         handler.on_propose_batch = [this](const wire::propose_batch_request& request) {
             wire::propose_batch_answer answer;
-            for (int place = 0; place < request.commands_size(); ++place) {
-                answer.add_answers()->set_committed(place != m_unsettled_place);
+            for (int index = 0; index < request.commands_size(); ++index) {
+                answer.add_answers()->set_committed(index != m_uncommitted_index);
             }
             return answer;
         };
@@ -61,7 +61,7 @@
             std::make_unique<control_client>(std::vector<peer_address>{peer_address{1, m_address, false}});
     }
 
-    static time_point make_deadline() { return system_clock().now() + generous; }
+    static time_point make_deadline() { return system_clock().now() + test_timeout; }
 
     static wire::propose_answer make_committed() {
         wire::propose_answer answer;
@@ -73,7 +73,7 @@
     absl::Mutex m_mutex;
     std::uint64_t m_newest_round ABSL_GUARDED_BY(m_mutex) = 0;
     std::atomic<int> m_renewals{0};
-    std::atomic<int> m_unsettled_place{-1};
+    std::atomic<int> m_uncommitted_index{-1};
     std::unique_ptr<control_server> m_server;
     std::unique_ptr<silent_relay> m_relay;
     std::string m_address;
@@ -102,42 +102,42 @@
 
 TEST_F(control_link_test, silent_stream_between_peers_is_replaced) {
     peer_link link(m_address, "test");
-    const auto send_until_heard = [&](std::uint64_t round) {
+    const auto send_until_received = [&](std::uint64_t round) {
         const system_clock clock;
-        const auto end = clock.now() + generous;
+        const auto end = clock.now() + test_timeout;
         while (clock.now() < end) {
             raft_message message;
             message.round = round;
             link.send(message);
             const absl::MutexLock lock(&m_mutex);
-            const auto is_heard = [&]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
+            const auto is_received = [&]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
                 return m_newest_round == round;
             };
-            if (m_mutex.AwaitWithTimeout(absl::Condition(&is_heard), absl::Milliseconds(50))) {
+            if (m_mutex.AwaitWithTimeout(absl::Condition(&is_received), absl::Milliseconds(50))) {
                 return true;
             }
         }
         return false;
     };
-    EXPECT_TRUE(send_until_heard(1));
+    EXPECT_TRUE(send_until_received(1));
     m_relay->silence();
     link.reset(); // what the node does with a peer that has been silent for long
-    EXPECT_TRUE(send_until_heard(2));
+    EXPECT_TRUE(send_until_received(2));
 }
 
-TEST_F(control_link_test, batch_that_is_not_settled_whole_is_no_success) {
-    m_unsettled_place = 1;
+TEST_F(control_link_test, partly_committed_batch_is_an_error) {
+    m_uncommitted_index = 1;
     // Which error it is depends on where the deadline falls: between two tries, or in one.
-    const auto soon = system_clock().now() + milliseconds{500};
-    EXPECT_FALSE(m_client->propose_batch({wire::command{}, wire::command{}}, soon));
-    m_unsettled_place = -1;
+    const auto deadline = system_clock().now() + milliseconds{500};
+    EXPECT_FALSE(m_client->propose_batch({wire::command{}, wire::command{}}, deadline));
+    m_uncommitted_index = -1;
     EXPECT_TRUE(m_client->propose_batch({wire::command{}, wire::command{}}, make_deadline()));
 }
 
 TEST_F(control_link_test, instance_that_is_gone_is_unreachable) {
     m_server->stop();
-    const auto soon = system_clock().now() + milliseconds{300};
-    EXPECT_EQ(m_client->propose({}, soon).error(), make_error_code(transport_errc::unreachable));
+    const auto deadline = system_clock().now() + milliseconds{300};
+    EXPECT_EQ(m_client->propose({}, deadline).error(), make_error_code(transport_errc::unreachable));
 }
 
 TEST_F(control_link_test, change_that_arrived_before_its_connection_broke_may_be_committed) {
@@ -154,8 +154,8 @@
         has_arrived.WaitForNotification();
         m_server->stop(); // breaks the connection at once, then waits for the call
     });
-    const auto soon = system_clock().now() + milliseconds{1500};
-    const auto answer = m_client->propose({}, soon);
+    const auto deadline = system_clock().now() + milliseconds{1500};
+    const auto answer = m_client->propose({}, deadline);
     EXPECT_TRUE(has_arrived.HasBeenNotified());
     std::call_once(first, [&] { has_arrived.Notify(); });
     may_end.Notify();
@@ -171,8 +171,8 @@
         answer.set_unknown(++calls == 1); // then nobody leads
         return answer;
     };
-    const auto soon = system_clock().now() + milliseconds{520};
-    EXPECT_EQ(m_client->propose({}, soon).error(), make_error_code(transport_errc::timed_out));
+    const auto deadline = system_clock().now() + milliseconds{520};
+    EXPECT_EQ(m_client->propose({}, deadline).error(), make_error_code(transport_errc::timed_out));
 }
 
 } // namespace
--- a/unit_tests/transport/http_test.cpp
+++ b/unit_tests/transport/http_test.cpp
@@ -18,7 +18,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration generous = seconds{20};
+constexpr duration test_timeout = seconds{20};
 
 http_request make_post(const std::string& target, const std::string& body) {
     http_request request;
@@ -36,7 +36,7 @@
         m_address = "127.0.0.1:" + std::to_string(m_server->start().value());
     }
 
-    http_exchange send(const http_request& request, duration limit = generous,
+    http_exchange send(const http_request& request, duration limit = test_timeout,
                        connection_choice choice = connection_choice::pooled) {
         return m_pool.send(m_address, request, system_clock().now() + limit, choice);
     }
@@ -49,14 +49,14 @@
     }
 
     // Before the server: its handlers may look at them until it has stopped.
-    absl::Notification m_entered; ///< a handler that is to wait has begun
-    absl::Notification m_release; ///< it may go on
+    absl::Notification m_handler_entered; ///< a handler that is to wait has begun
+    absl::Notification m_release_handler; ///< it may go on
     std::unique_ptr<http_server> m_server;
     http_client_pool m_pool{http_client_settings{}};
     std::string m_address;
 };
 
-TEST_F(http_test, carries_target_headers_and_body_whole) {
+TEST_F(http_test, transfers_target_headers_and_body_unchanged) {
     start(echo);
     auto request = make_post("/a%20b/c?x=1&y=%2f", std::string(100'000, 'z'));
     request.headers.add("X-Own", "v");
@@ -95,7 +95,7 @@
     EXPECT_EQ(exchange.response.status, 413);
 }
 
-TEST_F(http_test, says_not_sent_when_nobody_listens) {
+TEST_F(http_test, reports_not_sent_when_no_server_listens) {
     start(echo);
     m_server->stop();
     const auto exchange = send(make_post("/", ""));
@@ -103,64 +103,64 @@
     EXPECT_EQ(exchange.error, make_error_code(transport_errc::unreachable));
 }
 
-TEST_F(http_test, late_answer_reaches_nobody_else) {
+TEST_F(http_test, late_answer_is_not_returned_for_another_request) {
     start([&](const http_request& request) {
         if (request.body == "slow") {
-            m_release.WaitForNotification();
+            m_release_handler.WaitForNotification();
         }
         return echo(request);
     });
     const auto late = send(make_post("/", "slow"), milliseconds{50});
     EXPECT_EQ(late.progress, exchange_progress::maybe_sent);
-    m_release.Notify();
+    m_release_handler.Notify();
     for (int index = 0; index < 20; ++index) {
         const auto body = std::to_string(index);
         EXPECT_EQ(send(make_post("/", body)).response.body, "/|" + body);
     }
 }
 
-TEST_F(http_test, exchange_can_be_broken_off) {
+TEST_F(http_test, exchange_can_be_cancelled) {
     start([&](const http_request& request) {
-        m_entered.Notify();
-        m_release.WaitForNotification();
+        m_handler_entered.Notify();
+        m_release_handler.WaitForNotification();
         return echo(request);
     });
     http_cancel cancel;
     http_exchange exchange;
     std::thread caller([&] {
-        exchange = m_pool.send(m_address, make_post("/", "x"), system_clock().now() + generous,
+        exchange = m_pool.send(m_address, make_post("/", "x"), system_clock().now() + test_timeout,
                                connection_choice::pooled, &cancel);
     });
-    m_entered.WaitForNotification();
+    m_handler_entered.WaitForNotification();
     cancel.cancel();
     caller.join(); // long before the answer
     EXPECT_EQ(exchange.progress, exchange_progress::maybe_sent);
-    m_release.Notify();
-    const auto late = m_pool.send(m_address, make_post("/", "y"), system_clock().now() + generous,
+    m_release_handler.Notify();
+    const auto late = m_pool.send(m_address, make_post("/", "y"), system_clock().now() + test_timeout,
                                   connection_choice::pooled, &cancel);
     EXPECT_EQ(late.progress, exchange_progress::not_sent);
 }
 
 TEST_F(http_test, stop_lets_requests_in_flight_end) {
     start([&](const http_request& request) {
-        m_entered.Notify();
-        m_release.WaitForNotification();
+        m_handler_entered.Notify();
+        m_release_handler.WaitForNotification();
         return echo(request);
     });
     http_exchange exchange;
     std::thread caller([&] { exchange = send(make_post("/", "x")); });
-    m_entered.WaitForNotification();
+    m_handler_entered.WaitForNotification();
     std::thread stopper([&] { m_server->stop(); });
-    m_release.Notify();
+    m_release_handler.Notify();
     caller.join();
     stopper.join();
     EXPECT_EQ(exchange.progress, exchange_progress::answered);
     EXPECT_EQ(exchange.response.body, "/|x");
 }
 
-TEST_F(http_test, takes_a_burst_of_connects_at_once) {
+TEST_F(http_test, accepts_a_burst_of_connects_without_retransmits) {
     start(echo);
-    constexpr int callers = 300;
+    constexpr int connects = 300;
     std::vector<int> sockets;
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -168,19 +168,19 @@
         htons(static_cast<std::uint16_t>(std::stoi(m_address.substr(m_address.find(':') + 1))));
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     const system_clock clock;
-    int slow = 0;
-    for (int index = 0; index < callers; ++index) {
+    int retransmitted = 0;
+    for (int index = 0; index < connects; ++index) {
         const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         const auto begin = clock.now();
         ASSERT_EQ(::connect(descriptor, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
         // A SYN that found the backlog full is sent again after a second: nothing else takes that long here.
-        slow += clock.now() - begin > milliseconds{900} ? 1 : 0;
+        retransmitted += clock.now() - begin > milliseconds{900} ? 1 : 0;
         sockets.push_back(descriptor);
     }
     for (const int descriptor : sockets) {
         ::close(descriptor);
     }
-    EXPECT_EQ(slow, 0);
+    EXPECT_EQ(retransmitted, 0);
 }
 
 /// A listener that accepts, reads and never answers: a connection whose other end lost track of it.
--- a/unit_tests/transport/silent_relay.cpp
+++ b/unit_tests/transport/silent_relay.cpp
@@ -81,10 +81,10 @@
 }
 
 void silent_relay::run() {
-    constexpr int look_ms = 1; // between looks; nothing is proved by it
+    constexpr int poll_interval_ms = 1; // between looks; nothing is proved by it
     while (!m_is_stopped) {
         pollfd listener{m_listener, POLLIN, 0};
-        if (::poll(&listener, 1, look_ms) > 0) {
+        if (::poll(&listener, 1, poll_interval_ms) > 0) {
             accept_one();
         }
         const absl::MutexLock lock(&m_mutex);
