--- a/poplarpitch/control/cluster_bootstrap.h
+++ b/poplarpitch/control/cluster_bootstrap.h
@@ -10,31 +10,33 @@
 
 namespace poplarpitch {
 
-/// What an instance with a blank data folder learned about one other instance.
+/// What an instance with a blank data folder learned from the status of one other initial voter.
 struct peer_bootstrap_state {
     bool is_reached = false;
-    bool has_cluster = false;     ///< it holds a log with something committed
-    bool is_own_id_voter = false; ///< the cluster counts our id among its voters
+    bool has_cluster = false;     ///< its log has a committed entry
+    bool is_own_id_voter = false; ///< its membership lists our node id as a voter
     friend auto operator<=>(const peer_bootstrap_state&, const peer_bootstrap_state&) = default;
 };
 
-/// What a blank instance is to do.
+/// What an instance with a blank data folder does next.
 enum class bootstrap_action : std::uint8_t {
-    wait,   ///< ask again
+    wait,   ///< query the other initial voters again
     create, ///< all initial voters were reached and are blank: create the cluster
-    join,   ///< a cluster exists and does not know us: wait to be added
-    refuse, ///< the cluster counts on us, but our disk is gone
+    join,   ///< a cluster exists without us as a voter, or we are a spare: wait to be added
+    refuse, ///< the cluster lists us as a voter, but our data is lost
 };
 
-/// Decides for a blank instance. The rules keep a lost disk from costing committed changes: a cluster is
-/// founded only when every founder was seen without one, and a voter that comes back without its files is
-/// refused, because the votes and entries it confirmed are gone with them. It must be removed and come back
-/// under a new number. Thread safety: any thread.
+/// Decides what an instance with a blank data folder does next. The rules prevent that a lost disk loses
+/// committed changes:
+/// - A cluster is created only when every other initial voter was reached and has none.
+/// - A voter that restarts without its files is refused, because the votes and entries that it confirmed are
+///   lost. It must be removed from the cluster and added under a new node id.
+/// Thread safety: any thread.
 [[nodiscard]] bootstrap_action decide_bootstrap(bool is_spare,
                                                 const std::vector<peer_bootstrap_state>& initial_voters);
 
-/// Returns the members that a cluster is founded with: all of the settings that are no spares. Thread safety:
-/// any thread.
+/// Returns the membership that a cluster is created with: every instance of the settings that is not a spare.
+/// Thread safety: any thread.
 [[nodiscard]] raft_membership get_initial_voters(const std::vector<peer_address>& control);
 
 } // namespace poplarpitch
--- a/poplarpitch/control/control_daemon.cpp
+++ b/poplarpitch/control/control_daemon.cpp
@@ -23,8 +23,8 @@
 constexpr duration status_timeout = milliseconds{300};
 constexpr int http_threads = 8; // health checks only
 
-/// Asks the other founders for their status; an answer that did not come is empty. Blank instances answer
-/// too.
+/// Queries the status of the other initial voters. The answer of one that was not reached is empty. Blank
+/// instances answer too.
 std::vector<wire::query_answer> query_initial_voters(const daemon_settings& settings,
                                                      control_client& client) {
     std::vector<wire::query_answer> answers;
@@ -58,10 +58,11 @@
             return peer.is_spare;
         }
     }
-    return true; // not among the initial voters
+    return true; // not listed in the settings, so not an initial voter
 }
 
-/// Waits until the blank instance knows whether it founds or joins. Returns false when it must not start.
+/// Waits until it is decided whether the blank instance creates a cluster or joins one, and writes that to
+/// the data folder. Returns false when the instance must not start.
 bool bootstrap_cluster(const daemon_settings& settings, control_node& node, stop_signal& signal) {
     control_client client(settings.control);
     while (!signal.is_raised()) {
@@ -70,7 +71,7 @@
             log_event(log_level::error, "lost_disk")
                 .add("node", settings.node_id)
                 .add("reason",
-                     "the cluster counts this node as a voter, but its data folder is blank: remove the "
+                     "the cluster lists this node as a voter, but its data folder is blank: remove the "
                      "node and start it again under a new node_id");
             return false;
         }
@@ -92,8 +93,9 @@
     return false;
 }
 
-/// Waits until every founder has written the founding members. Before that none may stand for election: a
-/// commit of the first two would make the third, still blank, look like a voter that lost its disk.
+/// Waits until every other initial voter has written the initial membership. No instance may start an
+/// election before: a commit by the first two would make the third, still blank, look like a voter that lost
+/// its disk.
 void wait_for_initial_voters(const daemon_settings& settings, stop_signal& signal) {
     control_client client(settings.control);
     while (!signal.is_raised()) {
--- a/poplarpitch/control/control_node.cpp
+++ b/poplarpitch/control/control_node.cpp
@@ -81,10 +81,10 @@
     return std::min(next, m_proposals.get_next_due().value_or(next));
 }
 
-// ---- one turn
+// ---- one iteration
 
 void control_node::process_output(raft_output output) {
-    // 1. What must survive is synced before anybody hears of it.
+    // 1. Sync state and entries before any message or answer reveals them.
     if (output.needs_sync()) {
         if (output.state.has_value()) {
             m_hard_state = *output.state;
@@ -94,7 +94,7 @@
             end_process(saved.error());
         }
     }
-    // 2. Send, 3. apply, 4. answer reads, which wait for what was applied.
+    // 2. Send messages, 3. apply committed entries, 4. answer reads, which need the applied entries.
     for (auto& message : output.messages) {
         send(std::move(message));
     }
@@ -182,7 +182,7 @@
             m_proposals.fail_all(m_node->get_leader());
         }
     }
-    // The first own commit says that everything older is applied here too.
+    // An entry of this term is committed, so all entries of earlier terms are committed and applied here too.
     if (!m_are_duties_started && m_node->has_own_commit()) {
         m_duties.start(m_machine, now);
         m_voter_replacer.start(now);
--- a/poplarpitch/control/control_node.h
+++ b/poplarpitch/control/control_node.h
@@ -22,10 +22,10 @@
 
 class peer_link;
 
-/// A control instance's parts on one thread: log, storage, replicated state and the leader's duties. Each
-/// turn takes all that arrived, steps the log, syncs once, then sends, applies and answers. A failed write or
-/// sync ends the process: the state of the disk is not known any more, and an answer that was not given can
-/// be asked for again.
+/// Runs the parts of a control instance on one thread: replicated log, storage, replicated state and the
+/// leader's duties. Each iteration runs all queued tasks, steps the log and syncs once. It then sends
+/// messages, applies committed entries and answers calls. A failed write or sync ends the process, because
+/// the state of the disk is then unknown. Callers may retry calls that were not answered.
 class control_node {
 public:
     control_node(const daemon_settings& daemon, const control_settings& settings);
@@ -35,32 +35,35 @@
 
     /// Opens the data folder. Thread safety: none; called before `run`.
     result<void> open();
-    /// Returns where `open` found an error: file and offset.
+    /// Returns where storage found an error: file and offset.
     [[nodiscard]] const std::string& get_error_place() const { return m_storage.get_error_place(); }
-    /// Returns true while the folder is blank and no cluster is known. Thread safety: as `open`.
+    /// Returns true while the data folder is blank: this instance neither created nor joined a cluster.
+    /// Thread safety: as `open`.
     [[nodiscard]] bool is_blank() const { return m_stored.is_blank; }
-    /// Founds the cluster with these members, or joins one as a spare when they are empty. Thread safety: as
-    /// `open`.
+    /// Writes the initial membership. With empty `members` the instance joins a cluster as a spare. Thread
+    /// safety: as `open`.
     result<void> bootstrap(const raft_membership& members);
 
-    /// Runs until `stop`. Thread safety: one thread, the control thread.
+    /// Runs until `stop`. The calling thread becomes the control thread. Thread safety: called on one thread.
     void run();
     /// Ends `run`. Thread safety: any thread.
     void stop() { m_task_queue.stop(); }
 
-    /// Takes a message of a peer. Thread safety: any thread.
+    /// Queues a message of a peer for the log. Thread safety: any thread.
     void deliver(raft_message message);
-    /// Answers a renewal. Waits. Thread safety: any thread but the control thread, as for all below.
+    /// Opens or renews an entry's session. Blocks until the answer is known. Thread safety: any thread but
+    /// the control thread, as for all methods below.
     wire::renew_answer renew(const wire::renew_request& request);
-    /// Commits a command. Waits.
+    /// Commits a command. Blocks until the outcome is known.
     wire::propose_answer propose(const wire::propose_request& request);
-    /// Commits commands that need no order among them. Waits for all.
+    /// Commits commands whose order does not matter. Blocks until the outcome of all is known.
     wire::propose_batch_answer propose_batch(const wire::propose_batch_request& request);
-    /// Answers a query, linearizable unless it allows a stale answer. Waits.
+    /// Answers a query, linearizable unless the request allows a stale answer. Blocks.
     wire::query_answer query(const wire::query_request& request);
-    /// Changes the membership. Waits until it is in the log, not until it is committed.
+    /// Changes the membership. Blocks until the change is appended to the log, not until it is committed.
     wire::member_answer change_members(const wire::member_request& request);
-    /// Hands leadership on if this node leads; returns when it no longer does, at the latest after a second.
+    /// Transfers leadership if this node leads and is not the only voter. Returns once it no longer leads, or
+    /// after 20 attempts 50 ms apart (a second).
     void resign();
 
 private:
@@ -69,7 +72,7 @@
         std::function<void(const wire::query_answer&)> answer;
     };
 
-    // control thread
+    // Called on the control thread.
     void process_output(raft_output output);
     void apply(const log_entry& entry);
     void install(const raft_snapshot& snapshot);
@@ -87,7 +90,7 @@
     wire::query_answer make_answer(const wire::query_request& request) const;
     [[noreturn]] void end_process(const std::error_code& error);
 
-    /// Posts work that gets a callback, and waits for what the callback is given.
+    /// Runs `work` on the control thread and waits for the answer that `work` passes to its callback.
     template <class Answer>
     Answer call_on_control_thread(std::function<void(std::function<void(const Answer&)>)> work);
 
@@ -110,8 +113,8 @@
     std::map<std::uint64_t, pending_query> m_queries; ///< by read token
     raft_role m_last_role = raft_role::follower;
     log_term m_last_term = 0;
-    bool m_are_duties_started = false; ///< the duties of this term of leadership have begun
-    log_index m_last_duty_index = 0;   ///< last command of the duties; the next turn waits for it
+    bool m_are_duties_started = false; ///< in this term of leadership
+    log_index m_last_duty_index = 0; ///< last command that the duties proposed; they wait until it is applied
     time_point m_next_duty{};
 };
 
--- a/poplarpitch/control/control_node_calls.cpp
+++ b/poplarpitch/control/control_node_calls.cpp
@@ -1,5 +1,5 @@
-// What peers, entries and tools ask of a control instance: their threads post the work and wait for the
-// control thread's answer.
+// Calls of peers, entries and tools to a control instance. The calling thread posts a task and waits for the
+// answer of the control thread.
 #include "poplarpitch/control/control_node.h"
 
 #include "poplarpitch/control/query_answerer.h"
@@ -15,15 +15,16 @@
 namespace poplarpitch {
 namespace {
 
-/// The commands of one batch; touched by the control thread alone once it is posted.
+/// The commands of one batch. Only the control thread accesses it once it is posted.
 struct pending_batch {
     std::vector<std::string> payloads;
-    std::vector<bool> are_events; ///< by index: their senders want no whole record back
+    std::vector<bool> are_events; ///< by command: senders of events do not need the whole job record
     proposal_urgency urgency = proposal_urgency::deferrable;
     std::size_t remaining = 0; ///< commands without an answer yet
     wire::propose_batch_answer answer;
 
-    /// Takes one answer. Of an event's job only what the entry counts by is sent back.
+    /// Records the answer to one command. The answer to an event keeps only the tenant and batch class of its
+    /// job record, which the entry counts by.
     void record(std::size_t index, const wire::propose_answer& command_answer) {
         auto& recorded = *answer.mutable_answers(static_cast<int>(index));
         recorded = command_answer;
@@ -39,14 +40,14 @@
 
 } // namespace
 
-// ---- calls, on the control thread
+// ---- on the control thread
 
 void control_node::start_renewal(const wire::renew_request& request,
                                  const std::function<void(const wire::renew_answer&)>& answer) {
     const auto now = m_clock.now();
     wire::renew_answer refusal;
     refusal.set_leader(m_node->get_leader());
-    // A grant needs proof that no other leader can have been elected: the leader lease.
+    // A renewal may be granted only under the leader lease, which proves that no other leader was elected.
     if (!m_are_duties_started || !m_node->has_lease(now)) {
         answer(refusal);
         return;
@@ -74,7 +75,7 @@
     const auto on_proposed = [this, request, answer](const wire::propose_answer& proposed) {
         wire::renew_answer first;
         first.set_leader(m_node->get_leader());
-        // The renewal itself is granted with the next call, under a lease checked then.
+        // This call only opens the session. The next call grants the renewal and checks the leader lease.
         if (proposed.committed()) {
             log_event(log_level::info, "session_opened").add("entry", request.entry());
             first.set_leader(m_daemon.node_id);
@@ -157,7 +158,7 @@
     return answer;
 }
 
-// ---- calls, on other threads
+// ---- on other threads
 
 void control_node::deliver(raft_message message) {
     m_task_queue.post([this, message = std::move(message)] {
@@ -172,7 +173,7 @@
     const auto slot = std::make_shared<answer_slot<Answer>>();
     const bool is_posted = m_task_queue.post(
         [work = std::move(work), slot] { work([slot](const Answer& answer) { slot->give(answer); }); });
-    constexpr duration max_wait = seconds{10}; // callers have shorter deadlines of their own
+    constexpr duration max_wait = seconds{10}; // longer than the callers' own deadlines
     return is_posted ? slot->wait_for(max_wait).value_or(Answer{}) : Answer{};
 }
 
@@ -233,7 +234,7 @@
                 m_node->get_role() == raft_role::leader && m_node->get_membership().voters.size() > 1;
             if (can_transfer) {
                 static_cast<void>(
-                    m_node->transfer_leadership(0, m_clock.now())); // refused while one is under way
+                    m_node->transfer_leadership(0, m_clock.now())); // fails while a transfer is in progress
             }
             answer(can_transfer);
         });
--- a/poplarpitch/control/control_task_queue.h
+++ b/poplarpitch/control/control_task_queue.h
@@ -9,18 +9,18 @@
 
 namespace poplarpitch {
 
-/// The mailbox of the control thread: other threads post work, one thread runs it. Everything that arrived
-/// while the last batch ran is taken together, which is what makes group commit work. Thread safety: any
-/// thread for `post` and `stop`; `take` is for the one control thread.
+/// Queue of tasks for the control thread. Other threads post tasks; the control thread runs them. It takes
+/// all tasks that arrived during its last iteration at once, so that one sync commits them as a group. Thread
+/// safety: any thread for `post` and `stop`; only the control thread may call `take`.
 class control_task_queue {
 public:
     using task = std::function<void()>;
 
-    /// Queues work. Returns false when the loop was stopped; then the work is dropped.
+    /// Queues a task. Returns false and drops the task when the queue was stopped.
     bool post(task work);
-    /// Waits for work, at most for `limit`, and takes all of it.
+    /// Waits until a task is queued, for `limit` at most, and takes all queued tasks.
     std::vector<task> take(duration limit);
-    /// Makes `take` return at once from now on.
+    /// Rejects further tasks and makes `take` return without waiting.
     void stop();
     [[nodiscard]] bool is_stopped();
 
--- a/poplarpitch/control/data_folder_restorer.cpp
+++ b/poplarpitch/control/data_folder_restorer.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr int failed_code = 1;
-constexpr log_term first_term = 1; // the first election of the new cluster goes above it
+constexpr log_term first_term = 1; // the first election of the new cluster uses a higher term
 
-/// Returns false when the folder holds something already.
+/// Writes the restored state as a snapshot. Returns false when the data folder is not blank.
 result<bool> write_folder(const daemon_settings& settings, const restored_state& restored) {
     posix_file_system files(settings.data_folder);
     raft_storage<posix_file_system> storage(files, {settings.cluster, settings.node_id});
@@ -39,11 +39,12 @@
         return failed_code;
     };
     if (!get_initial_voters(settings.control).is_voter(settings.node_id)) {
-        return refuse("this node is no founder in its settings: restore the founders, then add it");
+        return refuse("this node is not an initial voter in its settings: restore the initial voters, then "
+                      "add it");
     }
     const auto restored = restore_snapshot(read_text_file(backup_file).value_or(""), get_wall_ms());
     if (!restored.has_value()) {
-        return refuse("the file cannot be read or is no backup");
+        return refuse("the file cannot be read or is not a backup");
     }
     const auto written = write_folder(settings, *restored);
     if (!written) {
--- a/poplarpitch/control/job_scheduler.cpp
+++ b/poplarpitch/control/job_scheduler.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr int max_failed_placements =
-    8; // jobs of one tenant that find no room before it waits for the next turn
+    8; // after this many a tenant's queue is skipped for the rest of the run
 
-/// Returns true when the tenant may have this job running on top of what it has.
+/// Returns true when the tenant's active jobs and this one together stay within its quota.
 bool is_within_quota(const tenant_settings& tenant, const tenant_usage& usage, const resources& need) {
     const bool has_cores =
         tenant.millicores == 0 || usage.active_millicores + need.millicores <= tenant.millicores;
@@ -28,14 +28,15 @@
 
 } // namespace
 
-/// A tenant's queue in one turn of the scheduler. Records are read one at a time: most are never reached.
+/// A tenant's queued jobs in one run of the scheduler. Records are unpacked one at a time, because most are
+/// never reached.
 struct job_scheduler::tenant_queue {
     std::string name;
     tenant_settings settings;
     tenant_usage usage;
-    std::vector<const packed_job*> jobs; ///< in order, as many as may be looked at
+    std::vector<const packed_job*> jobs; ///< in order; bounded per run
     std::size_t next = 0;
-    std::optional<wire::job> head; ///< the record of `next`; none when the turn is over
+    std::optional<wire::job> head; ///< the record of `next`; empty at the end of the queue
     int failed_placements = 0;
 
     [[nodiscard]] bool is_exhausted() const {
@@ -46,7 +47,7 @@
         return static_cast<double>(usage.active_millicores) / settings.weight;
     }
 
-    /// Returns the head and reads the next one. Precondition: the turn is not over.
+    /// Returns the head and reads the next one. Precondition: the queue is not exhausted.
     wire::job pop_head() {
         auto job = std::move(*head);
         ++next;
@@ -67,7 +68,7 @@
     for (const auto& batch : settings.batches) {
         m_interference.set_prior(m_batches.get(batch.name), batch.noise);
     }
-    // Entries see different requests: their estimates are averaged by the evidence behind them.
+    // Each entry sees only some of the requests: their estimates are averaged, weighted by the evidence.
     struct weighted_sum {
         double weighted = 0;
         double weight = 0;
@@ -193,7 +194,7 @@
     const cost_placer placer(state.get_configs().get_configuration()->objective);
     const auto picked = pick_or_probe(placer, m_candidates, request, m_interference, m_probes, now);
     if (!picked.has_value()) {
-        if (job.failed_workers().empty()) { // else others may still find room where this one must not go
+        if (job.failed_workers().empty()) { // else other jobs may fit on the workers this one must avoid
             m_unplaceable.push_back({request.need, request.batch, request.is_urgent});
         }
         return false;
@@ -215,7 +216,7 @@
 void job_scheduler::evict_for(const wire::job& urgent, const state_machine& state, time_point now,
                               std::vector<wire::command>& commands) {
     if (!m_eviction_budget.has_any(now)) {
-        return; // before the search, which reads every running task
+        return; // avoids the search below, which reads every running task
     }
     const auto need = make_request(urgent).need;
     std::optional<wire::job> victim;
@@ -230,7 +231,7 @@
             if (job.urgent() || is_ending || !is_enough || job.state() != wire::job_running) {
                 return;
             }
-            // The one that started last has the least to lose.
+            // The job that started last loses the least work.
             if (!victim.has_value() || job.started_ms() > victim->started_ms()) {
                 victim = job;
             }
--- a/poplarpitch/control/job_scheduler.h
+++ b/poplarpitch/control/job_scheduler.h
@@ -20,22 +20,23 @@
 struct configuration;
 struct tenant_usage;
 
-/// Places queued jobs: the tenant that holds least of its weighted share goes first, its urgent jobs before
-/// the rest, within quotas; the worker is picked by `cost_placer`. An urgent job that fits nowhere has one
-/// ordinary job moved out of its way, within a budget. Nothing is decided for good here: the owner's ledger
-/// may still refuse. Thread safety: none, as for all methods.
+/// Places queued jobs within the tenants' quotas. Urgent jobs come first; among equals, the tenant with the
+/// lowest usage for its weight comes first. `cost_placer` picks the worker. For an urgent job that fits
+/// nowhere one ordinary job is evicted, within a budget. A placement is not final: the ledger of the owner
+/// may still refuse it. Thread safety: none, as for all methods.
 class job_scheduler {
 public:
-    /// Takes a finished task's usage, to size later ones.
+    /// Adds the measured usage of a finished task to the model that sizes later reservations.
     void add_usage(const wire::usage_sample& sample);
-    /// Returns at most `limit` commands that are due.
+    /// Places jobs and returns the commands for it, at most `limit`.
     std::vector<wire::command> run(const state_machine& state, const session_registry& sessions,
                                    std::size_t limit, time_point now, std::int64_t wall_ms);
 
 private:
     struct tenant_queue;
 
-    /// A need that found no room in this turn. Room only shrinks within a turn, so neither does one as large.
+    /// A need for which no worker had room in this run. Free capacity only shrinks during a run, so a need at
+    /// least as large cannot be placed either.
     struct unplaceable_need {
         resources need;
         std::uint32_t batch = 0; ///< dense number of the batch class
@@ -46,7 +47,8 @@
     void build_candidates(const state_machine& state, const session_registry& sessions);
     void update_interference(const configuration& settings, const session_registry& sessions);
     [[nodiscard]] static std::vector<tenant_queue> make_tenant_queues(const state_machine& state);
-    /// Fills in what differs from job to job: spread and past failures.
+    /// Sets the fields of the candidates that depend on the job: tasks of its tenant per rack, and workers on
+    /// which it failed.
     void update_candidates(const wire::job& job);
     [[nodiscard]] bool is_known_unplaceable(const placement_request& request) const;
     bool place(const wire::job& job, const state_machine& state, time_point now,
@@ -64,9 +66,9 @@
     eviction_budget m_eviction_budget;
     probe_timer m_probes;
     std::vector<placement_candidate> m_candidates;
-    std::vector<std::string> m_candidate_ids;         ///< worker of each candidate
-    std::vector<std::vector<std::uint16_t>> m_spread; ///< active tasks by tenant, then rack
-    std::vector<unplaceable_need> m_unplaceable;      ///< of this turn
+    std::vector<std::string> m_candidate_ids;         ///< worker id of each candidate, sorted
+    std::vector<std::vector<std::uint16_t>> m_spread; ///< number of active tasks by tenant, then rack
+    std::vector<unplaceable_need> m_unplaceable;      ///< of the current run
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/control/leader_duties.cpp
+++ b/poplarpitch/control/leader_duties.cpp
@@ -7,7 +7,7 @@
 
 constexpr duration expiry_interval = seconds{30};
 
-/// Returns how long a session must have been silent before its workers are given away.
+/// Returns how long a session may go without a renewal before its workers are assigned to other entries.
 duration get_session_timeout(const state_machine& state) {
     const auto& system = state.get_configs().get_configuration()->system;
     return system.session_lease + system.drift_margin;
@@ -31,7 +31,7 @@
 std::vector<wire::command> leader_duties::run(const state_machine& state, std::size_t max_assignments,
                                               time_point now, std::int64_t wall_ms) {
     std::vector<wire::command> commands;
-    // 1. Sessions: one that the state no longer knows is forgotten, one that is silent is closed.
+    // 1. Expired sessions: closes those in the replicated state, forgets those that are not in it any more.
     for (auto& expired : m_sessions.get_expired(now)) {
         const auto* session = state.get_fleet().find_session(expired.entry());
         if (session == nullptr || session->incarnation() != expired.incarnation()) {
@@ -42,7 +42,7 @@
         *command.mutable_close() = std::move(expired);
         commands.push_back(std::move(command));
     }
-    // 2. Workers, 3. lost leases, 4. queued jobs, 5. old records.
+    // 2. Owners of workers, 3. leases of lost attempts, 4. queued jobs, 5. old records.
     const auto append = [&](std::vector<wire::command> more) {
         for (auto& command : more) {
             commands.push_back(std::move(command));
--- a/poplarpitch/control/leader_duties.h
+++ b/poplarpitch/control/leader_duties.h
@@ -13,16 +13,17 @@
 
 class state_machine;
 
-/// Everything the leader does on its own: expires sessions, gives out workers, places jobs, ends lost leases,
-/// forgets old records. Pure: replicated state, reports and time in, commands out; so a test can stop it at
-/// any step. Thread safety: none, as for all methods.
+/// The periodic work of the leader: expires sessions, assigns workers to entries, ends the leases of lost
+/// attempts, places jobs and expires old records. It does no I/O: it gets replicated state, reports and the
+/// time, and returns commands, so a test can stop it at any step. Thread safety: none, as for all methods.
 class leader_duties {
 public:
     /// Starts a term of leadership.
     void start(const state_machine& state, time_point now);
-    /// Takes a renewal.
+    /// Records the renewal of a session and the usage samples that came with it.
     void renew(const state_machine& state, const wire::renew_request& request, time_point now);
-    /// Returns the commands that are due. Precondition: those of the last call are applied or dropped.
+    /// Returns the commands that are due. Precondition: the commands of the last call were applied or
+    /// dropped.
     std::vector<wire::command> run(const state_machine& state, std::size_t max_assignments, time_point now,
                                    std::int64_t wall_ms);
 
--- a/poplarpitch/control/owner_assigner.cpp
+++ b/poplarpitch/control/owner_assigner.cpp
@@ -7,9 +7,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_assignments = 200;               // in one turn
-constexpr std::size_t min_imbalance = 2;                   // a difference of one is as equal as it gets
-constexpr duration rebalance_interval = milliseconds{300}; // a worker is unused for about one announcement
+constexpr std::size_t max_assignments = 200; // in one run
+constexpr std::size_t min_imbalance = 2;     // a difference of one cannot be evened out
+constexpr duration rebalance_interval =
+    milliseconds{300}; // a moved worker is unused for about one announcement
 
 wire::command make_assign_command(const wire::worker& worker, const std::string& owner) {
     wire::command command;
@@ -67,7 +68,7 @@
         }
         assign(id);
     }
-    // An entry that drains hands its workers on while it still answers for them.
+    // The workers of a draining entry are reassigned while its session is still open.
     for (const auto& [entry, session] : fleet.get_sessions()) {
         if (!session.draining()) {
             continue;
@@ -97,7 +98,7 @@
     if (most->second < least->second + min_imbalance) {
         return;
     }
-    // Only a worker that stands in no better place where it is may move.
+    // Moves no worker away from an entry in the worker's own data centre to an entry of another one.
     const auto& to_data_centre = fleet.find_session(least->first)->data_centre();
     const auto& from_data_centre = fleet.find_session(most->first)->data_centre();
     for (const auto& id : fleet.get_owned(most->first)) {
--- a/poplarpitch/control/owner_assigner.h
+++ b/poplarpitch/control/owner_assigner.h
@@ -11,17 +11,17 @@
 
 class fleet_table;
 
-/// Gives workers to entries: free ones at once, to the entry of the same data centre with the fewest, and
-/// from the entry with the most to the one with the fewest one at a time, so that an entry that joins takes
-/// over gradually and at no moment more than a few workers wait for their first complete report. Thread
-/// safety: none, as for all methods.
+/// Assigns workers to entries. A worker without an owner is assigned at once: to the entry with the fewest
+/// workers, one in the worker's data centre if there is any. Otherwise it moves one worker at a time from the
+/// entry with the most to the entry with the fewest. An entry that joins thus takes over gradually, and only
+/// a few workers at a time wait for their first complete report. Thread safety: none, as for all methods.
 class owner_assigner {
 public:
-    /// Returns the changes of owner that are due.
+    /// Returns the commands for the changes of owner that are due.
     std::vector<wire::command> run(const fleet_table& fleet, time_point now);
 
 private:
-    using owned_counts = std::map<std::string, std::size_t>; ///< by entry that may get workers
+    using owned_counts = std::map<std::string, std::size_t>; ///< by entry; without draining entries
 
     [[nodiscard]] static owned_counts count_owned(const fleet_table& fleet);
     [[nodiscard]] static std::string pick_owner(const fleet_table& fleet, const wire::worker& worker,
--- a/poplarpitch/control/proposal_queue.cpp
+++ b/poplarpitch/control/proposal_queue.cpp
@@ -36,7 +36,7 @@
         answer.set_committed(true);
         *answer.mutable_outcome() = std::move(outcome);
     } else {
-        answer.set_unknown(true); // another leader's entry took its place
+        answer.set_unknown(true); // another leader's entry is at this index
     }
     answer.set_leader(leader);
     const auto notify = std::move(found->second.answer);
--- a/poplarpitch/control/proposal_queue.h
+++ b/poplarpitch/control/proposal_queue.h
@@ -15,7 +15,7 @@
 
 namespace poplarpitch {
 
-/// What the queue needs of the replicated log.
+/// The interface of the replicated log that the queue uses.
 template <class T>
 concept proposal_log = requires(T& log, std::string payload, time_point now) {
     { log.propose(std::move(payload), now) } -> std::same_as<result<log_index>>;
@@ -23,37 +23,41 @@
     { log.get_leader() } -> std::convertible_to<node_id>;
 };
 
-/// How soon a command must get into the log.
+/// How soon a command must be appended to the log.
 enum class proposal_urgency : std::uint8_t {
     immediate,  ///< a request or a lease waits for it
-    deferrable, ///< of jobs: it may wait for others, so that they share an append, a sync and its messages
+    deferrable, ///< a job command: may be delayed to share an append, a sync and the messages with others
 };
 
-/// Returns how soon a command must get into the log. Thread safety: any thread.
+/// Returns the urgency of a command: those of jobs are deferrable. Thread safety: any thread.
 [[nodiscard]] proposal_urgency get_urgency(const wire::command& command);
 
-/// Commands on their way through the log, and who waits for them. A command that may wait goes in at once
-/// when the last append is old enough; else it waits for the rest of `interval`, or for one that is urgent.
-/// So an idle log adds nothing to a command's time, and a busy one appends at most once an interval for all
-/// jobs. Thread safety: none, as for all methods; the control thread owns it.
+/// Commands that are not applied yet, with the callbacks for their answers. A deferrable command is appended
+/// at once when the last append is at least `interval` ago. Otherwise it waits for the rest of the interval
+/// or for an immediate command. An idle log thus adds no latency to a command, and a busy log appends
+/// deferrable commands at most once per interval. Thread safety: none, as for all methods; the control thread
+/// owns it.
 class proposal_queue {
 public:
     using callback = std::function<void(const wire::propose_answer&)>;
 
-    /// `interval`: least time between two appends of commands that may wait.
+    /// `interval`: least time between two appends of deferrable commands.
     explicit proposal_queue(duration interval) : m_interval(interval) {}
 
-    /// Takes a command's bytes; `answer` is called once, now or later.
+    /// Queues a serialized command. `answer` is called once, by a later call of one of the methods below.
     void add(std::string payload, proposal_urgency urgency, callback answer);
-    /// Puts into the log what is due. What the log refuses is answered with its refusal.
+    /// Appends the queued commands to the log when they are due. A command that the log refuses is answered
+    /// with the log's error.
     template <proposal_log Log>
     void propose_due(Log& log, time_point now);
-    /// Returns when `propose_due` has something to do, or nothing while nothing waits.
+    /// Returns when the queued commands are due, or nothing while none is queued.
     [[nodiscard]] std::optional<time_point> get_next_due() const;
 
-    /// Answers whoever waits for a log entry. `outcome` is what applying it did.
+    /// Answers the command that was proposed at the entry's index, if any. `outcome` is the result of
+    /// applying the entry. A command whose index holds an entry of another term is answered as unknown.
     void on_applied(const log_entry& entry, wire::command_result&& outcome, node_id leader);
-    /// Answers everybody: what is in the log may or may not be committed, what was not put there is not.
+    /// Answers all commands after a loss of leadership or at a stop. Those in the log are answered as
+    /// unknown, since they may still be committed; those still queued are answered as not committed.
     void fail_all(node_id leader);
 
 private:
@@ -62,13 +66,13 @@
         callback answer;
     };
     struct proposed_command {
-        log_term term = 0; ///< under which it was put into the log
+        log_term term = 0; ///< in which it was appended
         callback answer;
     };
 
     duration m_interval;
     std::vector<queued_command> m_waiting;
-    bool m_has_immediate = false; ///< one of the waiting cannot wait
+    bool m_has_immediate = false; ///< an immediate command is among `m_waiting`
     time_point m_next_append{};
     std::map<log_index, proposed_command> m_proposed;
 };
