--- a/poplarpitch/transport/channel_factory.cpp
+++ b/poplarpitch/transport/channel_factory.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int initial_backoff_ms = 100;
-constexpr int max_backoff_ms = 400; // an election takes about as long: no use in waiting longer
+constexpr int max_backoff_ms = 400; // an election takes about as long, so a longer delay gains nothing
 constexpr int max_message_bytes = 64 << 20;
 
 } // namespace
--- a/poplarpitch/transport/channel_factory.h
+++ b/poplarpitch/transport/channel_factory.h
@@ -9,8 +9,8 @@
 
 namespace poplarpitch {
 
-/// Makes a gRPC channel on a connection of its own: a pooled subchannel could be the very one that has gone
-/// silent. Thread safety: any thread.
+/// Makes a gRPC channel with a connection of its own. gRPC's shared subchannel pool is not used, because it
+/// could return the connection that no longer delivers data. Thread safety: any thread.
 [[nodiscard]] std::shared_ptr<grpc::Channel> make_fresh_channel(const std::string& address);
 
 } // namespace poplarpitch
--- a/poplarpitch/transport/connection_headers.h
+++ b/poplarpitch/transport/connection_headers.h
@@ -4,10 +4,10 @@
 
 namespace poplarpitch {
 
-/// Returns true for headers that say something of one connection or of how a body is framed on it (RFC 9110,
-/// 7.6.1), and for those that cpp-httplib makes up for its handlers: none of them may be passed on. A framing
-/// header that went along with a body framed anew would make the target read another body than was sent. Case
-/// does not matter. Thread safety: any thread.
+/// Returns true for hop-by-hop headers, which concern one connection or the framing of a body on it (RFC
+/// 9110, 7.6.1), and for the pseudo-headers that cpp-httplib adds for its handlers. None of them may be
+/// forwarded: the body is framed again on the next connection, and with the old framing headers the target
+/// would read another body than was sent. Case-insensitive. Thread safety: any thread.
 [[nodiscard]] bool is_connection_header(std::string_view name);
 
 } // namespace poplarpitch
--- a/poplarpitch/transport/control_client.cpp
+++ b/poplarpitch/transport/control_client.cpp
@@ -15,12 +15,12 @@
 
 constexpr duration retry_interval = milliseconds{40};
 constexpr duration call_attempt_timeout =
-    milliseconds{700}; // then another instance is asked, on a fresh connection
+    milliseconds{700}; // then retries at another instance on a fresh connection
 constexpr duration renew_attempt_timeout = milliseconds{400};
 
 using control_stub = wire::control_service::Stub;
 
-/// The ways in which the answers say that they come from the leader.
+/// Return true when the answer comes from the leader. Each kind of answer shows that in fields of its own.
 bool is_from_leader(const wire::propose_answer& answer) {
     return answer.committed() || answer.unknown();
 }
@@ -41,7 +41,8 @@
     return answer.done() || !answer.refusal().empty();
 }
 
-/// Waits until a call can be sent; false: there is no connection, so that a call would surely not leave.
+/// Waits until the channel is connected. Returns false when there is no connection: a call would certainly
+/// not be sent.
 bool connect(grpc::Channel& channel, std::chrono::system_clock::time_point deadline) {
     auto state = channel.GetState(true);
     while (state == GRPC_CHANNEL_IDLE || state == GRPC_CHANNEL_CONNECTING) {
@@ -130,7 +131,7 @@
             }
             continue;
         }
-        // The connection may be silent for good: whatever the peer's state, the next try opens a fresh one.
+        // The connection may be dead without an error, so the next attempt opens a fresh one in any case.
         is_maybe_executed = is_maybe_executed || is_connected;
         drop_link(index, used);
         update_leader(index, 0);
@@ -160,7 +161,8 @@
         if (answer.value().committed()) {
             return std::move(*answer.value().mutable_outcome());
         }
-        // The leader lost its place with the command in its log; asking again finds out what became of it.
+        // The instance lost its leadership with the command in its log. A retry finds out whether it
+        // committed.
         is_maybe_committed = true;
         if (clock.now() >= deadline) {
             return make_error_code(transport_errc::timed_out);
@@ -184,7 +186,7 @@
     outcomes.reserve(commands.size());
     for (auto& command_answer : *answer.value().mutable_answers()) {
         if (!command_answer.committed()) {
-            return make_error_code(transport_errc::timed_out); // its leader lost its place: asked again later
+            return make_error_code(transport_errc::timed_out); // leadership was lost: the outcome is unknown
         }
         outcomes.push_back(std::move(*command_answer.mutable_outcome()));
     }
--- a/poplarpitch/transport/control_handler.h
+++ b/poplarpitch/transport/control_handler.h
@@ -7,8 +7,8 @@
 
 namespace poplarpitch {
 
-/// What a control instance does with what comes in from own processes. Each is called on many threads at once
-/// and may wait.
+/// Handlers for the messages and calls that a control instance receives from peers, entries and tools. Each
+/// is called on many threads concurrently and may block.
 struct control_handler {
     std::function<void(raft_message)> on_message;
     std::function<wire::renew_answer(const wire::renew_request&)> on_renew;
--- a/poplarpitch/transport/control_server.cpp
+++ b/poplarpitch/transport/control_server.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr int max_message_bytes = 64 << 20;
-constexpr int min_pollers = 4; // fewer, and the library starts a thread for nearly every call
+constexpr int min_pollers = 4; // with fewer, gRPC starts a thread for nearly every call
 constexpr int max_pollers = 8;
 constexpr int max_threads = 256;
 
--- a/poplarpitch/transport/growing_task_queue.h
+++ b/poplarpitch/transport/growing_task_queue.h
@@ -9,8 +9,9 @@
 
 namespace poplarpitch {
 
-/// Threads for a server that holds one thread for each open connection: started when needed up to a bound, so
-/// that an idle process does not pay for the bound's stacks. Thread safety: any thread, for all methods.
+/// Thread pool for a server that occupies one thread for each open connection. Threads are started on demand
+/// up to a maximum, so that an idle process does not hold the stacks of all of them. Thread safety: any
+/// thread, for all methods.
 class growing_task_queue {
 public:
     /// Precondition: `max_threads` is positive.
@@ -19,9 +20,9 @@
     growing_task_queue(const growing_task_queue&) = delete;
     growing_task_queue& operator=(const growing_task_queue&) = delete;
 
-    /// Runs `task` on an idle thread, on a new one while there is room, else once a thread is free.
+    /// Queues `task`. Starts another thread for it when too few are idle and the maximum is not reached.
     void run(std::function<void()> task);
-    /// Lets what was taken end, and joins the threads.
+    /// Runs all queued tasks to their end and joins the threads.
     void finish();
 
 private:
--- a/poplarpitch/transport/http_cancel.h
+++ b/poplarpitch/transport/http_cancel.h
@@ -6,17 +6,19 @@
 
 namespace poplarpitch {
 
-/// Lets another thread break off an exchange that waits for its answer. What was sent may run on; the waiting
-/// call returns at once without an answer. Thread safety: any thread, for all methods.
+/// Cancellation token of an HTTP exchange. Another thread can cancel the exchange while it waits for its
+/// answer: the waiting call then returns at once without one. The peer may still process what was sent.
+/// Thread safety: any thread, for all methods.
 class http_cancel {
 public:
-    /// Breaks the exchange off, or keeps it from beginning.
+    /// Cancels the exchange, or prevents it from starting.
     void cancel();
     [[nodiscard]] bool is_cancelled() const;
 
-    /// Called by the pool around an exchange: `stop` ends it. Returns false when it is cancelled already.
+    /// Called by the pool before an exchange, with the function that stops it. Returns false when the
+    /// exchange is cancelled already.
     bool attach(std::function<void()> stop);
-    /// Called by the pool when the exchange is over; after it `stop` is not called any more.
+    /// Called by the pool after the exchange. From then on `stop` is not called any more.
     void detach();
 
 private:
--- a/poplarpitch/transport/http_client_pool.cpp
+++ b/poplarpitch/transport/http_client_pool.cpp
@@ -32,7 +32,7 @@
         client.set_keep_alive(true);
         client.set_tcp_nodelay(true);
         client.set_follow_location(false);
-        client.set_decompress(false); // bodies are relayed as they are
+        client.set_decompress(false); // bodies are forwarded unchanged
     }
 
     httplib::Client client;
@@ -44,7 +44,7 @@
 
 std::unique_ptr<http_client_pool::connection>
 http_client_pool::take(const std::string& address, connection_choice choice, time_point now) {
-    std::vector<std::unique_ptr<connection>> stale; // closed outside the lock
+    std::vector<std::unique_ptr<connection>> stale; // declared before the lock, so closed after its release
     if (choice != connection_choice::fresh) {
         const auto max_age =
             choice == connection_choice::known_alive ? m_settings.alive_window : m_settings.max_idle_age;
@@ -58,7 +58,7 @@
             }
             stale.push_back(std::move(newest));
             if (choice == connection_choice::pooled) {
-                // The newest is too old, so all are.
+                // The connection used last is too old, so all others are too.
                 std::move(idle.begin(), idle.end(), std::back_inserter(stale));
                 idle.clear();
             }
@@ -121,8 +121,8 @@
     outgoing.headers.emplace("Content-Type",
                              content_type.empty() ? "application/octet-stream" : content_type);
 
-    // The library's read timeout counts from byte to byte; the deadline and the size are checked on each
-    // piece.
+    // The read timeout of cpp-httplib applies to each read alone, so the deadline and the size are checked on
+    // each chunk.
     bool is_too_large = false;
     std::string body;
     outgoing.content_receiver = [&](const char* data, std::size_t length, std::uint64_t, std::uint64_t) {
@@ -148,7 +148,7 @@
         if (is_too_large) {
             exchange.error = transport_errc::too_large;
         }
-        return exchange; // `used` is closed: nothing late on it can be taken for another answer
+        return exchange; // closes `used`, so a late answer on it cannot be returned for another request
     }
     exchange.response.status = answer->status;
     exchange.response.body = std::move(body);
--- a/poplarpitch/transport/http_client_pool.h
+++ b/poplarpitch/transport/http_client_pool.h
@@ -16,27 +16,28 @@
 
 class http_cancel;
 
-/// Bounds of the pooled connections.
+/// Timeouts and bounds of the pooled connections.
 struct http_client_settings {
-    duration max_idle_age = seconds{3}; ///< an idle connection is closed after this; below the peers' 5 s
+    duration max_idle_age =
+        seconds{3}; ///< older idle connections are closed; below the peers' keep-alive of 5 s
     duration alive_window = milliseconds{500};    ///< a connection that answered within it counts as alive
-    duration connect_timeout = milliseconds{500}; ///< a SYN lost once is sent again after 1 s: give up before
-    std::size_t max_idle = 64;                    ///< idle connections kept for each peer
-    std::int64_t max_body = 8LL << 20;            ///< bytes of the largest answer
+    duration connect_timeout = milliseconds{500}; ///< below 1 s, after which a lost SYN is retransmitted
+    std::size_t max_idle = 64;                    ///< idle connections kept per peer address
+    std::int64_t max_body = 8LL << 20;            ///< bytes of the largest answer body
 
     friend auto operator<=>(const http_client_settings&, const http_client_settings&) = default;
 };
 
-/// Whether a request may travel on a connection that might have died silently.
+/// Which connection a request may use. An idle connection may be dead without an error.
 enum class connection_choice : std::uint8_t {
-    pooled,      ///< any idle one: a retry is possible
-    known_alive, ///< one that answered within the window, or a fresh one: the request can be sent only once
-    fresh,       ///< a new one: pooled ones have just proved silent
+    pooled,      ///< any idle connection: the request can be retried
+    known_alive, ///< one that answered within `alive_window`, or a new one: the request can be sent only once
+    fresh,       ///< a new connection: pooled ones have just failed to answer
 };
 
-/// HTTP connections to targets and other entries. Each exchange has a connection to itself and one that
-/// failed or was late is closed, so an answer can never reach another request's caller. Thread safety: any
-/// thread, for all methods.
+/// Pool of HTTP connections to targets and other entries. Each exchange uses a connection exclusively. A
+/// connection that failed or timed out is closed, so an answer can never be returned for another request.
+/// Thread safety: any thread, for all methods.
 class http_client_pool {
 public:
     explicit http_client_pool(const http_client_settings& settings);
@@ -45,10 +46,10 @@
     http_client_pool& operator=(const http_client_pool&) = delete;
 
     /// Sends `request` to `address` (host:port) and waits for the whole answer, at most until `deadline`.
-    /// With `cancel` another thread may break the exchange off.
+    /// Another thread may cancel the exchange through `cancel`, which may be null.
     http_exchange send(const std::string& address, const http_request& request, time_point deadline,
                        connection_choice choice, http_cancel* cancel = nullptr);
-    /// Closes all idle connections to `address`: the peer was silent, so they may be dead.
+    /// Closes all idle connections to `address`. Called when the peer did not answer, as they may be dead.
     void drop(const std::string& address);
 
 private:
--- a/poplarpitch/transport/http_exchange.h
+++ b/poplarpitch/transport/http_exchange.h
@@ -7,17 +7,17 @@
 
 namespace poplarpitch {
 
-/// How far a request got.
+/// How far a request got, which says whether the peer may have processed it.
 enum class exchange_progress : std::uint8_t {
-    not_sent,   ///< no byte left this process: it surely did not run
-    maybe_sent, ///< it may have run
-    answered,   ///< the answer is whole
+    not_sent,   ///< nothing was sent: the peer certainly did not process it
+    maybe_sent, ///< the peer may have processed it
+    answered,   ///< the answer was received completely
 };
 
-/// What became of a request to a peer.
+/// The outcome of a request to a peer.
 struct http_exchange {
     exchange_progress progress = exchange_progress::not_sent;
-    std::error_code error; ///< of transport, when not answered
+    std::error_code error; ///< a `transport_errc`, when not answered
     http_response response;
 
     friend bool operator==(const http_exchange&, const http_exchange&) = default;
--- a/poplarpitch/transport/http_server.cpp
+++ b/poplarpitch/transport/http_server.cpp
@@ -13,9 +13,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int listen_backlog = 4096; // the library's own is 5, which delays bursts of connects by a second
+constexpr int listen_backlog = 4096; // cpp-httplib uses 5, which delays bursts of connects by a second
 
-/// Gives the library's task interface our threads.
+/// Adapts `growing_task_queue` to the task queue interface of cpp-httplib.
 class connection_task_queue final : public httplib::TaskQueue {
 public:
     explicit connection_task_queue(int max_threads) : m_threads(max_threads) {}
@@ -79,7 +79,7 @@
     const int threads = settings.max_connections;
     server.new_task_queue = [threads] {
         return new connection_task_queue(threads);
-    }; // the library deletes it
+    }; // cpp-httplib deletes it
     server.set_tcp_nodelay(true);
     server.set_payload_max_length(static_cast<std::size_t>(settings.max_body));
     server.set_keep_alive_timeout(std::chrono::duration_cast<seconds>(settings.keep_alive).count());
--- a/poplarpitch/transport/http_server.h
+++ b/poplarpitch/transport/http_server.h
@@ -10,21 +10,22 @@
 
 namespace poplarpitch {
 
-/// An HTTP/1.1 server on cpp-httplib that hands every request, whole, to one function.
+/// An HTTP/1.1 server based on cpp-httplib. It passes every request, once received completely, to one
+/// handler.
 class http_server {
 public:
     using handler = std::function<http_response(const http_request&)>;
 
-    /// `handle` is called on many threads at once.
+    /// `handle` is called on many threads concurrently.
     http_server(const http_server_settings& settings, handler handle);
     ~http_server();
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
-    /// Binds, and serves on threads of its own. Returns the port. Precondition: called once. Thread safety:
-    /// none.
+    /// Binds the address and serves requests on threads of its own. Returns the port. Precondition: called
+    /// once. Thread safety: none.
     result<int> start();
-    /// Stops accepting, lets requests in flight end, closes. Thread safety: any thread.
+    /// Stops accepting, waits for requests in progress and closes all connections. Thread safety: any thread.
     void stop();
     /// Returns the number of requests being handled. Thread safety: any thread.
     [[nodiscard]] int get_active() const;
--- a/poplarpitch/transport/http_server_settings.h
+++ b/poplarpitch/transport/http_server_settings.h
@@ -8,14 +8,14 @@
 
 namespace poplarpitch {
 
-/// Bounds of an HTTP server.
+/// Address, timeouts and bounds of an HTTP server.
 struct http_server_settings {
     std::string host = "127.0.0.1";
-    int port = 0;                        ///< 0 takes a free one
-    int max_connections = 512;           ///< a thread each; further ones wait until one closes
-    std::int64_t max_body = 8LL << 20;   ///< bytes; larger ones get 413
+    int port = 0;                        ///< 0 selects a free port
+    int max_connections = 512;           ///< each occupies a thread; further connections wait for a free one
+    std::int64_t max_body = 8LL << 20;   ///< bytes; larger bodies are answered with 413
     duration keep_alive = seconds{5};    ///< an idle connection is closed after this, freeing its thread
-    duration read_timeout = seconds{10}; ///< a request that comes in slower is dropped
+    duration read_timeout = seconds{10}; ///< the connection is closed when a read waits longer
 
     friend auto operator<=>(const http_server_settings&, const http_server_settings&) = default;
 };
--- a/poplarpitch/transport/peer_link.cpp
+++ b/poplarpitch/transport/peer_link.cpp
@@ -47,7 +47,7 @@
 void peer_link::reset() {
     const absl::MutexLock lock(&m_mutex);
     if (m_stream != nullptr) {
-        m_stream->context.TryCancel(); // a write that hangs in flow control returns too
+        m_stream->context.TryCancel(); // also ends a write that is blocked by flow control
     }
 }
 
--- a/poplarpitch/transport/peer_link.h
+++ b/poplarpitch/transport/peer_link.h
@@ -12,13 +12,13 @@
 
 namespace poplarpitch {
 
-/// One-way stream of replicated-log messages to one peer, on a thread of its own. Messages may be lost, never
-/// changed: the log sends again what matters. The queue is bounded; when it is full the oldest go. A stream
-/// that has gone silent is replaced by one on a fresh connection, never on the same gRPC subchannel. Thread
-/// safety: any thread, for all methods.
+/// One-way stream of replicated-log messages to one peer, sent on a thread of its own. Messages may be lost
+/// but not altered; the log repeats those that matter. The queue is bounded and drops the oldest messages
+/// when it is full. After `reset` or an error the stream is replaced by one on a fresh connection, never on
+/// the same gRPC subchannel. Thread safety: any thread, for all methods.
 class peer_link {
 public:
-    /// Starts the thread. `cluster` is sent along, so that a peer of another cluster drops the messages.
+    /// Starts the thread. Each message carries `cluster`, so that a peer of another cluster rejects it.
     peer_link(std::string address, std::string cluster);
     ~peer_link();
     peer_link(const peer_link&) = delete;
@@ -26,7 +26,7 @@
 
     /// Queues a message.
     void send(raft_message message);
-    /// Breaks the present stream, so that the next message opens a fresh connection.
+    /// Cancels the current stream, so that a later message opens a fresh connection.
     void reset();
 
 private:
--- a/poplarpitch/transport/transport_error.cpp
+++ b/poplarpitch/transport/transport_error.cpp
@@ -16,15 +16,15 @@
         case transport_errc::timed_out:
             return "no answer came in time";
         case transport_errc::no_leader:
-            return "no control instance leads";
+            return "no control instance is the leader";
         case transport_errc::refused:
-            return "the peer refused";
+            return "the peer refused the request";
         case transport_errc::too_large:
             return "the answer is too large";
         case transport_errc::bad_answer:
-            return "the answer cannot be read";
+            return "the answer cannot be parsed";
         case transport_errc::listen_failed:
-            return "the address cannot be listened on";
+            return "cannot listen on the address";
         }
         return "unknown error";
     }
--- a/poplarpitch/transport/transport_error.h
+++ b/poplarpitch/transport/transport_error.h
@@ -4,15 +4,15 @@
 
 namespace poplarpitch {
 
-/// Why a peer or the control instances could not be asked.
+/// Why a call to a peer or to the control instances failed.
 enum class transport_errc {
     unreachable = 1, ///< no connection could be made; nothing was sent
-    timed_out,       ///< no answer in time; what became of the message is not known
-    no_leader,       ///< no control instance leads at present
-    refused,         ///< the other side refused; its words are in the answer
+    timed_out,       ///< no answer in time; the outcome of the request is unknown
+    no_leader,       ///< no control instance is the leader at present
+    refused,         ///< the peer refused the request; the answer has the reason
     too_large,       ///< the answer is larger than allowed
-    bad_answer,      ///< the answer cannot be read or is not for this request
-    listen_failed,   ///< the address cannot be listened on
+    bad_answer,      ///< the answer cannot be parsed or is not for this request
+    listen_failed,   ///< the server cannot listen on the address
 };
 
 /// Returns the error category of transport. Thread safety: any thread.
