--- a/unit_tests/control/leader_duties_test.cpp
+++ b/unit_tests/control/leader_duties_test.cpp
@@ -12,7 +12,7 @@
                                     "quota_cores = 2\n[service s]\n[batch b]\ncores = 1\nmemory = 1GB\n"
                                     "[batch rush]\ncores = 60\nmemory = 1GB\nurgent = true\n";
 
-/// A leader's duties over a state machine, with the log left out: what they ask for is applied at once.
+/// The leader's duties on a state machine without a log: their commands are applied at once.
 class leader_duties_test : public testing::Test {
 protected:
     leader_duties_test() {
@@ -76,7 +76,7 @@
         apply(command);
     }
 
-    /// Runs the duties some times and applies what they ask for.
+    /// Runs the duties `turns` times, 100 ms apart, and applies their commands.
     void run(int turns = 1) {
         for (int turn = 0; turn < turns; ++turn) {
             for (const auto& command : m_duties.run(m_state, 100, m_now, 1000)) {
@@ -138,7 +138,7 @@
     renew("e1");
     add_worker("w1");
     run();
-    m_now += seconds{60}; // the renewals of this time went to the old leader
+    m_now += seconds{60}; // the entry renewed at the old leader during this time
     leader_duties next;
     next.start(m_state, m_now);
     for (const auto& command : next.run(m_state, 100, m_now + milliseconds{1600}, 1000)) {
@@ -161,8 +161,7 @@
     request.add_loads()->set_worker("w1");
     request.mutable_loads(0)->set_ready(true);
     (*request.mutable_loads(0)->mutable_rates())["s"] = 10;
-    auto& sample =
-        *request.add_interference(); // what one task of the class does to the service of the worker
+    auto& sample = *request.add_interference(); // slowdown of the worker's service by a task of the class
     sample.set_service("s");
     sample.set_batch("b");
     sample.set_slowdown(20);
@@ -278,7 +277,8 @@
     const peer_bootstrap_state stranger{true, true, false};
     EXPECT_EQ(decide_bootstrap(false, {blank, blank}), bootstrap_action::create);
     EXPECT_EQ(decide_bootstrap(false, {blank, absent}), bootstrap_action::wait);
-    EXPECT_EQ(decide_bootstrap(false, {absent, member}), bootstrap_action::refuse); // its disk is gone
+    EXPECT_EQ(decide_bootstrap(false, {absent, member}),
+              bootstrap_action::refuse); // a voter without its data
     EXPECT_EQ(decide_bootstrap(false, {stranger, absent}), bootstrap_action::join);
     EXPECT_EQ(decide_bootstrap(true, {absent, absent}), bootstrap_action::join);
 }
--- a/unit_tests/control/proposal_queue_test.cpp
+++ b/unit_tests/control/proposal_queue_test.cpp
@@ -7,7 +7,7 @@
 namespace poplarpitch {
 namespace {
 
-/// A log that only numbers what it gets.
+/// A log that stores the payloads and returns consecutive indexes.
 class fake_log {
 public:
     result<log_index> propose(std::string payload, time_point /*now*/) {
@@ -63,7 +63,7 @@
     add("c", proposal_urgency::immediate);
     EXPECT_EQ(m_queue.get_next_due(), time_point{});
     m_queue.propose_due(m_log, m_now);
-    EXPECT_EQ(m_log.payloads, (std::vector<std::string>{"a", "b", "c"})); // in the order in which they came
+    EXPECT_EQ(m_log.payloads, (std::vector<std::string>{"a", "b", "c"})); // in the order of `add`
 }
 
 TEST_F(proposal_queue_test, answers_by_the_entry_that_was_committed) {
@@ -71,7 +71,7 @@
     add("b", proposal_urgency::immediate);
     m_queue.propose_due(m_log, m_now);
     apply(1, 5);
-    apply(2, 6); // another leader's entry at the same place
+    apply(2, 6); // another leader's entry at the same index
     ASSERT_EQ(m_answers.size(), 2U);
     EXPECT_TRUE(m_answers[0].committed());
     EXPECT_FALSE(m_answers[1].committed());
@@ -85,7 +85,7 @@
     add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
     ASSERT_EQ(m_answers.size(), 1U);
-    EXPECT_FALSE(m_answers[0].unknown()); // it surely is not in the log
+    EXPECT_FALSE(m_answers[0].unknown()); // it is certainly not in the log
     EXPECT_EQ(m_answers[0].leader(), 2U);
 }
 
@@ -95,7 +95,7 @@
     add("b", proposal_urgency::deferrable);
     m_queue.fail_all(2);
     ASSERT_EQ(m_answers.size(), 2U);
-    EXPECT_FALSE(m_answers[0].unknown()); // "b" waited
+    EXPECT_FALSE(m_answers[0].unknown()); // "b" was still queued
     EXPECT_TRUE(m_answers[1].unknown());
     EXPECT_FALSE(m_queue.get_next_due().has_value());
 }
--- a/unit_tests/transport/control_link_test.cpp
+++ b/unit_tests/transport/control_link_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr duration test_timeout = seconds{20};
 
-/// A control instance that leads and commits everything, behind a relay that can go silent.
+/// A control instance that leads and commits every command, behind a relay that can stop forwarding.
 class control_link_test : public testing::Test {
 protected:
     control_link_test() {
@@ -85,7 +85,7 @@
     const int before = m_relay->get_accepted_count();
     m_relay->silence();
     EXPECT_TRUE(m_client->renew({}, make_deadline()));
-    EXPECT_GT(m_relay->get_accepted_count(), before); // one more, or several where this machine is slow
+    EXPECT_GT(m_relay->get_accepted_count(), before); // one more, or several on a slow machine
     EXPECT_GE(m_renewals, 2);
 }
 
@@ -121,13 +121,13 @@
     };
     EXPECT_TRUE(send_until_received(1));
     m_relay->silence();
-    link.reset(); // what the node does with a peer that has been silent for long
+    link.reset(); // as the control node does for a peer that is silent for too long
     EXPECT_TRUE(send_until_received(2));
 }
 
 TEST_F(control_link_test, partly_committed_batch_is_an_error) {
     m_uncommitted_index = 1;
-    // Which error it is depends on where the deadline falls: between two tries, or in one.
+    // The error depends on whether the deadline falls between two attempts or within one.
     const auto deadline = system_clock().now() + milliseconds{500};
     EXPECT_FALSE(m_client->propose_batch({wire::command{}, wire::command{}}, deadline));
     m_uncommitted_index = -1;
@@ -168,7 +168,7 @@
     std::atomic<int> calls{0};
     m_on_propose = [&] {
         wire::propose_answer answer;
-        answer.set_unknown(++calls == 1); // then nobody leads
+        answer.set_unknown(++calls == 1); // later answers name no leader
         return answer;
     };
     const auto deadline = system_clock().now() + milliseconds{520};
--- a/unit_tests/transport/http_test.cpp
+++ b/unit_tests/transport/http_test.cpp
@@ -28,7 +28,7 @@
     return request;
 }
 
-/// A server that echoes, unless told otherwise, and a pool to reach it.
+/// A server with the handler of the test, and a client pool to reach it.
 class http_test : public testing::Test {
 protected:
     void start(http_server::handler handle, const http_server_settings& settings = {}) {
@@ -48,9 +48,9 @@
         return response;
     }
 
-    // Before the server: its handlers may look at them until it has stopped.
-    absl::Notification m_handler_entered; ///< a handler that is to wait has begun
-    absl::Notification m_release_handler; ///< it may go on
+    // Declared before the server, because its handlers may use them until it has stopped.
+    absl::Notification m_handler_entered; ///< a blocking handler was called
+    absl::Notification m_release_handler; ///< the blocking handler may return
     std::unique_ptr<http_server> m_server;
     http_client_pool m_pool{http_client_settings{}};
     std::string m_address;
@@ -66,8 +66,7 @@
     EXPECT_EQ(exchange.response.headers.get("x-own"), "v");
 }
 
-// A caller's framing headers, in whatever case, belong to the caller's connection: passed on, they would make
-// the target read another body than was sent.
+// Forwarded framing headers, in whatever case, would make the target read another body than was sent.
 TEST_F(http_test, framing_headers_of_the_caller_are_not_passed_on) {
     start([](const http_request& request) {
         auto response = echo(request);
@@ -133,7 +132,7 @@
     });
     m_handler_entered.WaitForNotification();
     cancel.cancel();
-    caller.join(); // long before the answer
+    caller.join(); // returns although no answer was sent
     EXPECT_EQ(exchange.progress, exchange_progress::maybe_sent);
     m_release_handler.Notify();
     const auto late = m_pool.send(m_address, make_post("/", "y"), system_clock().now() + test_timeout,
@@ -173,7 +172,7 @@
         const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         const auto begin = clock.now();
         ASSERT_EQ(::connect(descriptor, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
-        // A SYN that found the backlog full is sent again after a second: nothing else takes that long here.
+        // A SYN dropped by a full backlog is retransmitted after a second; nothing else takes that long here.
         retransmitted += clock.now() - begin > milliseconds{900} ? 1 : 0;
         sockets.push_back(descriptor);
     }
@@ -183,7 +182,7 @@
     EXPECT_EQ(retransmitted, 0);
 }
 
-/// A listener that accepts, reads and never answers: a connection whose other end lost track of it.
+/// A listener that completes connects and never answers, like a peer that has lost track of its connection.
 class silent_listener {
 public:
     silent_listener() {
--- a/unit_tests/transport/silent_relay.cpp
+++ b/unit_tests/transport/silent_relay.cpp
@@ -43,32 +43,32 @@
     m_thread.join();
     ::close(m_listener);
     const absl::MutexLock lock(&m_mutex);
-    for (const auto& one : m_connections) {
-        ::close(one.near);
-        ::close(one.far);
+    for (const auto& pair : m_connections) {
+        ::close(pair.near);
+        ::close(pair.far);
     }
 }
 
 void silent_relay::silence() {
     const absl::MutexLock lock(&m_mutex);
-    for (auto& one : m_connections) {
-        one.is_silent = true;
+    for (auto& pair : m_connections) {
+        pair.is_silent = true;
     }
 }
 
 void silent_relay::accept_one() {
-    connection one;
-    one.near = ::accept4(m_listener, nullptr, nullptr, SOCK_CLOEXEC);
-    one.far = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    connection pair;
+    pair.near = ::accept4(m_listener, nullptr, nullptr, SOCK_CLOEXEC);
+    pair.far = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const auto address = make_address(m_target_port);
-    if (::connect(one.far, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
-        ::close(one.near);
-        ::close(one.far);
+    if (::connect(pair.far, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
+        ::close(pair.near);
+        ::close(pair.far);
         return;
     }
     ++m_accepted;
     const absl::MutexLock lock(&m_mutex);
-    m_connections.push_back(one);
+    m_connections.push_back(pair);
 }
 
 bool silent_relay::carry(int from, int to) {
@@ -81,28 +81,28 @@
 }
 
 void silent_relay::run() {
-    constexpr int poll_interval_ms = 1; // between looks; nothing is proved by it
+    constexpr int poll_interval_ms = 1; // no test depends on its length
     while (!m_is_stopped) {
         pollfd listener{m_listener, POLLIN, 0};
         if (::poll(&listener, 1, poll_interval_ms) > 0) {
             accept_one();
         }
         const absl::MutexLock lock(&m_mutex);
-        for (auto one = m_connections.begin(); one != m_connections.end();) {
+        for (auto pair = m_connections.begin(); pair != m_connections.end();) {
             bool is_open = true;
-            if (!one->is_silent && is_readable(one->near)) {
-                is_open = carry(one->near, one->far);
+            if (!pair->is_silent && is_readable(pair->near)) {
+                is_open = carry(pair->near, pair->far);
             }
-            if (!one->is_silent && is_open && is_readable(one->far)) {
-                is_open = carry(one->far, one->near);
+            if (!pair->is_silent && is_open && is_readable(pair->far)) {
+                is_open = carry(pair->far, pair->near);
             }
             if (is_open) {
-                ++one;
+                ++pair;
                 continue;
             }
-            ::close(one->near);
-            ::close(one->far);
-            one = m_connections.erase(one);
+            ::close(pair->near);
+            ::close(pair->far);
+            pair = m_connections.erase(pair);
         }
     }
 }
