--- a/poplarpitch/control/data_folder_restorer.cpp
+++ b/poplarpitch/control/data_folder_restorer.cpp
@@ -39,12 +39,12 @@
         return failed_code;
     };
     if (!get_initial_voters(settings.control).is_voter(settings.node_id)) {
-        return refuse("this node is not an initial voter in its settings: restore the initial voters, then "
-                      "add it");
+        return refuse("no initial voter of the settings has the id of this node: restore the initial voters, "
+                      "then add it");
     }
     const auto restored = restore_snapshot(read_text_file(backup_file).value_or(""), get_wall_ms());
     if (!restored.has_value()) {
-        return refuse("the file cannot be read or is not a backup");
+        return refuse("the file cannot be read or holds no backup");
     }
     const auto written = write_folder(settings, *restored);
     if (!written) {
--- a/poplarpitch/transport/transport_error.cpp
+++ b/poplarpitch/transport/transport_error.cpp
@@ -16,7 +16,7 @@
         case transport_errc::timed_out:
             return "no answer came in time";
         case transport_errc::no_leader:
-            return "no control instance is the leader";
+            return "no control instance leads";
         case transport_errc::refused:
             return "the peer refused the request";
         case transport_errc::too_large:
