--- a/poplarpitch/control/job_scheduler.cpp
+++ b/poplarpitch/control/job_scheduler.cpp
@@ -43,7 +43,7 @@
         return !head.has_value() || failed_placements >= max_failed_placements;
     }
     [[nodiscard]] bool is_urgent() const { return !is_exhausted() && head->urgent(); }
-    [[nodiscard]] double get_share() const {
+    [[nodiscard]] double get_weighted_usage() const {
         return static_cast<double>(usage.active_millicores) / settings.weight;
     }
 
@@ -262,9 +262,9 @@
             if (queue.is_exhausted()) {
                 continue;
             }
-            const bool is_preferred =
-                best == nullptr || (queue.is_urgent() && !best->is_urgent()) ||
-                (queue.is_urgent() == best->is_urgent() && queue.get_share() < best->get_share());
+            const bool is_preferred = best == nullptr || (queue.is_urgent() && !best->is_urgent()) ||
+                                      (queue.is_urgent() == best->is_urgent() &&
+                                       queue.get_weighted_usage() < best->get_weighted_usage());
             if (is_preferred) {
                 best = &queue;
             }
--- a/poplarpitch/control/job_scheduler.h
+++ b/poplarpitch/control/job_scheduler.h
@@ -35,8 +35,8 @@
 private:
     struct tenant_queue;
 
-    /// A need for which no worker had room in this run. Free capacity only shrinks during a run, so a need at
-    /// least as large cannot be placed either.
+    /// A need for which no worker had room in this run. Free capacity only shrinks during a run, so a need of
+    /// the same class and urgency that is at least as large cannot be placed either.
     struct unplaceable_need {
         resources need;
         std::uint32_t batch = 0; ///< dense number of the batch class
--- a/poplarpitch/transport/control_client.cpp
+++ b/poplarpitch/transport/control_client.cpp
@@ -79,9 +79,9 @@
     return slot;
 }
 
-void control_client::drop_link(std::size_t index, const std::shared_ptr<link>& used) {
+void control_client::drop_link(std::size_t index, const std::shared_ptr<link>& failed_link) {
     const absl::MutexLock lock(&m_mutex);
-    if (m_links[index] == used) {
+    if (m_links[index] == failed_link) {
         m_links[index] = nullptr;
     }
 }
@@ -110,15 +110,15 @@
     bool is_any_reached = false;
     for (auto now = clock.now(); now < deadline; now = clock.now()) {
         const auto index = get_leader_index();
-        const auto used = get_link(index);
+        const auto used_link = get_link(index);
         const auto limit =
             std::chrono::system_clock::now() +
             std::chrono::duration_cast<milliseconds>(std::min<duration>(deadline - now, attempt_timeout));
         grpc::ClientContext context;
         context.set_deadline(limit);
         Answer answer;
-        const bool is_connected = connect(*used->channel, limit);
-        const auto status = is_connected ? call(*used->stub, context, request, answer)
+        const bool is_connected = connect(*used_link->channel, limit);
+        const auto status = is_connected ? call(*used_link->stub, context, request, answer)
                                          : grpc::Status(grpc::StatusCode::UNAVAILABLE, "no connection");
         if (status.ok()) {
             is_any_reached = true;
@@ -133,7 +133,7 @@
         }
         // The connection may be dead without an error, so the next attempt opens a fresh one in any case.
         is_maybe_executed = is_maybe_executed || is_connected;
-        drop_link(index, used);
+        drop_link(index, used_link);
         update_leader(index, 0);
         absl::SleepFor(absl::Nanoseconds(retry_interval.count()));
     }
@@ -223,14 +223,14 @@
         return make_error_code(transport_errc::unreachable);
     }
     const auto index = static_cast<std::size_t>(found - m_peers.begin());
-    const auto used = get_link(index);
+    const auto used_link = get_link(index);
     const system_clock clock;
     const auto limit = std::chrono::duration_cast<milliseconds>(deadline - clock.now());
     grpc::ClientContext context;
     context.set_deadline(std::chrono::system_clock::now() + limit);
     wire::query_answer answer;
-    if (!used->stub->query(&context, request, &answer).ok()) {
-        drop_link(index, used);
+    if (!used_link->stub->query(&context, request, &answer).ok()) {
+        drop_link(index, used_link);
         return make_error_code(transport_errc::unreachable);
     }
     return answer;
--- a/poplarpitch/transport/control_client.h
+++ b/poplarpitch/transport/control_client.h
@@ -47,7 +47,7 @@
     struct link;
 
     std::shared_ptr<link> get_link(std::size_t index);
-    void drop_link(std::size_t index, const std::shared_ptr<link>& used);
+    void drop_link(std::size_t index, const std::shared_ptr<link>& failed_link);
     std::size_t get_leader_index();
     /// Sets the instance to call next to the leader that the queried instance named, or to the instance after
     /// it when it named none.
--- a/unit_tests/control/leader_duties_test.cpp
+++ b/unit_tests/control/leader_duties_test.cpp
@@ -273,13 +273,13 @@
 TEST(decide_bootstrap, creates_a_cluster_only_when_all_initial_voters_are_blank) {
     const peer_bootstrap_state blank{true, false, false};
     const peer_bootstrap_state absent{false, false, false};
-    const peer_bootstrap_state member{true, true, true};
-    const peer_bootstrap_state stranger{true, true, false};
+    const peer_bootstrap_state cluster_with_us{true, true, true};
+    const peer_bootstrap_state cluster_without_us{true, true, false};
     EXPECT_EQ(decide_bootstrap(false, {blank, blank}), bootstrap_action::create);
     EXPECT_EQ(decide_bootstrap(false, {blank, absent}), bootstrap_action::wait);
-    EXPECT_EQ(decide_bootstrap(false, {absent, member}),
+    EXPECT_EQ(decide_bootstrap(false, {absent, cluster_with_us}),
               bootstrap_action::refuse); // a voter without its data
-    EXPECT_EQ(decide_bootstrap(false, {stranger, absent}), bootstrap_action::join);
+    EXPECT_EQ(decide_bootstrap(false, {cluster_without_us, absent}), bootstrap_action::join);
     EXPECT_EQ(decide_bootstrap(true, {absent, absent}), bootstrap_action::join);
 }
 
