--- a/unit_tests/control/proposal_queue_test.cpp
+++ b/unit_tests/control/proposal_queue_test.cpp
@@ -7,7 +7,7 @@
 namespace poplarpitch {
 namespace {
 
-/// A log that only numbers what it gets.
+/// A log that stores the payloads and returns consecutive indexes.
 class fake_log {
 public:
     result<log_index> propose(std::string payload, time_point /*now*/) {
@@ -42,12 +42,12 @@
     time_point m_now{seconds{10}};
 };
 
-TEST_F(proposal_queue_test, idle_log_takes_a_job_command_at_once_and_the_next_ones_together) {
-    add("a", proposal_urgency::may_wait);
+TEST_F(proposal_queue_test, idle_log_appends_a_job_command_immediately_and_batches_the_next_ones) {
+    add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
     EXPECT_EQ(m_log.payloads.size(), 1U);
-    add("b", proposal_urgency::may_wait);
-    add("c", proposal_urgency::may_wait);
+    add("b", proposal_urgency::deferrable);
+    add("c", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now + milliseconds{19});
     EXPECT_EQ(m_log.payloads.size(), 1U);
     EXPECT_EQ(m_queue.get_next_due(), m_now + milliseconds{20});
@@ -56,22 +56,22 @@
     EXPECT_FALSE(m_queue.get_next_due().has_value());
 }
 
-TEST_F(proposal_queue_test, urgent_command_takes_the_waiting_ones_with_it) {
-    add("a", proposal_urgency::may_wait);
+TEST_F(proposal_queue_test, immediate_command_is_appended_together_with_the_waiting_ones) {
+    add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
-    add("b", proposal_urgency::may_wait);
-    add("c", proposal_urgency::at_once);
+    add("b", proposal_urgency::deferrable);
+    add("c", proposal_urgency::immediate);
     EXPECT_EQ(m_queue.get_next_due(), time_point{});
     m_queue.propose_due(m_log, m_now);
-    EXPECT_EQ(m_log.payloads, (std::vector<std::string>{"a", "b", "c"})); // in the order in which they came
+    EXPECT_EQ(m_log.payloads, (std::vector<std::string>{"a", "b", "c"})); // in the order of `add`
 }
 
 TEST_F(proposal_queue_test, answers_by_the_entry_that_was_committed) {
-    add("a", proposal_urgency::at_once);
-    add("b", proposal_urgency::at_once);
+    add("a", proposal_urgency::immediate);
+    add("b", proposal_urgency::immediate);
     m_queue.propose_due(m_log, m_now);
     apply(1, 5);
-    apply(2, 6); // another leader's entry at the same place
+    apply(2, 6); // another leader's entry at the same index
     ASSERT_EQ(m_answers.size(), 2U);
     EXPECT_TRUE(m_answers[0].committed());
     EXPECT_FALSE(m_answers[1].committed());
@@ -80,22 +80,22 @@
     EXPECT_EQ(m_answers.size(), 2U);
 }
 
-TEST_F(proposal_queue_test, refusal_of_the_log_is_told) {
+TEST_F(proposal_queue_test, refusal_of_the_log_is_returned) {
     m_log.is_leader = false;
-    add("a", proposal_urgency::may_wait);
+    add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
     ASSERT_EQ(m_answers.size(), 1U);
-    EXPECT_FALSE(m_answers[0].unknown()); // it surely is not in the log
+    EXPECT_FALSE(m_answers[0].unknown()); // it is certainly not in the log
     EXPECT_EQ(m_answers[0].leader(), 2U);
 }
 
-TEST_F(proposal_queue_test, lost_leadership_leaves_unknown_only_what_is_in_the_log) {
-    add("a", proposal_urgency::may_wait);
+TEST_F(proposal_queue_test, lost_leadership_leaves_only_appended_commands_unknown) {
+    add("a", proposal_urgency::deferrable);
     m_queue.propose_due(m_log, m_now);
-    add("b", proposal_urgency::may_wait);
+    add("b", proposal_urgency::deferrable);
     m_queue.fail_all(2);
     ASSERT_EQ(m_answers.size(), 2U);
-    EXPECT_FALSE(m_answers[0].unknown()); // "b" waited
+    EXPECT_FALSE(m_answers[0].unknown()); // "b" was still queued
     EXPECT_TRUE(m_answers[1].unknown());
     EXPECT_FALSE(m_queue.get_next_due().has_value());
 }
