--- a/poplarpitch/command_line/settings_command_line.h
+++ b/poplarpitch/command_line/settings_command_line.h
@@ -25,10 +25,10 @@
 template <std::invocable<std::string_view> Parse>
 auto read_settings_command_line(int count, const char* const* arguments, const char* program,
                                 const char* about, const Parse& parse,
-                                const settings_file_options& choices = {}) {
+                                const settings_file_options& file_options = {}) {
     using parsed_settings = std::invoke_result_t<Parse, std::string_view>;
     settings_command_line<decltype(parsed_settings::value)> line;
-    const auto file = read_settings_file(count, arguments, program, about, choices);
+    const auto file = read_settings_file(count, arguments, program, about, file_options);
     line.exit_code = file.exit_code;
     line.restored_file = file.restored_file;
     if (line.exit_code.has_value()) {
@@ -40,7 +40,7 @@
     }
     if (!parsed.errors.empty()) {
         line.exit_code = usage_exit_code;
-    } else if (file.is_check) {
+    } else if (file.is_check_only) {
         line.exit_code = 0;
     }
     line.settings = std::move(parsed.value);
--- a/poplarpitch/command_line/settings_file.cpp
+++ b/poplarpitch/command_line/settings_file.cpp
@@ -10,13 +10,13 @@
 namespace poplarpitch {
 
 settings_file read_settings_file(int count, const char* const* arguments, const char* program,
-                                 const char* about, const settings_file_options& choices) {
+                                 const char* about, const settings_file_options& file_options) {
     settings_file file;
     cxxopts::Options options(program, about);
     options.add_options()("settings", "settings file (INI)", cxxopts::value<std::string>())(
         "check", "check the settings and exit: 0 when they are good, 2 when not")(
         "version", "print the version")("help", "print this help");
-    if (choices.can_restore) {
+    if (file_options.can_restore) {
         options.add_options()("restore", "write a backup into the blank data folder, and exit",
                               cxxopts::value<std::string>());
     }
@@ -25,7 +25,7 @@
         if (parsed.count("help") > 0) {
             std::cout << options.help()
                       << "\nExit codes: 0 planned stop, 1 cannot start, 2 bad usage or settings"
-                      << (choices.has_storage ? ", 3 storage failed" : "") << ".\n";
+                      << (file_options.has_storage ? ", 3 storage failed" : "") << ".\n";
             file.exit_code = 0;
             return file;
         }
@@ -39,9 +39,9 @@
             file.exit_code = usage_exit_code;
             return file;
         }
-        file.is_check = parsed.count("check") > 0;
+        file.is_check_only = parsed.count("check") > 0;
         file.name = parsed["settings"].as<std::string>();
-        if (choices.can_restore && parsed.count("restore") > 0) {
+        if (file_options.can_restore && parsed.count("restore") > 0) {
             file.restored_file = parsed["restore"].as<std::string>();
         }
     } catch (const cxxopts::exceptions::exception& error) {
--- a/poplarpitch/command_line/settings_file.h
+++ b/poplarpitch/command_line/settings_file.h
@@ -14,7 +14,7 @@
 /// A daemon's command line as far as its settings file.
 struct settings_file {
     std::optional<int> exit_code; ///< set when there is nothing to run: help, version, or an error
-    bool is_check = false;        ///< only check the settings
+    bool is_check_only = false;   ///< only check the settings
     std::string name;
     std::string text;
     std::string restored_file; ///< --restore: a backup to found the cluster from; else empty
@@ -26,6 +26,6 @@
 /// Reads a daemon's command line and the text of its settings file; prints help, version and what is wrong.
 /// Thread safety: none.
 [[nodiscard]] settings_file read_settings_file(int count, const char* const* arguments, const char* program,
-                                               const char* about, const settings_file_options& choices);
+                                               const char* about, const settings_file_options& file_options);
 
 } // namespace poplarpitch
--- a/poplarpitch/config/configuration_parser.cpp
+++ b/poplarpitch/config/configuration_parser.cpp
@@ -165,10 +165,10 @@
         if (finished.contains(service.name)) {
             return;
         }
-        const auto again = std::find(path.begin(), path.end(), service.name);
-        if (again != path.end()) {
+        const auto cycle_start = std::find(path.begin(), path.end(), service.name);
+        if (cycle_start != path.end()) {
             std::string cycle;
-            for (auto step = again; step != path.end(); ++step) {
+            for (auto step = cycle_start; step != path.end(); ++step) {
                 absl::StrAppend(&cycle, *step, " -> ");
             }
             m_parsed.errors.push_back(
--- a/poplarpitch/config/daemon_settings.cpp
+++ b/poplarpitch/config/daemon_settings.cpp
@@ -41,13 +41,13 @@
     parsed_daemon_settings parsed;
     const auto document = parse_ini(text);
     parsed.errors = document.errors;
-    bool is_found = false;
+    bool has_daemon_section = false;
     for (const auto& section : document.sections) {
         if (section.kind != "daemon") {
             parsed.errors.push_back({section.line, absl::StrCat("unknown section [", section.kind, "]")});
             continue;
         }
-        is_found = true;
+        has_daemon_section = true;
         section_reader reader(section, parsed.errors);
         auto& value = parsed.value;
         value.id = reader.get_text("id", "");
@@ -81,7 +81,7 @@
         }
         reader.finish();
     }
-    if (!is_found) {
+    if (!has_daemon_section) {
         parsed.errors.push_back({0, "section [daemon] is missing"});
     }
     return parsed;
--- a/poplarpitch/config/ini_document.cpp
+++ b/poplarpitch/config/ini_document.cpp
@@ -75,7 +75,7 @@
 }
 
 /// Takes one value from libinih.
-int take_value(void* user, const char* /*section*/, const char* name, const char* value) {
+int on_value(void* user, const char* /*section*/, const char* name, const char* value) {
     auto& state = *static_cast<reader_state*>(user);
     if (state.document.sections.empty()) {
         state.document.errors.push_back({state.line, absl::StrCat("'", name, "' stands before any section")});
@@ -123,7 +123,7 @@
     reader_state state;
     state.rest = text;
     check_syntax(text, state.document.errors);
-    ini_parse_stream(&read_line, &state, &take_value, &state);
+    ini_parse_stream(&read_line, &state, &on_value, &state);
     std::stable_sort(state.document.errors.begin(), state.document.errors.end());
     return std::move(state.document);
 }
--- a/poplarpitch/config/section_reader.cpp
+++ b/poplarpitch/config/section_reader.cpp
@@ -51,7 +51,7 @@
     : m_section(section), m_errors(errors) {}
 
 const ini_entry* section_reader::find(const std::string& key) {
-    m_known.insert(key);
+    m_requested.insert(key);
     for (const auto& entry : m_section.entries) {
         if (entry.key == key) {
             return &entry;
@@ -160,7 +160,7 @@
 
 void section_reader::finish() {
     for (const auto& entry : m_section.entries) {
-        if (!m_known.contains(entry.key)) {
+        if (!m_requested.contains(entry.key)) {
             m_errors.push_back(
                 {entry.line, absl::StrCat("unknown key '", entry.key, "' in [", m_section.kind,
                                           m_section.name.empty() ? "" : " ", m_section.name, "]")});
--- a/poplarpitch/config/section_reader.h
+++ b/poplarpitch/config/section_reader.h
@@ -45,7 +45,7 @@
 
     const ini_section& m_section;
     std::vector<config_error>& m_errors;
-    std::set<std::string> m_known; ///< keys that were asked for
+    std::set<std::string> m_requested; ///< keys that were asked for
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/net/background_task.cpp
+++ b/poplarpitch/net/background_task.cpp
@@ -11,25 +11,25 @@
 namespace poplarpitch {
 
 /// What both threads see.
-struct background_task::parts {
-    explicit parts(event_loop& owner) : loop(owner) {}
+struct background_task::impl {
+    explicit impl(event_loop& owner) : loop(owner) {}
 
-    bool has_order() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex) { return is_ending || work != nullptr; }
+    bool should_wake() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex) { return is_stopping || work != nullptr; }
 
-    void work_until_end() {
+    void run_until_stopped() {
         while (true) {
-            std::function<void()> present;
-            std::function<void()> told;
+            std::function<void()> current_work;
+            std::function<void()> completion;
             {
-                const absl::MutexLock lock(&mutex, absl::Condition(this, &parts::has_order));
+                const absl::MutexLock lock(&mutex, absl::Condition(this, &impl::should_wake));
                 if (work == nullptr) {
                     return;
                 }
-                present = std::exchange(work, nullptr);
-                told = std::exchange(on_done, nullptr);
+                current_work = std::exchange(work, nullptr);
+                completion = std::exchange(on_done, nullptr);
             }
-            present();
-            loop.post(std::move(told));
+            current_work();
+            loop.post(std::move(completion));
         }
     }
 
@@ -37,30 +37,30 @@
     absl::Mutex mutex;
     std::function<void()> work ABSL_GUARDED_BY(mutex);
     std::function<void()> on_done ABSL_GUARDED_BY(mutex);
-    bool is_ending ABSL_GUARDED_BY(mutex) = false;
+    bool is_stopping ABSL_GUARDED_BY(mutex) = false;
     std::thread thread;
 };
 
-background_task::background_task(event_loop& loop) : m_parts(std::make_unique<parts>(loop)) {
-    m_parts->thread = std::thread([shared = m_parts.get()] { shared->work_until_end(); });
+background_task::background_task(event_loop& loop) : m_impl(std::make_unique<impl>(loop)) {
+    m_impl->thread = std::thread([shared = m_impl.get()] { shared->run_until_stopped(); });
 }
 
 background_task::~background_task() {
     {
-        const absl::MutexLock lock(&m_parts->mutex);
-        m_parts->is_ending = true;
+        const absl::MutexLock lock(&m_impl->mutex);
+        m_impl->is_stopping = true;
     }
-    m_parts->thread.join();
+    m_impl->thread.join();
 }
 
 void background_task::run(std::function<void()> work, std::function<void()> on_done) {
     assert(!m_is_running);
     m_is_running = true;
-    const absl::MutexLock lock(&m_parts->mutex);
-    m_parts->work = std::move(work);
-    m_parts->on_done = [this, told = std::move(on_done)] {
+    const absl::MutexLock lock(&m_impl->mutex);
+    m_impl->work = std::move(work);
+    m_impl->on_done = [this, completion = std::move(on_done)] {
         m_is_running = false;
-        told();
+        completion();
     };
 }
 
--- a/poplarpitch/net/background_task.h
+++ b/poplarpitch/net/background_task.h
@@ -28,9 +28,9 @@
     [[nodiscard]] bool is_running() const { return m_is_running; }
 
 private:
-    struct parts;
+    struct impl;
 
-    std::unique_ptr<parts> m_parts;
+    std::unique_ptr<impl> m_impl;
     bool m_is_running = false;
 };
 
--- a/poplarpitch/net/descriptor_budget.h
+++ b/poplarpitch/net/descriptor_budget.h
@@ -23,13 +23,13 @@
 /// a worker has one connection of that kind and two of the other. Precondition: at least
 /// `least_descriptors`. Thread safety: any thread.
 [[nodiscard]] constexpr descriptor_budget divide_descriptors(std::size_t descriptors) {
-    constexpr std::size_t kept_files = 64;
-    constexpr std::size_t kept_part = 8;
-    constexpr std::size_t accepted_part = 3;
+    constexpr std::size_t reserved_files = 64;
+    constexpr std::size_t reserved_divisor = 8;
+    constexpr std::size_t accepted_divisor = 3;
     descriptor_budget budget;
-    budget.kept = descriptors / kept_part + kept_files;
+    budget.kept = descriptors / reserved_divisor + reserved_files;
     const auto rest = descriptors - budget.kept;
-    budget.accepted = rest / accepted_part;
+    budget.accepted = rest / accepted_divisor;
     budget.called = rest - budget.accepted;
     return budget;
 }
--- a/poplarpitch/net/event_loop.cpp
+++ b/poplarpitch/net/event_loop.cpp
@@ -14,13 +14,14 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration longest_turn = milliseconds{5}; // a twentieth of the log's heartbeats, a commit's sync
-constexpr int unmeasured_calls = 8;                // between two looks at the clock
-constexpr double measure_time = 0.5;               // s, over which load and lag are smoothed
+constexpr duration max_turn_duration =
+    milliseconds{5};                     // a twentieth of the log's heartbeats, a commit's sync
+constexpr int calls_per_clock_read = 8;  // between two looks at the clock
+constexpr double smoothing_time_s = 0.5; // s, over which load and lag are smoothed
 
 } // namespace
 
-struct event_loop::parts {
+struct event_loop::impl {
     boost::asio::io_context context{1}; ///< one thread runs it; others may post, so Asio keeps its lock
     boost::asio::steady_timer timer{context};
     struct handled_signal {
@@ -28,34 +29,34 @@
         std::function<void()> work;
     };
     std::vector<handled_signal> signals;
-    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> guard{context.get_executor()};
+    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_guard{
+        context.get_executor()};
 };
 
-event_loop::event_loop()
-    : m_parts(std::make_unique<parts>()), m_now(system_clock().now()), m_last_wake(m_now) {
+event_loop::event_loop() : m_impl(std::make_unique<impl>()), m_now(system_clock().now()), m_last_wake(m_now) {
     std::signal(SIGPIPE, SIG_IGN); // a write to a closed connection is an error code here
 }
 
 event_loop::~event_loop() = default;
 
 boost::asio::io_context& event_loop::get_context() {
-    return m_parts->context;
+    return m_impl->context;
 }
 
 void event_loop::run() {
     const system_clock clock;
-    auto& context = m_parts->context;
+    auto& context = m_impl->context;
     while (!context.stopped()) {
         read_clock();
         for (const auto& hook : m_turn_hooks) {
             hook();
         }
-        arm();
-        const auto began = clock.now();
-        m_may_be_old = true; // Asio calls what ends the wait before it returns
+        arm_timer();
+        const auto wait_began = clock.now();
+        m_is_now_stale = true; // Asio calls what ends the wait before it returns
         context.run_one();
         read_clock();
-        note_turn(began, m_now);
+        update_load(wait_began, m_now);
         run_ready();
         read_clock();
         run_due_timers();
@@ -63,7 +64,7 @@
 }
 
 time_point event_loop::now() const {
-    if (m_may_be_old) {
+    if (m_is_now_stale) {
         read_clock();
     }
     return m_now;
@@ -71,20 +72,20 @@
 
 void event_loop::read_clock() const {
     m_now = system_clock().now();
-    m_may_be_old = false;
+    m_is_now_stale = false;
 }
 
 bool event_loop::poll_one() {
-    m_may_be_old = true; // the process may have stood still since the call before
-    return m_parts->context.poll_one() > 0;
+    m_is_now_stale = true; // the process may have stood still since the call before
+    return m_impl->context.poll_one() > 0;
 }
 
 void event_loop::run_ready() {
     const system_clock clock;
-    const auto end = m_now + longest_turn;
+    const auto end = m_now + max_turn_duration;
     int calls = 0;
     while (poll_one()) {
-        if (++calls % unmeasured_calls == 0 && clock.now() >= end) {
+        if (++calls % calls_per_clock_read == 0 && clock.now() >= end) {
             ++m_cut_turns;
             return;
         }
@@ -92,26 +93,27 @@
 }
 
 /// The wait of a turn is the time until its first call was made, and the call itself, which is short.
-void event_loop::note_turn(time_point began, time_point woke) {
-    const auto worked = to_seconds(began - m_last_wake);
-    const auto waited = to_seconds(woke - began);
-    m_last_wake = woke;
-    const auto all = worked + waited;
-    if (all <= 0) {
+void event_loop::update_load(time_point wait_began, time_point wait_ended) {
+    const auto worked = to_seconds(wait_began - m_last_wake);
+    const auto waited = to_seconds(wait_ended - wait_began);
+    m_last_wake = wait_ended;
+    const auto elapsed = worked + waited;
+    if (elapsed <= 0) {
         return;
     }
-    const auto weight = 1 - std::exp(-all / measure_time);
-    m_busy_share += weight * (worked / all - m_busy_share);
-    const auto late = m_timers.empty() ? duration{0} : std::max(woke - m_timers.begin()->first, duration{0});
-    m_lag += std::chrono::duration_cast<duration>(weight * (late - m_lag));
+    const auto weight = 1 - std::exp(-elapsed / smoothing_time_s);
+    m_busy_share += weight * (worked / elapsed - m_busy_share);
+    const auto lateness =
+        m_timers.empty() ? duration{0} : std::max(wait_ended - m_timers.begin()->first, duration{0});
+    m_lag += std::chrono::duration_cast<duration>(weight * (lateness - m_lag));
 }
 
 void event_loop::stop() {
-    m_parts->context.stop();
+    m_impl->context.stop();
 }
 
 void event_loop::post(std::function<void()> work) {
-    boost::asio::post(m_parts->context, std::move(work));
+    boost::asio::post(m_impl->context, std::move(work));
 }
 
 timer_id event_loop::call_at(time_point when, std::function<void()> work) {
@@ -144,15 +146,15 @@
 }
 
 void event_loop::on_signal(int signal, std::function<void()> work) {
-    m_parts->signals.push_back(
-        {std::make_unique<boost::asio::signal_set>(m_parts->context, signal), std::move(work)});
-    wait_for_signal(m_parts->signals.size() - 1);
+    m_impl->signals.push_back(
+        {std::make_unique<boost::asio::signal_set>(m_impl->context, signal), std::move(work)});
+    wait_for_signal(m_impl->signals.size() - 1);
 }
 
 void event_loop::wait_for_signal(std::size_t index) {
-    m_parts->signals[index].set->async_wait([this, index](const boost::system::error_code& error, int) {
+    m_impl->signals[index].set->async_wait([this, index](const boost::system::error_code& error, int) {
         if (!error) {
-            m_parts->signals[index].work();
+            m_impl->signals[index].work();
             wait_for_signal(index);
         }
     });
@@ -164,26 +166,26 @@
         auto due = std::move(m_timers.begin()->second);
         m_timers.erase(m_timers.begin());
         m_timer_times.erase(due.id);
-        m_may_be_old = true;
+        m_is_now_stale = true;
         due.work();
     }
 }
 
-void event_loop::arm() {
+void event_loop::arm_timer() {
     if (m_timers.empty()) {
         return;
     }
     const auto next = m_timers.begin()->first;
-    const bool is_set = m_armed != time_point{} && m_armed > m_now;
-    if (is_set && m_armed <= next) {
+    const bool is_set = m_timer_expiry != time_point{} && m_timer_expiry > m_now;
+    if (is_set && m_timer_expiry <= next) {
         return; // it fires early enough; a turn without work is cheaper than a system call for each change
     }
-    m_armed = std::max(next, m_now);
-    m_parts->timer.expires_after(
-        std::chrono::duration_cast<boost::asio::steady_timer::duration>(m_armed - m_now));
-    m_parts->timer.async_wait([this](const boost::system::error_code& error) {
+    m_timer_expiry = std::max(next, m_now);
+    m_impl->timer.expires_after(
+        std::chrono::duration_cast<boost::asio::steady_timer::duration>(m_timer_expiry - m_now));
+    m_impl->timer.async_wait([this](const boost::system::error_code& error) {
         if (!error) {
-            m_armed = time_point{};
+            m_timer_expiry = time_point{};
         }
     });
 }
--- a/poplarpitch/net/event_loop.h
+++ b/poplarpitch/net/event_loop.h
@@ -21,11 +21,12 @@
 ///
 /// Boost.Asio waits; timers stand in one ordered map behind a single Asio timer, so that a timeout that is
 /// set and cancelled for every call costs no system call. After the calls that were ready at the same time
-/// the turn hooks run: work that many events ask for, such as one commit for all of them, is done there
+/// the turn hooks run: work that many events ask for, such as one commit for elapsed of them, is done there
 /// once. A turn takes what is ready only for a short while: under more load than the thread can bear there is
 /// always something ready, and what stands in the hooks and timers (heartbeats of the log, leases) has to be
-/// done all the same.
-/// Thread safety: all methods on the thread of `run`, but for `stop` and `post`, which any thread may call.
+/// done elapsed the same.
+/// Thread safety: elapsed methods on the thread of `run`, but for `stop` and `post`, which any thread may
+/// call.
 class event_loop {
 public:
     event_loop();
@@ -41,7 +42,7 @@
     [[nodiscard]] time_point now() const;
     /// Returns which share of the last half second or so the thread was busy, 0 to 1.
     [[nodiscard]] double get_busy_share() const { return m_busy_share; }
-    /// Returns how late timers fired of late, smoothed over as long.
+    /// Returns how lateness timers fired of lateness, smoothed over as long.
     [[nodiscard]] duration get_lag() const { return m_lag; }
     /// Returns how many turns ended with work still ready.
     [[nodiscard]] std::uint64_t get_cut_turns() const { return m_cut_turns; }
@@ -61,7 +62,7 @@
     [[nodiscard]] boost::asio::io_context& get_context();
 
 private:
-    struct parts;
+    struct impl;
     struct timer {
         timer_id id = 0;
         std::function<void()> work;
@@ -72,18 +73,18 @@
     bool poll_one();
     void run_ready();
     void run_due_timers();
-    void note_turn(time_point began, time_point woke);
-    void arm();
+    void update_load(time_point wait_began, time_point wait_ended);
+    void arm_timer();
     void wait_for_signal(std::size_t index);
 
-    std::unique_ptr<parts> m_parts;
+    std::unique_ptr<impl> m_impl;
     std::multimap<time_point, timer> m_timers;
     std::map<timer_id, time_point> m_timer_times;
     timer_id m_next_timer = 1;
-    time_point m_armed{}; ///< when the Asio timer fires; zero while it is not set
+    time_point m_timer_expiry{}; ///< when the Asio timer fires; zero while it is not set
     mutable time_point m_now{};
-    mutable bool m_may_be_old = false; ///< a wait or a call may have passed since `m_now` was read
-    time_point m_last_wake{};          ///< when the wait of the last turn ended
+    mutable bool m_is_now_stale = false; ///< a wait or a call may have passed since `m_now` was read
+    time_point m_last_wake{};            ///< when the wait of the last turn ended
     double m_busy_share = 0;
     duration m_lag{};
     std::uint64_t m_cut_turns = 0;
--- a/poplarpitch/net/frame_socket.h
+++ b/poplarpitch/net/frame_socket.h
@@ -18,12 +18,12 @@
 /// reader is not there any more. Thread safety: the loop's thread, for all methods.
 class frame_socket : public std::enable_shared_from_this<frame_socket> {
 public:
-    struct parts;
+    struct impl;
 
     /// Called for each frame that arrived.
     using frame_handler = std::function<void(const std::string&)>;
 
-    explicit frame_socket(std::unique_ptr<parts> connected);
+    explicit frame_socket(std::unique_ptr<impl> connected);
     ~frame_socket();
     frame_socket(const frame_socket&) = delete;
     frame_socket& operator=(const frame_socket&) = delete;
@@ -40,9 +40,9 @@
     void read();
     void on_bytes(std::size_t count);
     void write();
-    void end();
+    void close_and_notify();
 
-    std::unique_ptr<parts> m_parts;
+    std::unique_ptr<impl> m_impl;
 };
 
 /// Accepts connections of frames.
@@ -61,8 +61,8 @@
     int start();
 
 private:
-    struct parts;
-    std::shared_ptr<parts> m_parts;
+    struct impl;
+    std::shared_ptr<impl> m_impl;
 };
 
 /// Opens a connection of frames to `address` (IPv4 and port); `on_done` gets null when it cannot be made
--- a/poplarpitch/net/http_caller.cpp
+++ b/poplarpitch/net/http_caller.cpp
@@ -12,8 +12,8 @@
     m_connections->abandon_all();
 }
 
-void http_caller::send(http_call call, answer_handler on_answer) {
-    std::make_shared<http_exchange>(m_connections, std::move(call), std::move(on_answer))->start();
+void http_caller::send(http_call call, response_handler on_response) {
+    std::make_shared<http_exchange>(m_connections, std::move(call), std::move(on_response))->start();
 }
 
 http_caller_use http_caller::get_use() const {
--- a/poplarpitch/net/http_caller.h
+++ b/poplarpitch/net/http_caller.h
@@ -28,7 +28,7 @@
 /// them all. Thread safety: the loop's thread, for all methods.
 class http_caller {
 public:
-    using answer_handler = std::function<void(result<http_response>)>;
+    using response_handler = std::function<void(result<http_response>)>;
 
     /// Precondition: `loop` outlives the caller.
     http_caller(event_loop& loop, const http_caller_settings& settings);
@@ -36,8 +36,8 @@
     http_caller(const http_caller&) = delete;
     http_caller& operator=(const http_caller&) = delete;
 
-    /// Sends a request; `on_answer` is called once, in a later turn, unless the caller is destroyed before.
-    void send(http_call call, answer_handler on_answer);
+    /// Sends a request; `on_response` is called once, in a later turn, unless the caller is destroyed before.
+    void send(http_call call, response_handler on_response);
     /// Returns what is open now and what was used since the start.
     [[nodiscard]] http_caller_use get_use() const;
 
--- a/poplarpitch/net/http_connections.cpp
+++ b/poplarpitch/net/http_connections.cpp
@@ -7,7 +7,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t closed_when_exhausted = 16; // idle ones, so that listening and the log get on
+constexpr std::size_t idle_closed_when_exhausted = 16; // idle ones, so that listening and the log get on
 
 } // namespace
 
@@ -17,7 +17,8 @@
 }
 
 bool http_connections::peer::is_empty() const {
-    return idle.empty() && prompt_calls == 0 && long_calls == 0 && !has_waiting() && waiting_long.empty();
+    return idle.empty() && short_calls == 0 && long_calls == 0 && !has_waiting() &&
+           waiting_long_calls.empty();
 }
 
 http_connections::http_connections(event_loop& loop, const http_caller_settings& settings)
@@ -26,39 +27,39 @@
 void http_connections::request(const std::shared_ptr<http_exchange>& exchange) {
     if (m_waiting >= m_settings.max_waiting) {
         ++m_not_sent;
-        exchange->refuse();
+        exchange->reject();
         return;
     }
     m_exchanges.insert(exchange);
     ++m_waiting;
     auto& item = m_peers[exchange->get_address()];
-    auto& queue = exchange->is_long() ? item.waiting_long
+    auto& queue = exchange->is_long() ? item.waiting_long_calls
                                       : item.waiting[static_cast<std::size_t>(exchange->get_importance())];
     queue.push_back(exchange);
     serve(exchange->get_address());
 }
 
-bool http_connections::may_begin_prompt(const peer& item) const {
-    if (item.prompt_calls == 0) {
+bool http_connections::may_begin_short_call(const peer& item) const {
+    if (item.short_calls == 0) {
         return true;
     }
-    return item.prompt_calls < m_settings.max_prompt_per_address &&
-           m_loop.now() - item.prompt_since >= m_settings.second_after;
+    return item.short_calls < m_settings.max_short_calls_per_address &&
+           m_loop.now() - item.last_short_call_at >= m_settings.second_connection_delay;
 }
 
-http_connections::wait_queue* http_connections::find_startable(peer& item) {
+http_connections::wait_queue* http_connections::find_ready_queue(peer& item) {
     const auto drop_late = [](wait_queue& queue) { // the timer of a call that is too late ends it
-        while (!queue.empty() && (queue.front()->is_over() || !queue.front()->has_time_left())) {
+        while (!queue.empty() && (queue.front()->is_finished() || !queue.front()->has_time_left())) {
             queue.pop_front();
         }
         return !queue.empty();
     };
-    if (drop_late(item.waiting_long) && item.long_calls == 0) {
-        return &item.waiting_long;
+    if (drop_late(item.waiting_long_calls) && item.long_calls == 0) {
+        return &item.waiting_long_calls;
     }
     for (auto queue = item.waiting.rbegin(); queue != item.waiting.rend(); ++queue) {
         if (drop_late(*queue)) {
-            return may_begin_prompt(item) ? &*queue : nullptr;
+            return may_begin_short_call(item) ? &*queue : nullptr;
         }
     }
     return nullptr;
@@ -70,13 +71,13 @@
         return;
     }
     auto& item = found->second;
-    while (auto* queue = find_startable(item)) {
+    while (auto* queue = find_ready_queue(item)) {
         if (!begin_first(address, item, *queue)) {
             return;
         }
     }
-    arm_second(address, item);
-    forget_if_empty(address);
+    arm_second_connection_timer(address, item);
+    erase_if_empty(address);
 }
 
 bool http_connections::begin_first(const std::string& address, peer& item, wait_queue& queue) {
@@ -86,12 +87,12 @@
         queue.pop_front();
         --m_waiting;
         m_exchanges.erase(exchange);
-        exchange->refuse();
+        exchange->reject();
         return true;
     }
     if (socket == nullptr) {
         if (!make_room()) {
-            starve(address, item, exchange->get_importance());
+            add_starved(address, item, exchange->get_importance());
             return false;
         }
         ++m_connections;
@@ -101,30 +102,30 @@
     if (exchange->is_long()) {
         ++item.long_calls;
     } else {
-        ++item.prompt_calls;
-        item.prompt_since = m_loop.now();
+        ++item.short_calls;
+        item.last_short_call_at = m_loop.now();
     }
     exchange->begin(std::move(socket));
     return true;
 }
 
 http_connections::socket_ptr http_connections::take_idle(peer& item, http_exchange& exchange) {
-    const auto may_use = [&exchange](const idle_list::iterator& place) {
+    const auto may_use = [&exchange](const idle_list::iterator& connection) {
         const auto before = exchange.get_opened_before();
-        return !before.has_value() || place->opened < *before;
+        return !before.has_value() || connection->opened_at < *before;
     };
     while (true) {
         const auto newest = std::find_if(item.idle.rbegin(), item.idle.rend(), may_use);
         if (newest == item.idle.rend()) {
             return nullptr;
         }
-        const auto place = *newest;
+        const auto connection = *newest;
         item.idle.erase(std::next(newest).base());
-        exchange.note_opened(place->opened);
-        auto socket = std::move(place->socket);
-        const bool is_good = m_loop.now() - place->since < m_settings.max_idle;
-        m_idle.erase(place);
-        if (is_good) {
+        exchange.set_opened_at(connection->opened_at);
+        auto socket = std::move(connection->socket);
+        const bool is_usable = m_loop.now() - connection->idle_since < m_settings.max_idle;
+        m_idle.erase(connection);
+        if (is_usable) {
             return socket;
         }
         --m_connections;
@@ -142,28 +143,28 @@
 }
 
 void http_connections::close_oldest_idle() {
-    const auto place = m_idle.begin();
-    const auto address = place->address;
-    std::erase(m_peers[address].idle, place);
-    m_idle.erase(place);
+    const auto connection = m_idle.begin();
+    const auto address = connection->address;
+    std::erase(m_peers[address].idle, connection);
+    m_idle.erase(connection);
     --m_connections;
-    forget_if_empty(address);
+    erase_if_empty(address);
 }
 
 /// Those of workers that are gone are not asked for any more.
 void http_connections::close_expired_idle() {
-    while (!m_idle.empty() && m_loop.now() - m_idle.front().since >= m_settings.max_idle) {
+    while (!m_idle.empty() && m_loop.now() - m_idle.front().idle_since >= m_settings.max_idle) {
         close_oldest_idle();
     }
 }
 
-void http_connections::give_back(http_exchange& exchange, socket_ptr socket) {
+void http_connections::release(http_exchange& exchange, socket_ptr socket) {
     const auto& address = exchange.get_address();
     auto& item = m_peers[address];
-    auto& calls = exchange.is_long() ? item.long_calls : item.prompt_calls;
+    auto& calls = exchange.is_long() ? item.long_calls : item.short_calls;
     --calls;
     if (socket != nullptr && item.idle.size() < m_settings.max_idle_per_address) {
-        m_idle.push_back({address, std::move(socket), m_loop.now(), exchange.get_opened()});
+        m_idle.push_back({address, std::move(socket), m_loop.now(), exchange.get_opened_at()});
         item.idle.push_back(std::prev(m_idle.end()));
     } else {
         socket.reset();
@@ -174,15 +175,15 @@
     serve_starved();
 }
 
-void http_connections::on_wait_over(bool was_refused) {
+void http_connections::on_wait_ended(bool was_not_sent) {
     --m_waiting;
-    m_not_sent += was_refused ? 1 : 0;
+    m_not_sent += was_not_sent ? 1 : 0;
 }
 
 void http_connections::on_exhausted(const std::shared_ptr<http_exchange>& exchange) {
     ++m_exhausted;
     m_exhausted_until = m_loop.now() + m_settings.exhausted_pause;
-    for (std::size_t closed = 0; closed < closed_when_exhausted && !m_idle.empty(); ++closed) {
+    for (std::size_t closed = 0; closed < idle_closed_when_exhausted && !m_idle.empty(); ++closed) {
         close_oldest_idle();
     }
     const auto& address = exchange->get_address();
@@ -191,12 +192,12 @@
     ++m_waiting;
     if (exchange->is_long()) {
         --item.long_calls;
-        item.waiting_long.push_front(exchange);
+        item.waiting_long_calls.push_front(exchange);
     } else {
-        --item.prompt_calls;
+        --item.short_calls;
         item.waiting[static_cast<std::size_t>(exchange->get_importance())].push_front(exchange);
     }
-    starve(address, item, exchange->get_importance());
+    add_starved(address, item, exchange->get_importance());
     m_loop.call_after(m_settings.exhausted_pause, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->serve_starved();
@@ -209,17 +210,17 @@
     if (found == m_peers.end()) {
         return;
     }
-    for (const auto place : found->second.idle) {
-        m_idle.erase(place);
+    for (const auto connection : found->second.idle) {
+        m_idle.erase(connection);
         --m_connections;
     }
     found->second.idle.clear();
-    forget_if_empty(address);
+    erase_if_empty(address);
 }
 
 // ---- calls for which no connection was left
 
-void http_connections::starve(const std::string& address, peer& item, call_importance importance) {
+void http_connections::add_starved(const std::string& address, peer& item, call_importance importance) {
     const auto place = static_cast<std::size_t>(importance);
     if (!item.starved[place]) {
         item.starved[place] = true;
@@ -243,25 +244,25 @@
     }
 }
 
-void http_connections::arm_second(const std::string& address, peer& item) {
-    const bool may_come = item.prompt_calls > 0 && item.prompt_calls < m_settings.max_prompt_per_address;
-    if (!item.has_waiting() || !may_come || item.second_timer != 0) {
+void http_connections::arm_second_connection_timer(const std::string& address, peer& item) {
+    const bool may_come = item.short_calls > 0 && item.short_calls < m_settings.max_short_calls_per_address;
+    if (!item.has_waiting() || !may_come || item.second_connection_timer != 0) {
         return;
     }
-    item.second_timer =
-        m_loop.call_at(item.prompt_since + m_settings.second_after, [weak = weak_from_this(), address] {
+    item.second_connection_timer = m_loop.call_at(
+        item.last_short_call_at + m_settings.second_connection_delay, [weak = weak_from_this(), address] {
             const auto self = weak.lock();
             if (self == nullptr) {
                 return;
             }
             if (const auto found = self->m_peers.find(address); found != self->m_peers.end()) {
-                found->second.second_timer = 0;
+                found->second.second_connection_timer = 0;
                 self->serve(address);
             }
         });
 }
 
-void http_connections::forget_if_empty(const std::string& address) {
+void http_connections::erase_if_empty(const std::string& address) {
     const auto found = m_peers.find(address);
     if (found != m_peers.end() && found->second.is_empty()) {
         m_peers.erase(found);
--- a/poplarpitch/net/http_connections.h
+++ b/poplarpitch/net/http_connections.h
@@ -35,12 +35,12 @@
     http_connections(event_loop& loop, const http_caller_settings& settings);
 
     /// Gives the call a connection now (`http_exchange::begin`), or lets it wait for one, or refuses it where
-    /// too many wait (`http_exchange::refuse`).
+    /// too many wait (`http_exchange::reject`).
     void request(const std::shared_ptr<http_exchange>& exchange);
     /// Takes back the connection of a call. A `socket` that is not null stays open for later calls.
-    void give_back(http_exchange& exchange, socket_ptr socket);
+    void release(http_exchange& exchange, socket_ptr socket);
     /// Notes that a call that waited does so no longer.
-    void on_wait_over(bool was_refused);
+    void on_wait_ended(bool was_not_sent);
     /// Notes that no descriptor was left for the connection of `exchange`, which waits again.
     void on_exhausted(const std::shared_ptr<http_exchange>& exchange);
     /// Notes that a connection is being opened.
@@ -60,29 +60,29 @@
     struct idle_connection {
         std::string address;
         socket_ptr socket;
-        time_point since{};
-        time_point opened{};
+        time_point idle_since{};
+        time_point opened_at{};
     };
     using idle_list = std::list<idle_connection>;
     using wait_queue = std::deque<std::shared_ptr<http_exchange>>;
     struct peer {
         std::vector<idle_list::iterator> idle;            ///< newest last
-        std::size_t prompt_calls = 0;                     ///< under way
+        std::size_t short_calls = 0;                      ///< under way
         std::size_t long_calls = 0;                       ///< under way
-        time_point prompt_since{};                        ///< when the last prompt call began
+        time_point last_short_call_at{};                  ///< when the last prompt call began
         std::array<wait_queue, call_importances> waiting; ///< prompt calls
-        wait_queue waiting_long;
+        wait_queue waiting_long_calls;
         std::array<bool, call_importances> starved{}; ///< stands in `m_starved`
-        timer_id second_timer = 0;                    ///< for the second connection
+        timer_id second_connection_timer = 0;         ///< for the second connection
 
         [[nodiscard]] bool has_waiting() const;
         [[nodiscard]] bool is_empty() const;
     };
 
     void serve(const std::string& address);
-    [[nodiscard]] bool may_begin_prompt(const peer& item) const;
+    [[nodiscard]] bool may_begin_short_call(const peer& item) const;
     /// Returns the queue whose first call may begin now, or null.
-    wait_queue* find_startable(peer& item);
+    wait_queue* find_ready_queue(peer& item);
     /// Returns false when no connection can be had now.
     bool begin_first(const std::string& address, peer& item, wait_queue& queue);
     /// Gives the call an open connection that it may use, or null.
@@ -90,10 +90,10 @@
     [[nodiscard]] bool make_room();
     void close_oldest_idle();
     void close_expired_idle();
-    void starve(const std::string& address, peer& item, call_importance importance);
+    void add_starved(const std::string& address, peer& item, call_importance importance);
     void serve_starved();
-    void arm_second(const std::string& address, peer& item);
-    void forget_if_empty(const std::string& address);
+    void arm_second_connection_timer(const std::string& address, peer& item);
+    void erase_if_empty(const std::string& address);
 
     event_loop& m_loop;
     http_caller_settings m_settings;
--- a/poplarpitch/net/http_exchange.cpp
+++ b/poplarpitch/net/http_exchange.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::uint64_t max_answer = 4U << 20;    // bytes; the largest list of ends is far below
-constexpr duration least_time = milliseconds{50}; // an answer takes a few milliseconds
-constexpr int shortest_part = 4; // of the timeout of a call that has hardly more from the start
+constexpr std::uint64_t max_response_bytes = 4U << 20; // bytes; the largest list of ends is far below
+constexpr duration min_time_left = milliseconds{50};   // an response takes a few milliseconds
+constexpr int min_time_divisor = 4; // of the timeout of a call that has hardly more from the start
 
 bool is_exhaustion(const boost::system::error_code& error) {
     return error == asio::error::no_descriptors ||
@@ -28,9 +28,9 @@
 } // namespace
 
 http_exchange::http_exchange(std::shared_ptr<http_connections> owner, http_call call,
-                             answer_handler on_answer)
+                             response_handler on_response)
     : m_connections(std::move(owner)), m_loop(m_connections->get_loop()), m_call(std::move(call)),
-      m_on_answer(std::move(on_answer)) {}
+      m_on_response(std::move(on_response)) {}
 
 void http_exchange::start() {
     m_deadline = m_loop.now() + m_call.timeout;
@@ -42,7 +42,7 @@
 }
 
 bool http_exchange::has_time_left() const {
-    return m_deadline - m_loop.now() >= std::min(least_time, m_call.timeout / shortest_part);
+    return m_deadline - m_loop.now() >= std::min(min_time_left, m_call.timeout / min_time_divisor);
 }
 
 void http_exchange::begin(socket_ptr socket) {
@@ -56,15 +56,15 @@
     }
 }
 
-void http_exchange::refuse() {
-    m_stage = stage::over;
+void http_exchange::reject() {
+    m_stage = stage::finished;
     m_loop.cancel(m_timer);
-    m_loop.post([self = shared_from_this()] { self->m_on_answer(make_error_code(net_errc::not_sent)); });
+    m_loop.post([self = shared_from_this()] { self->m_on_response(make_error_code(net_errc::not_sent)); });
 }
 
 void http_exchange::abandon() {
-    m_stage = stage::over;
-    m_on_answer = nullptr;
+    m_stage = stage::finished;
+    m_on_response = nullptr;
     m_loop.cancel(m_timer);
     m_loop.cancel(m_connect_timer);
     close_socket();
@@ -90,7 +90,7 @@
     m_stage = stage::connecting;
     const auto endpoint = read_socket_address(m_call.address);
     if (!endpoint.has_value()) {
-        m_loop.post([self = shared_from_this()] { self->finish_unsent(); });
+        m_loop.post([self = shared_from_this()] { self->fail_unsent(); });
         return;
     }
     auto socket = std::make_unique<asio::ip::tcp::socket>(m_loop.get_context());
@@ -106,7 +106,7 @@
     m_connect_timer =
         m_loop.call_after(m_connections->get_settings().connect_timeout, [self = shared_from_this()] {
             self->m_connect_timer = 0;
-            self->finish_unsent();
+            self->fail_unsent();
         });
     const asio::ip::tcp::endpoint target(asio::ip::address_v4(endpoint->ip), endpoint->port);
     m_socket->async_connect(target, [self = shared_from_this()](const boost::system::error_code& failed) {
@@ -115,17 +115,17 @@
 }
 
 void http_exchange::on_connected(const boost::system::error_code& error) {
-    if (is_over()) {
+    if (is_finished()) {
         return;
     }
     m_loop.cancel(m_connect_timer);
     m_connect_timer = 0;
     const bool is_late = m_loop.now() >= m_deadline; // this process may have stood still
     if (error || is_late) {
-        finish_unsent();
+        fail_unsent();
         return;
     }
-    m_opened = m_loop.now();
+    m_opened_at = m_loop.now();
     boost::system::error_code ignored; // without it requests only wait a little longer
     m_socket->set_option(asio::ip::tcp::no_delay(true), ignored);
     write();
@@ -140,26 +140,26 @@
 }
 
 void http_exchange::on_written(const beast::error_code& error) {
-    if (is_over()) {
+    if (is_finished()) {
         return;
     }
     if (error) {
-        on_broken();
+        on_connection_lost();
         return;
     }
     m_parser.emplace();
-    m_parser->body_limit(max_answer);
+    m_parser->body_limit(max_response_bytes);
     beast::http::async_read(
         *m_socket, m_buffer, *m_parser,
         [self = shared_from_this()](const beast::error_code& failed, std::size_t) { self->on_read(failed); });
 }
 
 void http_exchange::on_read(const beast::error_code& error) {
-    if (is_over()) {
+    if (is_finished()) {
         return;
     }
     if (error) {
-        on_broken();
+        on_connection_lost();
         return;
     }
     auto message = m_parser->release();
@@ -169,15 +169,15 @@
         response.headers.add(std::string(field.name_string()), std::string(field.value()));
     }
     response.body = std::move(message.body());
-    response.is_repeated = m_was_written;
+    response.is_repeated = m_was_sent_before;
     finish(std::move(response), message.keep_alive() ? std::move(m_socket) : nullptr);
 }
 
-void http_exchange::on_broken() {
-    const bool is_untouched = !m_parser.has_value() || !m_parser->got_some();
-    if (m_is_reused && is_untouched && !m_call.opened_before.has_value()) {
+void http_exchange::on_connection_lost() {
+    const bool has_no_response = !m_parser.has_value() || !m_parser->got_some();
+    if (m_is_reused && has_no_response && !m_call.opened_before.has_value()) {
         m_is_reused = false;
-        m_was_written = true;
+        m_was_sent_before = true;
         m_parser.reset();
         m_buffer.clear();
         close_socket();
@@ -188,14 +188,14 @@
 }
 
 void http_exchange::on_timeout() {
-    if (is_over()) {
+    if (is_finished()) {
         return;
     }
     if (m_stage == stage::waiting) {
-        m_stage = stage::over;
-        m_connections->on_wait_over(true);
+        m_stage = stage::finished;
+        m_connections->on_wait_ended(true);
         m_connections->on_end(shared_from_this());
-        m_on_answer(get_unsent_error(net_errc::not_sent));
+        m_on_response(get_unsent_error(net_errc::not_sent));
         return;
     }
     const bool was_sent = m_stage == stage::sent;
@@ -204,21 +204,22 @@
 }
 
 std::error_code http_exchange::get_unsent_error(net_errc unsent) const {
-    return make_error_code(m_was_written ? net_errc::broken : unsent);
+    return make_error_code(m_was_sent_before ? net_errc::broken : unsent);
 }
 
-void http_exchange::finish(result<http_response> answer, socket_ptr reusable) {
-    if (is_over()) {
+void http_exchange::finish(result<http_response> response, socket_ptr reusable) {
+    if (is_finished()) {
         return;
     }
-    m_stage = stage::over;
+    m_stage = stage::finished;
     m_loop.cancel(m_timer);
     m_loop.cancel(m_connect_timer);
     close_socket();
     const auto self = shared_from_this(); // the set of open calls may hold the last reference
     m_connections->on_end(self);
-    m_connections->give_back(*this, std::move(reusable));
-    m_loop.post([self, answer = std::move(answer)]() mutable { self->m_on_answer(std::move(answer)); });
+    m_connections->release(*this, std::move(reusable));
+    m_loop.post(
+        [self, response = std::move(response)]() mutable { self->m_on_response(std::move(response)); });
 }
 
 void http_exchange::close_socket() {
--- a/poplarpitch/net/http_exchange.h
+++ b/poplarpitch/net/http_exchange.h
@@ -23,17 +23,17 @@
 /// loop's thread, for all methods.
 class http_exchange : public std::enable_shared_from_this<http_exchange> {
 public:
-    using answer_handler = std::function<void(result<http_response>)>;
+    using response_handler = std::function<void(result<http_response>)>;
     using socket_ptr = std::unique_ptr<boost::asio::ip::tcp::socket>;
 
-    http_exchange(std::shared_ptr<http_connections> owner, http_call call, answer_handler on_answer);
+    http_exchange(std::shared_ptr<http_connections> owner, http_call call, response_handler on_response);
 
     /// Asks for a connection; the call's time runs from here.
     void start();
     /// Goes on with an open connection, or with null to open one. Precondition: the call waits for one.
     void begin(socket_ptr socket);
     /// Ends the call, which never waited: too many do.
-    void refuse();
+    void reject();
     /// Ends the call without telling anybody.
     void abandon();
 
@@ -42,17 +42,17 @@
     [[nodiscard]] bool is_long() const { return m_call.is_long; }
     [[nodiscard]] bool is_fresh() const { return m_call.is_fresh; }
     [[nodiscard]] std::optional<time_point> get_opened_before() const { return m_call.opened_before; }
-    /// Returns when its connection was opened.
-    [[nodiscard]] time_point get_opened() const { return m_opened; }
-    /// Takes when the connection was opened that it is given.
-    void note_opened(time_point opened) { m_opened = opened; }
-    [[nodiscard]] bool is_over() const { return m_stage == stage::over; }
+    /// Returns when its connection was opened_at.
+    [[nodiscard]] time_point get_opened_at() const { return m_opened_at; }
+    /// Takes when the connection was opened_at that it is given.
+    void set_opened_at(time_point opened_at) { m_opened_at = opened_at; }
+    [[nodiscard]] bool is_finished() const { return m_stage == stage::finished; }
     /// Returns true while an answer can still be expected in time if the call is sent now. One that is sent
     /// with less time left ends unanswered, which is worse than not sent.
     [[nodiscard]] bool has_time_left() const;
 
 private:
-    enum class stage : std::uint8_t { waiting, connecting, sent, over };
+    enum class stage : std::uint8_t { waiting, connecting, sent, finished };
 
     void make_request();
     void connect();
@@ -60,11 +60,11 @@
     void write();
     void on_written(const boost::beast::error_code& error);
     void on_read(const boost::beast::error_code& error);
-    void on_broken();
+    void on_connection_lost();
     void on_timeout();
-    void finish(result<http_response> answer, socket_ptr reusable = nullptr);
+    void finish(result<http_response> response, socket_ptr reusable = nullptr);
     /// Ends the call for want of a connection.
-    void finish_unsent() { finish(get_unsent_error(net_errc::unreachable)); }
+    void fail_unsent() { finish(get_unsent_error(net_errc::unreachable)); }
     /// Returns what an attempt that did not leave says of the whole call: `unsent`, unless an earlier attempt
     /// was written.
     [[nodiscard]] std::error_code get_unsent_error(net_errc unsent) const;
@@ -73,18 +73,18 @@
     std::shared_ptr<http_connections> m_connections;
     event_loop& m_loop;
     http_call m_call;
-    answer_handler m_on_answer;
+    response_handler m_on_response;
     socket_ptr m_socket;
     boost::beast::flat_buffer m_buffer;
     boost::beast::http::request<boost::beast::http::string_body> m_request;
     std::optional<boost::beast::http::response_parser<boost::beast::http::string_body>> m_parser;
     time_point m_deadline{};
-    time_point m_opened{};
+    time_point m_opened_at{};
     timer_id m_timer = 0;
     timer_id m_connect_timer = 0;
     stage m_stage = stage::waiting;
     bool m_is_reused = false;
-    bool m_was_written = false; ///< on a connection that has ended since: it may have been carried out
+    bool m_was_sent_before = false; ///< on a connection that has ended since: it may have been carried out
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/net/http_listener.cpp
+++ b/poplarpitch/net/http_listener.cpp
@@ -20,14 +20,14 @@
 namespace {
 
 constexpr int listen_backlog = 4096; // a burst of callers connects without waiting for a resend
-constexpr duration accept_pause = milliseconds{100}; // while descriptors are used up
-constexpr std::uint32_t max_header = 64U << 10;      // bytes
+constexpr duration accept_retry_delay = milliseconds{100}; // while descriptors are used up
+constexpr std::uint32_t max_header_bytes = 64U << 10;      // bytes
 
 } // namespace
 
 /// What sessions share with the listener; it outlives both while either needs it.
-struct http_listener::parts {
-    parts(event_loop& owner, const http_listener_settings& chosen, request_handler work)
+struct http_listener::impl {
+    impl(event_loop& owner, const http_listener_settings& chosen, request_handler work)
         : loop(owner), settings(chosen), handler(std::move(work)), acceptor(owner.get_context()) {}
 
     event_loop& loop;
@@ -37,24 +37,24 @@
     std::set<std::shared_ptr<session>> sessions;
     std::size_t open_requests = 0;
     bool is_draining = false;
-    timer_id sweep = 0;
+    timer_id sweep_timer = 0;
 
-    static void accept(const std::shared_ptr<parts>& self);
+    static void accept(const std::shared_ptr<impl>& self);
     /// Makes room for another connection where one is idle. Returns false where none is.
     bool make_room();
-    static void sweep_later(const std::shared_ptr<parts>& self);
+    static void schedule_sweep(const std::shared_ptr<impl>& self);
 };
 
 /// One connection: reads a request, waits for its answer, writes it, and begins again.
 class http_listener::session : public std::enable_shared_from_this<session> {
 public:
-    session(std::shared_ptr<parts> owner, asio::ip::tcp::socket socket)
-        : m_parts(std::move(owner)), m_socket(std::move(socket)), m_last_use(m_parts->loop.now()) {}
+    session(std::shared_ptr<impl> owner, asio::ip::tcp::socket socket)
+        : m_impl(std::move(owner)), m_socket(std::move(socket)), m_last_use(m_impl->loop.now()) {}
 
     void read() {
         m_parser.emplace();
-        m_parser->body_limit(m_parts->settings.max_body);
-        m_parser->header_limit(max_header);
+        m_parser->body_limit(m_impl->settings.max_body);
+        m_parser->header_limit(max_header_bytes);
         beast::http::async_read(m_socket, m_buffer, *m_parser,
                                 [self = shared_from_this()](const beast::error_code& error, std::size_t) {
                                     self->on_read(error);
@@ -64,7 +64,7 @@
     void close() {
         boost::system::error_code ignored; // the connection goes either way
         m_socket.close(ignored);
-        m_parts->sessions.erase(shared_from_this());
+        m_impl->sessions.erase(shared_from_this());
     }
 
     [[nodiscard]] bool is_idle() const { return !m_is_busy; }
@@ -80,7 +80,7 @@
     void on_read(const beast::error_code& error) {
         if (error == beast::http::error::body_limit) {
             m_is_busy = true;
-            ++m_parts->open_requests;
+            ++m_impl->open_requests;
             m_must_close = true;
             write(make_error_response(413, "too_large", "the body is larger than allowed"));
             return;
@@ -90,8 +90,8 @@
             return;
         }
         m_is_busy = true;
-        m_last_use = m_parts->loop.now();
-        ++m_parts->open_requests;
+        m_last_use = m_impl->loop.now();
+        ++m_impl->open_requests;
         auto message = m_parser->release();
         http_request request;
         request.method = std::string(message.method_string());
@@ -103,7 +103,7 @@
         m_version = message.version();
         m_must_close = !message.keep_alive();
         std::weak_ptr<session> weak = shared_from_this();
-        m_parts->handler(std::move(request), [weak](http_response response) {
+        m_impl->handler(std::move(request), [weak](http_response response) {
             if (const auto self = weak.lock()) {
                 self->write(std::move(response));
             }
@@ -114,7 +114,7 @@
         if (!m_socket.is_open() || m_response.has_value()) {
             return;
         }
-        m_must_close = m_must_close || m_parts->is_draining;
+        m_must_close = m_must_close || m_impl->is_draining;
         m_response.emplace(static_cast<beast::http::status>(response.status), m_version);
         for (const auto& header : response.headers.get_all()) {
             m_response->insert(header.name, header.value);
@@ -132,9 +132,9 @@
     }
 
     void on_written(const beast::error_code& error) {
-        --m_parts->open_requests;
+        --m_impl->open_requests;
         m_is_busy = false;
-        m_last_use = m_parts->loop.now();
+        m_last_use = m_impl->loop.now();
         m_response.reset();
         if (error || m_must_close) {
             boost::system::error_code ignored; // the other side may have closed first
@@ -145,7 +145,7 @@
         read();
     }
 
-    std::shared_ptr<parts> m_parts;
+    std::shared_ptr<impl> m_impl;
     asio::ip::tcp::socket m_socket;
     beast::flat_buffer m_buffer;
     std::optional<beast::http::request_parser<beast::http::string_body>> m_parser;
@@ -156,13 +156,13 @@
     time_point m_last_use;
 };
 
-void http_listener::parts::accept(const std::shared_ptr<parts>& self) {
+void http_listener::impl::accept(const std::shared_ptr<impl>& self) {
     self->acceptor.async_accept([self](const boost::system::error_code& error, asio::ip::tcp::socket socket) {
         if (!self->acceptor.is_open()) {
             return;
         }
         if (error) {
-            self->loop.call_after(accept_pause, [self] { accept(self); });
+            self->loop.call_after(accept_retry_delay, [self] { accept(self); });
             return;
         }
         if (self->make_room()) {
@@ -178,7 +178,7 @@
 
 /// The connection idle for longest goes: whoever has it opens another, while one that is turned away would
 /// have to look for another instance. Load pattern: more workers send heartbeats than there are descriptors.
-bool http_listener::parts::make_room() {
+bool http_listener::impl::make_room() {
     if (sessions.size() < settings.max_connections) {
         return true;
     }
@@ -195,61 +195,61 @@
     return true;
 }
 
-void http_listener::parts::sweep_later(const std::shared_ptr<parts>& self) {
-    self->sweep = self->loop.call_after(self->settings.sweep_interval, [self] {
+void http_listener::impl::schedule_sweep(const std::shared_ptr<impl>& self) {
+    self->sweep_timer = self->loop.call_after(self->settings.sweep_interval, [self] {
         const auto oldest = self->loop.now() - self->settings.idle_timeout;
         const auto sessions = self->sessions; // closing one changes the set
         for (const auto& item : sessions) {
             item->close_if_idle(oldest);
         }
-        sweep_later(self);
+        schedule_sweep(self);
     });
 }
 
 http_listener::http_listener(event_loop& loop, const http_listener_settings& settings,
                              request_handler handler)
-    : m_parts(std::make_shared<parts>(loop, settings, std::move(handler))) {}
+    : m_impl(std::make_shared<impl>(loop, settings, std::move(handler))) {}
 
 http_listener::~http_listener() {
     boost::system::error_code ignored; // it ends either way
-    m_parts->acceptor.close(ignored);
-    m_parts->loop.cancel(m_parts->sweep);
-    const auto sessions = m_parts->sessions;
+    m_impl->acceptor.close(ignored);
+    m_impl->loop.cancel(m_impl->sweep_timer);
+    const auto sessions = m_impl->sessions;
     for (const auto& item : sessions) {
         item->close();
     }
 }
 
 result<int> http_listener::start() {
-    auto& acceptor = m_parts->acceptor;
-    if (!start_listening(acceptor, m_parts->settings.host, m_parts->settings.port, listen_backlog)) {
+    auto& acceptor = m_impl->acceptor;
+    if (!start_listening(acceptor, m_impl->settings.host, m_impl->settings.port, listen_backlog)) {
         return make_error_code(net_errc::listen_failed);
     }
-    parts::accept(m_parts);
-    parts::sweep_later(m_parts);
+    impl::accept(m_impl);
+    impl::schedule_sweep(m_impl);
     return static_cast<int>(acceptor.local_endpoint().port());
 }
 
 void http_listener::close_after_answers() {
-    m_parts->is_draining = true;
+    m_impl->is_draining = true;
 }
 
 void http_listener::drain() {
-    m_parts->is_draining = true;
+    m_impl->is_draining = true;
     boost::system::error_code ignored; // it takes no new connections either way
-    m_parts->acceptor.close(ignored);
-    const auto sessions = m_parts->sessions; // closing one changes the set
+    m_impl->acceptor.close(ignored);
+    const auto sessions = m_impl->sessions; // closing one changes the set
     for (const auto& item : sessions) {
-        item->close_if_idle(m_parts->loop.now() + seconds{1});
+        item->close_if_idle(m_impl->loop.now() + seconds{1});
     }
 }
 
 std::size_t http_listener::get_open_requests() const {
-    return m_parts->open_requests;
+    return m_impl->open_requests;
 }
 
 std::size_t http_listener::get_connections() const {
-    return m_parts->sessions.size();
+    return m_impl->sessions.size();
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/net/http_listener.h
+++ b/poplarpitch/net/http_listener.h
@@ -55,10 +55,10 @@
     [[nodiscard]] std::size_t get_connections() const;
 
 private:
-    struct parts;
+    struct impl;
     class session;
 
-    std::shared_ptr<parts> m_parts;
+    std::shared_ptr<impl> m_impl;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/telemetry/line_ring.cpp
+++ b/poplarpitch/telemetry/line_ring.cpp
@@ -9,7 +9,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t chunk = 4096; // PIPE_BUF: a pipe that polls as writable takes this much without waiting
+constexpr std::size_t chunk_bytes =
+    4096; // PIPE_BUF: a pipe that polls as writable takes this much without waiting
 
 bool is_writable(int descriptor) {
     pollfd item{descriptor, POLLOUT, 0};
@@ -22,22 +23,22 @@
     const auto reserve = weight == log_weight::history ? 0 : m_reserve;
     if (m_bytes + line.size() + reserve > m_capacity) {
         ++m_left_out;
-        ++m_untold;
+        ++m_unreported;
         return;
     }
     if (weight == log_weight::ordinary) { // counts would take of what is kept for the others
-        add_count();
+        add_left_out_notice();
     }
     m_bytes += line.size();
     m_lines.push_back(std::move(line));
 }
 
-void line_ring::add_count() {
-    if (m_untold == 0) {
+void line_ring::add_left_out_notice() {
+    if (m_unreported == 0) {
         return;
     }
-    auto line = "level=WARN event=log_lines_left_out count=" + std::to_string(m_untold) + "\n";
-    m_untold = 0;
+    auto line = "level=WARN event=log_lines_left_out count=" + std::to_string(m_unreported) + "\n";
+    m_unreported = 0;
     m_bytes += line.size();
     m_lines.push_back(std::move(line));
 }
@@ -47,12 +48,12 @@
         std::string bytes;
         for (const auto& line : m_lines) {
             const auto first = bytes.empty() ? m_written : 0;
-            if (!bytes.empty() && bytes.size() + line.size() > chunk) {
+            if (!bytes.empty() && bytes.size() + line.size() > chunk_bytes) {
                 break;
             }
-            bytes.append(line, first, chunk);
+            bytes.append(line, first, chunk_bytes);
         }
-        const auto count = ::write(descriptor, bytes.data(), std::min(bytes.size(), chunk));
+        const auto count = ::write(descriptor, bytes.data(), std::min(bytes.size(), chunk_bytes));
         if (count < 0 && (errno == EAGAIN || errno == EINTR)) {
             return;
         }
--- a/poplarpitch/telemetry/line_ring.h
+++ b/poplarpitch/telemetry/line_ring.h
@@ -28,7 +28,7 @@
     [[nodiscard]] std::uint64_t get_left_out() const { return m_left_out; }
 
 private:
-    void add_count();
+    void add_left_out_notice();
 
     std::size_t m_capacity;
     std::size_t m_reserve;
@@ -36,7 +36,7 @@
     std::size_t m_bytes = 0;
     std::size_t m_written = 0; ///< bytes of the first line that are out already
     std::uint64_t m_left_out = 0;
-    std::uint64_t m_untold = 0; ///< lines left out that no line has told of yet
+    std::uint64_t m_unreported = 0; ///< lines left out that no line has told of yet
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/telemetry/log_event.cpp
+++ b/poplarpitch/telemetry/log_event.cpp
@@ -11,7 +11,7 @@
 namespace poplarpitch {
 namespace {
 
-log4cplus::LogLevel get_library_level(log_level level) {
+log4cplus::LogLevel to_log4cplus_level(log_level level) {
     switch (level) {
     case log_level::debug:
         return log4cplus::DEBUG_LOG_LEVEL;
@@ -33,25 +33,25 @@
         return;
     }
     line += '"';
-    for (const char letter : value) {
-        if (letter == '\n' || letter == '\r') {
+    for (const char character : value) {
+        if (character == '\n' || character == '\r') {
             line += ' ';
             continue;
         }
-        if (letter == '"' || letter == '\\') {
+        if (character == '"' || character == '\\') {
             line += '\\';
         }
-        line += letter;
+        line += character;
     }
     line += '"';
 }
 
 /// The budgets of the process: its logger is one too.
-log_budget::verdict take_budget(std::string_view kind) {
+log_budget::decision check_budget(std::string_view kind) {
     static absl::Mutex mutex;
     static log_budget budget{log_budget_settings{}};
     const absl::MutexLock lock(&mutex);
-    return budget.take(kind, system_clock().now());
+    return budget.admit(kind, system_clock().now());
 }
 
 } // namespace
@@ -65,11 +65,11 @@
     static const auto root = log4cplus::Logger::getRoot();
     static const auto history = log4cplus::Logger::getInstance(history_logger);
     const auto& logger = m_weight == log_weight::history ? history : root;
-    const auto level = get_library_level(m_level);
+    const auto level = to_log4cplus_level(m_level);
     if (!logger.isEnabledFor(level)) {
         return;
     }
-    const auto decided = take_budget(m_name);
+    const auto decided = check_budget(m_name);
     if (decided.left_out > 0) {
         logger.log(log4cplus::WARN_LOG_LEVEL,
                    "event=log_lines_left_out kind=" + m_name + " count=" + std::to_string(decided.left_out));
--- a/poplarpitch/telemetry/metrics_registry.cpp
+++ b/poplarpitch/telemetry/metrics_registry.cpp
@@ -114,7 +114,7 @@
     ++series.count;
 }
 
-metrics_registry::totals metrics_registry::add_up() const {
+metrics_registry::totals metrics_registry::sum_shards() const {
     totals sum;
     for (const auto& part : m_shards) {
         const absl::MutexLock lock(&part->mutex);
@@ -129,7 +129,7 @@
 }
 
 std::string metrics_registry::format() const {
-    const auto sum_of = add_up();
+    const auto sums = sum_shards();
     std::string text;
     std::string last;
     const auto begin = [&](const std::string& name, const char* type) {
@@ -138,7 +138,7 @@
             last = name;
         }
     };
-    for (const auto& [key, value] : sum_of.counters) {
+    for (const auto& [key, value] : sums.counters) {
         begin(key.first, "counter");
         absl::StrAppend(&text, key.first, format_labels(key.second), " ", value, "\n");
     }
@@ -149,14 +149,15 @@
             absl::StrAppend(&text, key.first, format_labels(key.second), " ", value, "\n");
         }
     }
-    for (const auto& [key, series] : sum_of.histograms) {
+    for (const auto& [key, series] : sums.histograms) {
         begin(key.first, "histogram");
         const auto& axis = series.histogram.axis(0);
-        auto below = static_cast<std::uint64_t>(series.histogram.at(-1));
+        auto cumulative_count = static_cast<std::uint64_t>(series.histogram.at(-1));
         for (int bin = 0; bin < axis.size(); ++bin) {
-            below += static_cast<std::uint64_t>(series.histogram.at(bin));
+            cumulative_count += static_cast<std::uint64_t>(series.histogram.at(bin));
             const auto bound = absl::StrCat("le=\"", axis.bin(bin).upper(), "\"");
-            absl::StrAppend(&text, key.first, "_bucket", format_labels(key.second, bound), " ", below, "\n");
+            absl::StrAppend(&text, key.first, "_bucket", format_labels(key.second, bound), " ",
+                            cumulative_count, "\n");
         }
         absl::StrAppend(&text, key.first, "_bucket", format_labels(key.second, "le=\"+Inf\""), " ",
                         series.count, "\n");
--- a/poplarpitch/telemetry/metrics_registry.h
+++ b/poplarpitch/telemetry/metrics_registry.h
@@ -42,7 +42,7 @@
     struct totals;
 
     shard& get_shard();
-    [[nodiscard]] totals add_up() const;
+    [[nodiscard]] totals sum_shards() const;
     static series_key make_key(const std::string& name, const metric_labels& labels, bool is_known);
 
     std::vector<std::unique_ptr<shard>> m_shards;
--- a/unit_tests/net/late_call_test.cpp
+++ b/unit_tests/net/late_call_test.cpp
@@ -13,7 +13,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration patience = seconds{60}; // a wait that fails a test; no test reaches it when it passes
+constexpr duration test_timeout = seconds{60}; // a wait that fails a test; no test reaches it when it passes
 
 TEST(late_call, is_not_written_once_its_time_is_over) {
     event_loop loop;
@@ -30,7 +30,7 @@
     call.request.target = "/";
     call.timeout = milliseconds{20};
     std::error_code outcome;
-    loop.call_after(patience, [&] { loop.stop(); });
+    loop.call_after(test_timeout, [&] { loop.stop(); });
     loop.post([&] {
         caller.send(call, [&](const result<http_response>& response) {
             outcome = response ? std::error_code{} : response.error();
--- a/unit_tests/telemetry/log_budget_test.cpp
+++ b/unit_tests/telemetry/log_budget_test.cpp
@@ -13,36 +13,36 @@
     log_budget budget(small);
     time_point now{seconds{10}};
     int written = 0;
-    std::uint64_t told = 0;
+    std::uint64_t reported = 0;
     constexpr int lines = 48'000;
     for (int line = 0; line < lines; ++line) {
-        const auto decided = budget.take("start_refused", now);
+        const auto decided = budget.admit("start_refused", now);
         written += decided.is_written ? 1 : 0;
-        told += decided.left_out;
+        reported += decided.left_out;
         now += std::chrono::microseconds{21}; // one second in all
     }
     EXPECT_GE(written, 290);
     EXPECT_LE(written, 310);
     EXPECT_EQ(budget.get_left_out(), static_cast<std::uint64_t>(lines - written));
     now += seconds{1};
-    told += budget.take("start_refused", now).left_out;
-    EXPECT_EQ(told, budget.get_left_out()) << "every line that was left out is told of";
+    reported += budget.admit("start_refused", now).left_out;
+    EXPECT_EQ(reported, budget.get_left_out()) << "every line that was left out is told of";
 }
 
 TEST(log_budget, leaves_other_kinds_alone) {
     log_budget budget(small);
     const time_point now{seconds{10}};
     for (int line = 0; line < 1000; ++line) {
-        static_cast<void>(budget.take("start_refused", now));
+        static_cast<void>(budget.admit("start_refused", now));
     }
-    EXPECT_TRUE(budget.take("role_changed", now).is_written);
+    EXPECT_TRUE(budget.admit("role_changed", now).is_written);
 }
 
 TEST(log_budget, writes_every_line_of_a_busy_leader) {
     log_budget budget(log_budget_settings{});
     time_point now{seconds{10}};
     for (int line = 0; line < 100'000; ++line) {
-        ASSERT_TRUE(budget.take("run_started", now).is_written);
+        ASSERT_TRUE(budget.admit("run_started", now).is_written);
         now += std::chrono::microseconds{400}; // 2,500 a second
     }
 }
