--- a/poplarpitch/http/http_request.h
+++ b/poplarpitch/http/http_request.h
@@ -6,10 +6,10 @@
 
 namespace poplarpitch {
 
-/// A request, whole.
+/// A complete HTTP request.
 struct http_request {
     std::string method; ///< GET, POST, PUT or DELETE
-    std::string target; ///< path and query as sent, not decoded
+    std::string target; ///< path and query as sent, without percent-decoding
     header_list headers;
     std::string body;
 
@@ -17,8 +17,8 @@
 
     /// Returns the target without its query. Thread safety: any thread.
     [[nodiscard]] std::string get_path() const { return target.substr(0, target.find('?')); }
-    /// Returns the value of `key` in the query, not decoded; empty when it is absent. Thread safety: any
-    /// thread.
+    /// Returns the value of `key` in the query without percent-decoding, or an empty string when it is
+    /// absent. Thread safety: any thread.
     [[nodiscard]] std::string get_query(const std::string& key) const;
 };
 
--- a/poplarpitch/http/http_response.h
+++ b/poplarpitch/http/http_response.h
@@ -6,19 +6,20 @@
 
 namespace poplarpitch {
 
-/// An answer, whole.
+/// A complete HTTP response.
 struct http_response {
     int status = 200;
     header_list headers; ///< without Content-Type, Content-Length and connection headers
     std::string content_type = "application/json";
     std::string body;
-    /// Of a client's call: an earlier attempt of it was written too, and may have been carried out.
+    /// Set by the client if it sent the request more than once: the earlier attempt may have been executed
+    /// too.
     bool is_repeated = false;
 
     friend bool operator==(const http_response&, const http_response&) = default;
 };
 
-/// Returns an answer with a JSON body of error code and message. Thread safety: any thread.
+/// Returns a response whose JSON body holds an error code and a message. Thread safety: any thread.
 [[nodiscard]] http_response make_error_response(int status, const std::string& code,
                                                 const std::string& message);
 
--- a/poplarpitch/net/acceptor.h
+++ b/poplarpitch/net/acceptor.h
@@ -6,8 +6,8 @@
 
 namespace poplarpitch {
 
-/// Opens `acceptor` on an IPv4 address and port and listens. Returns false when that cannot be done. Thread
-/// safety: the loop's thread.
+/// Binds `acceptor` to an IPv4 address and port and starts to listen. Returns false if any of these steps
+/// fails. Thread safety: the loop's thread.
 [[nodiscard]] inline bool start_listening(boost::asio::ip::tcp::acceptor& acceptor, const std::string& host,
                                           int port, int backlog) {
     boost::system::error_code error;
--- a/poplarpitch/net/background_task.cpp
+++ b/poplarpitch/net/background_task.cpp
@@ -10,7 +10,7 @@
 
 namespace poplarpitch {
 
-/// What both threads see.
+/// The state that the loop's thread and the background thread share.
 struct background_task::impl {
     explicit impl(event_loop& owner) : loop(owner) {}
 
--- a/poplarpitch/net/call_importance.h
+++ b/poplarpitch/net/call_importance.h
@@ -5,14 +5,14 @@
 
 namespace poplarpitch {
 
-/// Which calls go first where connections are short.
+/// The priority of a call when there are too few connections for all calls.
 enum class call_importance : std::uint8_t {
-    low,    ///< may come late: it only tunes
-    normal, ///< somebody waits for it
-    high,   ///< something ends or breaks a promise without it
+    low,    ///< may be delayed: it only tunes the system
+    normal, ///< somebody waits for the result
+    high,   ///< without it something ends or a guarantee is broken
 };
 
-/// Number of values of `call_importance`.
+/// The number of values of `call_importance`.
 inline constexpr std::size_t call_importances = 3;
 
 } // namespace poplarpitch
--- a/poplarpitch/net/descriptor_budget.h
+++ b/poplarpitch/net/descriptor_budget.h
@@ -5,22 +5,23 @@
 
 namespace poplarpitch {
 
-/// The fewest descriptors a daemon can work with: files, timers and links to the other control instances.
+/// The smallest number of file descriptors that a daemon can work with. It needs them for files, timers and
+/// connections to the other control instances.
 inline constexpr std::size_t least_descriptors = 256;
 
-/// How a process divides the descriptors it may have, so that none of its parts can take what the others
-/// need. Load pattern: 1,800 workers, each with two connections for orders and one for its heartbeats, at
-/// 6,424 descriptors.
+/// How a process divides its limit of file descriptors, so that no part of it can use up what the others
+/// need. Load pattern: 1,800 workers, each with two connections for orders and one for its heartbeats, at a
+/// limit of 6,424 descriptors.
 struct descriptor_budget {
-    std::size_t accepted = 0; ///< connections that others open: heartbeats, operators
-    std::size_t called = 0;   ///< connections to workers
-    std::size_t kept = 0;     ///< files, timers, frames of other processes
+    std::size_t accepted = 0; ///< inbound connections: heartbeats, operators
+    std::size_t called = 0;   ///< outbound connections to workers
+    std::size_t kept = 0;     ///< reserved for files, timers and frame connections of other processes
 
     friend auto operator<=>(const descriptor_budget&, const descriptor_budget&) = default;
 };
 
-/// Divides `descriptors`: an eighth and 64 more are kept, a third of the rest is for what others open, since
-/// a worker has one connection of that kind and two of the other. Precondition: at least
+/// Divides `descriptors`. Reserves an eighth and 64 more. A third of the rest is for inbound connections,
+/// since a worker uses one inbound and two outbound connections. Precondition: `descriptors` is at least
 /// `least_descriptors`. Thread safety: any thread.
 [[nodiscard]] constexpr descriptor_budget divide_descriptors(std::size_t descriptors) {
     constexpr std::size_t reserved_files = 64;
--- a/poplarpitch/net/event_loop.cpp
+++ b/poplarpitch/net/event_loop.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 constexpr duration max_turn_duration =
-    milliseconds{5};                     // a twentieth of the log's heartbeats, a commit's sync
-constexpr int calls_per_clock_read = 8;  // between two looks at the clock
-constexpr double smoothing_time_s = 0.5; // s, over which load and lag are smoothed
+    milliseconds{5};                     // 1/20 of the log's heartbeat interval, one commit's sync
+constexpr int calls_per_clock_read = 8;  // handlers run between two reads of the clock
+constexpr double smoothing_time_s = 0.5; // time constant for smoothing load and lag
 
 } // namespace
 
 struct event_loop::impl {
-    boost::asio::io_context context{1}; ///< one thread runs it; others may post, so Asio keeps its lock
+    boost::asio::io_context context{1}; ///< run by one thread; others may post, so Asio keeps its lock
     boost::asio::steady_timer timer{context};
     struct handled_signal {
         std::unique_ptr<boost::asio::signal_set> set;
@@ -34,7 +34,7 @@
 };
 
 event_loop::event_loop() : m_impl(std::make_unique<impl>()), m_now(system_clock().now()), m_last_wake(m_now) {
-    std::signal(SIGPIPE, SIG_IGN); // a write to a closed connection is an error code here
+    std::signal(SIGPIPE, SIG_IGN); // a write to a closed connection returns an error code instead
 }
 
 event_loop::~event_loop() = default;
@@ -53,7 +53,7 @@
         }
         arm_timer();
         const auto wait_began = clock.now();
-        m_is_now_stale = true; // Asio calls what ends the wait before it returns
+        m_is_now_stale = true; // Asio runs the handler that ends the wait before run_one returns
         context.run_one();
         read_clock();
         update_load(wait_began, m_now);
@@ -76,7 +76,7 @@
 }
 
 bool event_loop::poll_one() {
-    m_is_now_stale = true; // the process may have stood still since the call before
+    m_is_now_stale = true; // the process may have been suspended since the previous handler
     return m_impl->context.poll_one() > 0;
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// The wait of a turn is the time until its first call was made, and the call itself, which is short.
+/// The wait of a turn is measured until its first handler has run. That includes the handler, which is short.
 void event_loop::update_load(time_point wait_began, time_point wait_ended) {
     const auto worked = to_seconds(wait_began - m_last_wake);
     const auto waited = to_seconds(wait_ended - wait_began);
@@ -161,7 +161,7 @@
 }
 
 void event_loop::run_due_timers() {
-    const auto due_by = m_now; // what falls due meanwhile waits for the hooks
+    const auto due_by = m_now; // timers that expire during this run wait until after the hooks
     while (!m_timers.empty() && m_timers.begin()->first <= due_by) {
         auto due = std::move(m_timers.begin()->second);
         m_timers.erase(m_timers.begin());
@@ -178,7 +178,7 @@
     const auto next = m_timers.begin()->first;
     const bool is_set = m_timer_expiry != time_point{} && m_timer_expiry > m_now;
     if (is_set && m_timer_expiry <= next) {
-        return; // it fires early enough; a turn without work is cheaper than a system call for each change
+        return; // it fires early enough; an idle turn is cheaper than a system call for each change
     }
     m_timer_expiry = std::max(next, m_now);
     m_impl->timer.expires_after(
--- a/poplarpitch/net/event_loop.h
+++ b/poplarpitch/net/event_loop.h
@@ -14,19 +14,17 @@
 
 namespace poplarpitch {
 
-/// Names a call that was asked for at a later time; 0 names none.
+/// Identifies a scheduled call. 0 identifies none.
 using timer_id = std::uint64_t;
 
-/// One thread that waits for sockets, timers and signals and calls what was registered for them.
+/// A single-threaded event loop that waits for sockets, timers and signals and runs their handlers.
 ///
-/// Boost.Asio waits; timers stand in one ordered map behind a single Asio timer, so that a timeout that is
-/// set and cancelled for every call costs no system call. After the calls that were ready at the same time
-/// the turn hooks run: work that many events ask for, such as one commit for elapsed of them, is done there
-/// once. A turn takes what is ready only for a short while: under more load than the thread can bear there is
-/// always something ready, and what stands in the hooks and timers (heartbeats of the log, leases) has to be
-/// done elapsed the same.
-/// Thread safety: elapsed methods on the thread of `run`, but for `stop` and `post`, which any thread may
-/// call.
+/// Boost.Asio does the waiting. Timers are kept in one ordered map behind a single Asio timer, so that
+/// setting and cancelling a timeout for every call costs no system call. The turn hooks run after all
+/// handlers that were ready at the same time. Work that many events request, such as one commit for all of
+/// them, is done once in a hook. The time that a turn spends on ready handlers is bounded: in overload there
+/// is always a ready handler, but the hooks and timers (the log's heartbeats, leases) still have to run.
+/// Thread safety: all methods on the thread of `run`, except `stop` and `post`, which any thread may call.
 class event_loop {
 public:
     event_loop();
@@ -34,31 +32,31 @@
     event_loop(const event_loop&) = delete;
     event_loop& operator=(const event_loop&) = delete;
 
-    /// Runs until `stop`.
+    /// Runs the loop until `stop` is called.
     void run();
-    /// Ends `run` after the present turn.
+    /// Makes `run` return after the current turn.
     void stop();
-    /// Returns the time at the start of the present call or hook, or later, on the boot-time clock.
+    /// Returns a time on the boot-time clock that is not before the start of the current handler or hook.
     [[nodiscard]] time_point now() const;
-    /// Returns which share of the last half second or so the thread was busy, 0 to 1.
+    /// Returns the share of time that the thread was busy, from 0 to 1, smoothed over about half a second.
     [[nodiscard]] double get_busy_share() const { return m_busy_share; }
-    /// Returns how lateness timers fired of lateness, smoothed over as long.
+    /// Returns by how much timers fired late, smoothed over the same time.
     [[nodiscard]] duration get_lag() const { return m_lag; }
-    /// Returns how many turns ended with work still ready.
+    /// Returns the number of turns that reached their time limit while handlers were still ready.
     [[nodiscard]] std::uint64_t get_cut_turns() const { return m_cut_turns; }
-    /// Calls `work` in a later turn.
+    /// Calls `work` on the loop's thread, after the current handler has returned.
     void post(std::function<void()> work);
     /// Calls `work` once, at `when` or shortly after.
     timer_id call_at(time_point when, std::function<void()> work);
     /// Calls `work` once, `delay` from now.
     timer_id call_after(duration delay, std::function<void()> work);
-    /// Forgets a call that has not been made yet; one that was made or never existed is no error.
+    /// Cancels a call that has not been made yet. Does nothing for a call that was made or an unknown id.
     void cancel(timer_id id);
-    /// Calls `work` at the end of every turn. Precondition: before `run`.
+    /// Calls `work` at the end of every turn. Precondition: called before `run`.
     void on_turn_end(std::function<void()> work);
-    /// Calls `work` for each `signal` to the process. Precondition: before `run`.
+    /// Calls `work` each time the process receives `signal`. Precondition: called before `run`.
     void on_signal(int signal, std::function<void()> work);
-    /// Returns Asio's context, for the sockets of this layer.
+    /// Returns the Asio context, for the sockets of the network layer.
     [[nodiscard]] boost::asio::io_context& get_context();
 
 private:
@@ -69,7 +67,7 @@
     };
 
     void read_clock() const;
-    /// Makes one call that is ready. Returns false where none is.
+    /// Runs one ready handler. Returns false if none is ready.
     bool poll_one();
     void run_ready();
     void run_due_timers();
@@ -83,8 +81,8 @@
     timer_id m_next_timer = 1;
     time_point m_timer_expiry{}; ///< when the Asio timer fires; zero while it is not set
     mutable time_point m_now{};
-    mutable bool m_is_now_stale = false; ///< a wait or a call may have passed since `m_now` was read
-    time_point m_last_wake{};            ///< when the wait of the last turn ended
+    mutable bool m_is_now_stale = false; ///< a wait or a handler may have happened since `m_now` was read
+    time_point m_last_wake{};            ///< end of the last turn's wait
     double m_busy_share = 0;
     duration m_lag{};
     std::uint64_t m_cut_turns = 0;
--- a/poplarpitch/net/frame_socket.cpp
+++ b/poplarpitch/net/frame_socket.cpp
@@ -21,14 +21,15 @@
 namespace {
 
 constexpr std::size_t header_bytes = 4;
-constexpr std::size_t max_frame_bytes = 64U << 20;   // bytes; a larger length is not one of ours
-constexpr std::size_t max_unsent_bytes = 16U << 20;  // bytes pending for a reader that may be gone
-constexpr std::size_t read_buffer_bytes = 64U << 10; // bytes a system call
-constexpr int tcp_user_timeout_ms = 2500; // TCP_USER_TIMEOUT: a path that went silent ends the connection
+constexpr std::size_t max_frame_bytes = 64U << 20;   // a larger length cannot come from this protocol
+constexpr std::size_t max_unsent_bytes = 16U << 20;  // the peer may have stopped reading
+constexpr std::size_t read_buffer_bytes = 64U << 10; // for each system call
+constexpr int tcp_user_timeout_ms =
+    2500; // TCP_USER_TIMEOUT: closes the connection when the path stops responding
 constexpr int listen_backlog = 1024;
 
 void set_options(asio::ip::tcp::socket& socket) {
-    boost::system::error_code ignored; // each only shortens waits
+    boost::system::error_code ignored; // the options only reduce delays
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     const int limit = tcp_user_timeout_ms;
     static_cast<void>(
@@ -61,7 +62,7 @@
     std::array<char, read_buffer_bytes> buffer{};
     std::string received;
     std::string write_buffer;
-    std::string pending; ///< frames behind `write_buffer`
+    std::string pending; ///< frames that are sent after `write_buffer`
     bool is_writing = false;
 };
 
@@ -127,7 +128,7 @@
     m_impl->pending += frame;
     if (!m_impl->is_writing) {
         m_impl->is_writing = true;
-        // Frames of the same turn share one write.
+        // Frames sent in the same turn share one write.
         m_impl->loop.post([self = shared_from_this()] { self->write(); });
     }
 }
@@ -159,10 +160,10 @@
 }
 
 void frame_socket::close() {
-    boost::system::error_code ignored; // it goes either way
+    boost::system::error_code ignored; // it is closed in any case
     m_impl->socket.close(ignored);
     m_impl->on_closed = nullptr;
-    // The frame handler may be running; it is dropped when the loop comes back.
+    // The frame handler may be running, so it is destroyed in a later handler.
     m_impl->loop.post([self = shared_from_this()] { self->m_impl->on_frame = nullptr; });
 }
 
@@ -202,7 +203,7 @@
     : m_impl(std::make_shared<impl>(loop, std::move(host), port, std::move(on_accept))) {}
 
 frame_listener::~frame_listener() {
-    boost::system::error_code ignored; // it ends either way
+    boost::system::error_code ignored; // it is closed in any case
     m_impl->acceptor.close(ignored);
 }
 
@@ -224,7 +225,7 @@
     }
     auto socket = std::make_shared<asio::ip::tcp::socket>(loop.get_context());
     const auto timer = loop.call_after(timeout, [socket] {
-        boost::system::error_code ignored; // closing makes the connect fail
+        boost::system::error_code ignored; // closing makes the connect operation fail
         socket->close(ignored);
     });
     const asio::ip::tcp::endpoint endpoint(asio::ip::address_v4(target->ip), target->port);
--- a/poplarpitch/net/frame_socket.h
+++ b/poplarpitch/net/frame_socket.h
@@ -11,16 +11,17 @@
 
 class event_loop;
 
-/// A TCP connection between own processes that carries whole frames: four bytes of length, then the bytes.
+/// A TCP connection between processes of this project that carries frames. A frame is a length of four bytes,
+/// little-endian, followed by the payload.
 ///
-/// gRPC was weighed: an idle channel that cannot connect costs 1.4% of a core and each message several
-/// threads' wake-ups. Unsent frames are bounded; what is above the bound closes the connection, because its
-/// reader is not there any more. Thread safety: the loop's thread, for all methods.
+/// gRPC was considered: an idle channel that cannot connect costs 1.4% of a core, and each message wakes up
+/// several threads. The amount of unsent frames is bounded. Exceeding the bound closes the connection,
+/// because the peer has stopped reading. Thread safety: the loop's thread, for all methods.
 class frame_socket : public std::enable_shared_from_this<frame_socket> {
 public:
     struct impl;
 
-    /// Called for each frame that arrived.
+    /// Called for each received frame.
     using frame_handler = std::function<void(const std::string&)>;
 
     explicit frame_socket(std::unique_ptr<impl> connected);
@@ -28,11 +29,11 @@
     frame_socket(const frame_socket&) = delete;
     frame_socket& operator=(const frame_socket&) = delete;
 
-    /// Begins to read. `on_closed` is called once, when the connection has ended for any reason but `close`.
+    /// Starts to read. `on_closed` is called once, when the connection ends for any reason except `close`.
     void start(frame_handler on_frame, std::function<void()> on_closed);
-    /// Sends a frame, after those before it.
+    /// Queues a frame for sending. Frames are sent in order.
     void send(const std::string& frame);
-    /// Ends the connection. Neither handler is called any more.
+    /// Closes the connection. Neither handler is called afterwards.
     void close();
     [[nodiscard]] bool is_open() const;
 
@@ -45,7 +46,7 @@
     std::unique_ptr<impl> m_impl;
 };
 
-/// Accepts connections of frames.
+/// Accepts frame connections.
 class frame_listener {
 public:
     using accept_handler = std::function<void(std::shared_ptr<frame_socket>)>;
@@ -56,8 +57,8 @@
     frame_listener(const frame_listener&) = delete;
     frame_listener& operator=(const frame_listener&) = delete;
 
-    /// Listens. Returns the port, or 0 when the address cannot be listened on. Thread safety: the loop's
-    /// thread.
+    /// Starts to listen. Returns the port, or 0 when listening on the address fails. Thread safety: the
+    /// loop's thread.
     int start();
 
 private:
@@ -65,8 +66,8 @@
     std::shared_ptr<impl> m_impl;
 };
 
-/// Opens a connection of frames to `address` (IPv4 and port); `on_done` gets null when it cannot be made
-/// within `timeout`. Thread safety: the loop's thread.
+/// Opens a frame connection to `address` (IPv4 address and port). `on_done` receives null when no connection
+/// is established within `timeout`. Thread safety: the loop's thread.
 void connect_frames(event_loop& loop, const std::string& address, duration timeout,
                     std::function<void(std::shared_ptr<frame_socket>)> on_done);
 
--- a/poplarpitch/net/http_call.h
+++ b/poplarpitch/net/http_call.h
@@ -9,16 +9,17 @@
 
 namespace poplarpitch {
 
-/// What to ask whom.
+/// An HTTP request, its destination and how to send it.
 struct http_call {
     std::string address; ///< IPv4 address and port, `10.0.0.4:8080`
     http_request request;
-    duration timeout = seconds{1}; ///< from `send` to the answer, a wait for a connection included
+    duration timeout = seconds{1}; ///< from `send` to the response, including the wait for a connection
     call_importance importance = call_importance::normal;
-    bool is_long = false;  ///< answered late on purpose, so it gets a connection of its own
-    bool is_fresh = false; ///< use a new connection: the open ones may have gone silent
-    /// Use only a connection that was open before, and never another one: the process that accepted it then,
-    /// or none, gets the call. Where none is free it is not sent.
+    bool is_long = false;  ///< a long poll: the response is delayed on purpose, so it gets its own connection
+    bool is_fresh = false; ///< use a new connection: the open ones may have stopped responding
+    /// Use only a connection that was opened before this time. This ensures that only the process that
+    /// accepted the connection then can receive the call. If no such connection is free, the call is not
+    /// sent.
     std::optional<time_point> opened_before;
 
     friend bool operator==(const http_call&, const http_call&) = default;
--- a/poplarpitch/net/http_caller.h
+++ b/poplarpitch/net/http_caller.h
@@ -15,17 +15,18 @@
 class http_exchange;
 class http_connections;
 
-/// An HTTP/1.1 client on an event loop, by Boost.Beast, with a bounded pool of open connections.
+/// An HTTP/1.1 client on an event loop, based on Boost.Beast, with a bounded connection pool.
 ///
-/// An address gets one connection for a long call and one for all others, which wait behind each other; only
-/// where an answer is overdue a second one is opened for them. Where all connections are in use, calls wait
-/// by importance. Load pattern: thousands of workers with orders for each at the same moment, more than the
-/// process has descriptors. A call that has not left when its time is over fails with `not_sent`.
+/// Each address gets one connection for a long call and one for the short calls, which are queued and sent
+/// one after the other. A second connection for short calls is opened only when a response is overdue. When
+/// all connections are in use, calls wait in order of importance. Load pattern: thousands of workers that all
+/// get orders at the same moment, more than the process has file descriptors. A call that was not sent before
+/// its timeout fails with `not_sent`.
 ///
-/// A call on a reused connection that ends before the first byte of an answer is sent once more on a new one:
-/// the other side closes idle connections whenever it likes. So it is for calls that may arrive twice. After
-/// a timeout all idle connections to that address are dropped, since what made one silent may have reached
-/// them all. Thread safety: the loop's thread, for all methods.
+/// A call on a reused connection that is closed before the first byte of a response is sent once more on a
+/// new connection, because a server may close idle connections at any time. The client is therefore only for
+/// calls that may arrive twice. After a timeout all idle connections to that address are closed, since the
+/// cause may have affected them all. Thread safety: the loop's thread, for all methods.
 class http_caller {
 public:
     using response_handler = std::function<void(result<http_response>)>;
@@ -36,9 +37,10 @@
     http_caller(const http_caller&) = delete;
     http_caller& operator=(const http_caller&) = delete;
 
-    /// Sends a request; `on_response` is called once, in a later turn, unless the caller is destroyed before.
+    /// Sends a request. Calls `on_response` once, not before `send` has returned, unless the client is
+    /// destroyed first.
     void send(http_call call, response_handler on_response);
-    /// Returns what is open now and what was used since the start.
+    /// Returns the current connection counts and the totals since the start.
     [[nodiscard]] http_caller_use get_use() const;
 
 private:
--- a/poplarpitch/net/http_connections.cpp
+++ b/poplarpitch/net/http_connections.cpp
@@ -7,7 +7,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t idle_closed_when_exhausted = 16; // idle ones, so that listening and the log get on
+constexpr std::size_t idle_closed_when_exhausted = 16; // frees descriptors for the listener and the log
 
 } // namespace
 
@@ -48,7 +48,7 @@
 }
 
 http_connections::wait_queue* http_connections::find_ready_queue(peer& item) {
-    const auto drop_late = [](wait_queue& queue) { // the timer of a call that is too late ends it
+    const auto drop_late = [](wait_queue& queue) { // the timeout timer of a late call ends it
         while (!queue.empty() && (queue.front()->is_finished() || !queue.front()->has_time_left())) {
             queue.pop_front();
         }
@@ -151,7 +151,7 @@
     erase_if_empty(address);
 }
 
-/// Those of workers that are gone are not asked for any more.
+/// Connections to workers that no longer exist are never reused, so they have to expire.
 void http_connections::close_expired_idle() {
     while (!m_idle.empty() && m_loop.now() - m_idle.front().idle_since >= m_settings.max_idle) {
         close_oldest_idle();
@@ -218,7 +218,7 @@
     erase_if_empty(address);
 }
 
-// ---- calls for which no connection was left
+// ---- calls that found no free connection
 
 void http_connections::add_starved(const std::string& address, peer& item, call_importance importance) {
     const auto place = static_cast<std::size_t>(importance);
@@ -231,7 +231,7 @@
 void http_connections::serve_starved() {
     for (std::size_t left = call_importances; left > 0; --left) {
         auto& queue = m_starved[left - 1];
-        auto rounds = queue.size(); // an address that finds none joins the end again
+        auto rounds = queue.size(); // an address that gets no connection is appended again
         while (rounds > 0 && make_room()) {
             --rounds;
             const auto address = std::move(queue.front());
--- a/poplarpitch/net/http_connections.h
+++ b/poplarpitch/net/http_connections.h
@@ -21,12 +21,12 @@
 
 class http_exchange;
 
-/// The connections of an HTTP client: which are open, which call gets one, which calls wait.
+/// The connection pool of an HTTP client. It assigns connections to calls and queues the calls that wait.
 ///
-/// The bound on all of them is what keeps a process below its descriptors. Load pattern: 1,800 workers at
-/// 6,424 descriptors; without a bound each order that fails for want of a descriptor is repeated and asks for
-/// a fresh connection, 48,000 times a second, until the leases lapse. Thread safety: the loop's thread, for
-/// all methods.
+/// The limit on all connections keeps the process below its limit of file descriptors. Load pattern: 1,800
+/// workers at 6,424 descriptors. Without a limit each order that fails because no descriptor is left is
+/// repeated and requests a new connection, 48,000 times a second, until the leases expire. Thread safety: the
+/// loop's thread, for all methods.
 class http_connections : public std::enable_shared_from_this<http_connections> {
 public:
     using socket_ptr = std::unique_ptr<boost::asio::ip::tcp::socket>;
@@ -34,22 +34,22 @@
     /// Precondition: `loop` outlives the object.
     http_connections(event_loop& loop, const http_caller_settings& settings);
 
-    /// Gives the call a connection now (`http_exchange::begin`), or lets it wait for one, or refuses it where
-    /// too many wait (`http_exchange::reject`).
+    /// Assigns a connection to the call (`http_exchange::begin`), queues the call until one is free, or
+    /// rejects it if too many calls wait (`http_exchange::reject`).
     void request(const std::shared_ptr<http_exchange>& exchange);
-    /// Takes back the connection of a call. A `socket` that is not null stays open for later calls.
+    /// Releases the connection of a call. A `socket` that is not null is kept open for later calls.
     void release(http_exchange& exchange, socket_ptr socket);
-    /// Notes that a call that waited does so no longer.
+    /// Called when a queued call stops waiting without having been started.
     void on_wait_ended(bool was_not_sent);
-    /// Notes that no descriptor was left for the connection of `exchange`, which waits again.
+    /// Called when no file descriptor was left for the connection of `exchange`. Queues it again.
     void on_exhausted(const std::shared_ptr<http_exchange>& exchange);
-    /// Notes that a connection is being opened.
+    /// Counts a connection that is being opened.
     void on_open() { ++m_opened; }
     /// Closes all idle connections to an address.
     void drop_idle(const std::string& address);
-    /// Notes a call that has ended.
+    /// Called when a call has ended.
     void on_end(const std::shared_ptr<http_exchange>& exchange) { m_exchanges.erase(exchange); }
-    /// Ends all calls without an answer, and closes everything.
+    /// Ends all calls without calling their handlers, and closes all connections.
     void abandon_all();
 
     [[nodiscard]] event_loop& get_loop() const { return m_loop; }
@@ -69,11 +69,11 @@
         std::vector<idle_list::iterator> idle;            ///< newest last
         std::size_t short_calls = 0;                      ///< under way
         std::size_t long_calls = 0;                       ///< under way
-        time_point last_short_call_at{};                  ///< when the last prompt call began
-        std::array<wait_queue, call_importances> waiting; ///< prompt calls
+        time_point last_short_call_at{};                  ///< when the last short call began
+        std::array<wait_queue, call_importances> waiting; ///< short calls, by importance
         wait_queue waiting_long_calls;
-        std::array<bool, call_importances> starved{}; ///< stands in `m_starved`
-        timer_id second_connection_timer = 0;         ///< for the second connection
+        std::array<bool, call_importances> starved{}; ///< the address is in `m_starved`
+        timer_id second_connection_timer = 0;         ///< opens the second connection
 
         [[nodiscard]] bool has_waiting() const;
         [[nodiscard]] bool is_empty() const;
@@ -81,11 +81,11 @@
 
     void serve(const std::string& address);
     [[nodiscard]] bool may_begin_short_call(const peer& item) const;
-    /// Returns the queue whose first call may begin now, or null.
+    /// Returns the queue whose first call may be started now, or null.
     wait_queue* find_ready_queue(peer& item);
-    /// Returns false when no connection can be had now.
+    /// Starts the first call of `queue`. Returns false when no connection is available now.
     bool begin_first(const std::string& address, peer& item, wait_queue& queue);
-    /// Gives the call an open connection that it may use, or null.
+    /// Returns an idle connection that the call may use, or null.
     socket_ptr take_idle(peer& item, http_exchange& exchange);
     [[nodiscard]] bool make_room();
     void close_oldest_idle();
@@ -100,7 +100,8 @@
     idle_list m_idle; ///< oldest first
     absl::node_hash_map<std::string, peer> m_peers;
     absl::flat_hash_set<std::shared_ptr<http_exchange>> m_exchanges;
-    std::array<std::deque<std::string>, call_importances> m_starved; ///< addresses for which none was left
+    std::array<std::deque<std::string>, call_importances>
+        m_starved; ///< addresses with calls that found no free connection
     std::size_t m_connections = 0;
     std::size_t m_waiting = 0;
     std::uint64_t m_opened = 0;
--- a/poplarpitch/net/http_exchange.cpp
+++ b/poplarpitch/net/http_exchange.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::uint64_t max_response_bytes = 4U << 20; // bytes; the largest list of ends is far below
-constexpr duration min_time_left = milliseconds{50};   // an response takes a few milliseconds
-constexpr int min_time_divisor = 4; // of the timeout of a call that has hardly more from the start
+constexpr std::uint64_t max_response_bytes = 4U << 20; // the largest list of ended runs is far smaller
+constexpr duration min_time_left = milliseconds{50};   // a response takes a few milliseconds
+constexpr int min_time_divisor = 4;                    // for a call whose whole timeout is short: 1/4 of it
 
 bool is_exhaustion(const boost::system::error_code& error) {
     return error == asio::error::no_descriptors ||
@@ -120,13 +120,13 @@
     }
     m_loop.cancel(m_connect_timer);
     m_connect_timer = 0;
-    const bool is_late = m_loop.now() >= m_deadline; // this process may have stood still
+    const bool is_late = m_loop.now() >= m_deadline; // this process may have been suspended
     if (error || is_late) {
         fail_unsent();
         return;
     }
     m_opened_at = m_loop.now();
-    boost::system::error_code ignored; // without it requests only wait a little longer
+    boost::system::error_code ignored; // without the option requests are only delayed a little
     m_socket->set_option(asio::ip::tcp::no_delay(true), ignored);
     write();
 }
@@ -215,7 +215,7 @@
     m_loop.cancel(m_timer);
     m_loop.cancel(m_connect_timer);
     close_socket();
-    const auto self = shared_from_this(); // the set of open calls may hold the last reference
+    const auto self = shared_from_this(); // the set of open calls may hold the last other reference
     m_connections->on_end(self);
     m_connections->release(*this, std::move(reusable));
     m_loop.post(
@@ -224,8 +224,8 @@
 
 void http_exchange::close_socket() {
     if (m_socket != nullptr) {
-        boost::system::error_code ignored; // it goes either way
-        m_socket->close(ignored);          // not destroyed: operations under way refer to it until they end
+        boost::system::error_code ignored; // it is closed in any case
+        m_socket->close(ignored);          // not destroyed: pending operations refer to it until they end
     }
 }
 
--- a/poplarpitch/net/http_exchange.h
+++ b/poplarpitch/net/http_exchange.h
@@ -19,8 +19,8 @@
 
 class http_connections;
 
-/// One call on its way: waits for a connection, connects where needed, writes, reads. Thread safety: the
-/// loop's thread, for all methods.
+/// One HTTP call in progress. It waits for a connection, connects if needed, writes the request and reads the
+/// response. Thread safety: the loop's thread, for all methods.
 class http_exchange : public std::enable_shared_from_this<http_exchange> {
 public:
     using response_handler = std::function<void(result<http_response>)>;
@@ -28,13 +28,14 @@
 
     http_exchange(std::shared_ptr<http_connections> owner, http_call call, response_handler on_response);
 
-    /// Asks for a connection; the call's time runs from here.
+    /// Requests a connection and starts the call's timeout.
     void start();
-    /// Goes on with an open connection, or with null to open one. Precondition: the call waits for one.
+    /// Continues with an open connection, or opens one if `socket` is null. Precondition: the call waits for
+    /// a connection.
     void begin(socket_ptr socket);
-    /// Ends the call, which never waited: too many do.
+    /// Ends the call with `not_sent`, because too many calls wait or it may use none of the open connections.
     void reject();
-    /// Ends the call without telling anybody.
+    /// Ends the call without calling its handler.
     void abandon();
 
     [[nodiscard]] const std::string& get_address() const { return m_call.address; }
@@ -42,13 +43,13 @@
     [[nodiscard]] bool is_long() const { return m_call.is_long; }
     [[nodiscard]] bool is_fresh() const { return m_call.is_fresh; }
     [[nodiscard]] std::optional<time_point> get_opened_before() const { return m_call.opened_before; }
-    /// Returns when its connection was opened_at.
+    /// Returns when the connection of the call was opened.
     [[nodiscard]] time_point get_opened_at() const { return m_opened_at; }
-    /// Takes when the connection was opened_at that it is given.
+    /// Sets when the connection that the call reuses was opened.
     void set_opened_at(time_point opened_at) { m_opened_at = opened_at; }
     [[nodiscard]] bool is_finished() const { return m_stage == stage::finished; }
-    /// Returns true while an answer can still be expected in time if the call is sent now. One that is sent
-    /// with less time left ends unanswered, which is worse than not sent.
+    /// Returns true if a response can still be expected before the timeout when the call is sent now. A call
+    /// that is sent with less time left times out with an unknown outcome, which is worse than `not_sent`.
     [[nodiscard]] bool has_time_left() const;
 
 private:
@@ -63,10 +64,10 @@
     void on_connection_lost();
     void on_timeout();
     void finish(result<http_response> response, socket_ptr reusable = nullptr);
-    /// Ends the call for want of a connection.
+    /// Ends the call because no connection could be opened.
     void fail_unsent() { finish(get_unsent_error(net_errc::unreachable)); }
-    /// Returns what an attempt that did not leave says of the whole call: `unsent`, unless an earlier attempt
-    /// was written.
+    /// Returns the error of a call whose last attempt was not sent: `unsent`, or `broken` if an earlier
+    /// attempt was sent.
     [[nodiscard]] std::error_code get_unsent_error(net_errc unsent) const;
     void close_socket();
 
@@ -84,7 +85,8 @@
     timer_id m_connect_timer = 0;
     stage m_stage = stage::waiting;
     bool m_is_reused = false;
-    bool m_was_sent_before = false; ///< on a connection that has ended since: it may have been carried out
+    bool m_was_sent_before =
+        false; ///< an earlier attempt was sent on a connection that has ended: it may have been executed
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/net/http_listener.cpp
+++ b/poplarpitch/net/http_listener.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-constexpr int listen_backlog = 4096; // a burst of callers connects without waiting for a resend
-constexpr duration accept_retry_delay = milliseconds{100}; // while descriptors are used up
+constexpr int listen_backlog = 4096; // a burst of connects is accepted without a SYN retransmission
+constexpr duration accept_retry_delay = milliseconds{100}; // when file descriptors are exhausted
 constexpr std::uint32_t max_header_bytes = 64U << 10;      // bytes
 
 } // namespace
 
-/// What sessions share with the listener; it outlives both while either needs it.
+/// The state that sessions and the listener share. It exists until neither uses it any more.
 struct http_listener::impl {
     impl(event_loop& owner, const http_listener_settings& chosen, request_handler work)
         : loop(owner), settings(chosen), handler(std::move(work)), acceptor(owner.get_context()) {}
@@ -40,12 +40,13 @@
     timer_id sweep_timer = 0;
 
     static void accept(const std::shared_ptr<impl>& self);
-    /// Makes room for another connection where one is idle. Returns false where none is.
+    /// Makes room for another connection, by closing an idle one if the limit is reached. Returns false if no
+    /// connection is idle.
     bool make_room();
     static void schedule_sweep(const std::shared_ptr<impl>& self);
 };
 
-/// One connection: reads a request, waits for its answer, writes it, and begins again.
+/// One connection. It reads a request, waits for the response, writes it, and reads the next request.
 class http_listener::session : public std::enable_shared_from_this<session> {
 public:
     session(std::shared_ptr<impl> owner, asio::ip::tcp::socket socket)
@@ -62,7 +63,7 @@
     }
 
     void close() {
-        boost::system::error_code ignored; // the connection goes either way
+        boost::system::error_code ignored; // it is closed in any case
         m_socket.close(ignored);
         m_impl->sessions.erase(shared_from_this());
     }
@@ -137,7 +138,7 @@
         m_last_use = m_impl->loop.now();
         m_response.reset();
         if (error || m_must_close) {
-            boost::system::error_code ignored; // the other side may have closed first
+            boost::system::error_code ignored; // the peer may have closed it first
             m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
             close();
             return;
@@ -166,7 +167,7 @@
             return;
         }
         if (self->make_room()) {
-            boost::system::error_code ignored; // without it answers only wait a little longer
+            boost::system::error_code ignored; // without the option responses are only delayed a little
             socket.set_option(asio::ip::tcp::no_delay(true), ignored);
             auto opened = std::make_shared<session>(self, std::move(socket));
             self->sessions.insert(opened);
@@ -176,8 +177,9 @@
     });
 }
 
-/// The connection idle for longest goes: whoever has it opens another, while one that is turned away would
-/// have to look for another instance. Load pattern: more workers send heartbeats than there are descriptors.
+/// Closes the connection that has been idle for longest. Its client can connect again, while a rejected
+/// client would have to look for another instance. Load pattern: more workers send heartbeats than there are
+/// descriptors.
 bool http_listener::impl::make_room() {
     if (sessions.size() < settings.max_connections) {
         return true;
@@ -211,7 +213,7 @@
     : m_impl(std::make_shared<impl>(loop, settings, std::move(handler))) {}
 
 http_listener::~http_listener() {
-    boost::system::error_code ignored; // it ends either way
+    boost::system::error_code ignored; // it is closed in any case
     m_impl->acceptor.close(ignored);
     m_impl->loop.cancel(m_impl->sweep_timer);
     const auto sessions = m_impl->sessions;
@@ -236,7 +238,7 @@
 
 void http_listener::drain() {
     m_impl->is_draining = true;
-    boost::system::error_code ignored; // it takes no new connections either way
+    boost::system::error_code ignored; // it accepts no new connections in any case
     m_impl->acceptor.close(ignored);
     const auto sessions = m_impl->sessions; // closing one changes the set
     for (const auto& item : sessions) {
--- a/poplarpitch/net/http_listener.h
+++ b/poplarpitch/net/http_listener.h
@@ -14,25 +14,28 @@
 
 class event_loop;
 
-/// Where to listen and what to bear.
+/// The address and limits of an HTTP server.
 struct http_listener_settings {
     std::string host = "127.0.0.1";
-    int port = 0;                         ///< 0 takes a free one
-    std::size_t max_body = 1U << 20;      ///< bytes of a request; a larger one gets 413
-    std::size_t max_connections = 3000;   ///< below the descriptors of the smallest entry instance (4,100)
-    duration idle_timeout = seconds{30};  ///< an idle connection is closed after this
-    duration sweep_interval = seconds{2}; ///< how often idle connections are looked for
+    int port = 0;                       ///< 0 selects a free port
+    std::size_t max_body = 1U << 20;    ///< bytes of a request body; a larger one gets status 413
+    std::size_t max_connections = 3000; ///< below the descriptor limit of the smallest entry instance (4,100)
+    duration idle_timeout = seconds{30};  ///< idle connections are closed after this time
+    duration sweep_interval = seconds{2}; ///< time between two checks for idle connections
 
     friend bool operator==(const http_listener_settings&, const http_listener_settings&) = default;
 };
 
-/// Sends the answer to one request. Called once; a connection that is gone by then drops the answer.
+/// Sends the response to one request. Called once. The response is dropped if the connection is closed by
+/// then.
 using http_responder = std::function<void(http_response)>;
 
-/// An HTTP/1.1 server on an event loop, by Boost.Beast. The requests of one connection are answered in order.
+/// An HTTP/1.1 server on an event loop, based on Boost.Beast. The requests of one connection are answered in
+/// order.
 ///
-/// cpp-httplib holds a thread for each connection and looks at an idle one 100 times a second, which costs
-/// 0.1% of a core; here an idle connection costs nothing. Thread safety: the loop's thread, for all methods.
+/// cpp-httplib uses a thread for each connection and polls an idle connection 100 times a second, which costs
+/// 0.1% of a core. Here an idle connection costs no processor time. Thread safety: the loop's thread, for all
+/// methods.
 class http_listener {
 public:
     using request_handler = std::function<void(http_request, http_responder)>;
@@ -43,15 +46,15 @@
     http_listener(const http_listener&) = delete;
     http_listener& operator=(const http_listener&) = delete;
 
-    /// Listens. Returns the port.
+    /// Starts to listen. Returns the port, or `net_errc::listen_failed`.
     result<int> start();
-    /// Closes each connection behind its next answer; goes on taking new ones.
+    /// Closes each connection after its next response, but continues to accept new connections.
     void close_after_answers();
-    /// Takes no new connections, closes idle ones, and the others behind the answer they wait for.
+    /// Stops accepting connections, closes idle ones, and closes the others after their pending response.
     void drain();
-    /// Returns how many requests have no answer yet.
+    /// Returns the number of requests without a response.
     [[nodiscard]] std::size_t get_open_requests() const;
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     [[nodiscard]] std::size_t get_connections() const;
 
 private:
--- a/poplarpitch/net/metrics_endpoint.h
+++ b/poplarpitch/net/metrics_endpoint.h
@@ -8,9 +8,9 @@
 
 namespace poplarpitch {
 
-/// Serves a daemon's metrics at `/metrics`. `format` gives the text. Metrics help to explain and are not
-/// needed to serve, so the caller goes on when nothing is returned: the port cannot be listened on. Thread
-/// safety: the loop's thread.
+/// Serves a daemon's metrics at `/metrics`. `format` returns the text. Returns null when listening on the
+/// port fails. The daemon does not need metrics in order to work, so the caller continues without them.
+/// Thread safety: the loop's thread.
 [[nodiscard]] std::unique_ptr<http_listener> serve_metrics(event_loop& loop, const std::string& host,
                                                            int port, std::function<std::string()> format);
 
--- a/poplarpitch/net/net_error.cpp
+++ b/poplarpitch/net/net_error.cpp
@@ -12,17 +12,17 @@
     std::string message(int code) const override {
         switch (static_cast<net_errc>(code)) {
         case net_errc::unreachable:
-            return "no connection could be made";
+            return "no connection could be established";
         case net_errc::not_sent:
             return "no connection was free in time";
         case net_errc::timed_out:
-            return "no answer in time";
+            return "no answer arrived in time";
         case net_errc::broken:
-            return "the connection ended before the answer";
+            return "the connection ended before the answer arrived";
         case net_errc::bad_answer:
             return "the answer cannot be read";
         case net_errc::listen_failed:
-            return "the address cannot be listened on";
+            return "cannot listen on the address";
         }
         return "unknown network error";
     }
--- a/poplarpitch/net/net_error.h
+++ b/poplarpitch/net/net_error.h
@@ -4,20 +4,20 @@
 
 namespace poplarpitch {
 
-/// Why an exchange over a connection gave no answer.
+/// Errors of HTTP calls and listeners.
 enum class net_errc {
-    unreachable = 1, ///< no connection could be made; nothing was sent
-    not_sent,  ///< no connection was free here in time; nothing was sent, and nothing is known of the address
-    timed_out, ///< sent, but no answer in time: it may have been carried out, or be carried out later
-    broken,    ///< sent, but the connection ended first: it may have been carried out
-    bad_answer,    ///< the answer cannot be read
-    listen_failed, ///< the address cannot be listened on
+    unreachable = 1, ///< no connection could be established; nothing was sent
+    not_sent,   ///< no local connection became free in time; nothing was sent, so the peer's state is unknown
+    timed_out,  ///< sent, but no response in time: the request may have been, or may yet be, executed
+    broken,     ///< sent, but the connection ended before the response: the request may have been executed
+    bad_answer, ///< the response cannot be parsed
+    listen_failed, ///< listening on the address failed
 };
 
 /// Returns the error category of the event-driven network layer. Thread safety: any thread.
 [[nodiscard]] const std::error_category& get_net_category() noexcept;
 
-/// Makes a `std::error_code`. Thread safety: any thread.
+/// Returns `code` as a `std::error_code`. Thread safety: any thread.
 [[nodiscard]] std::error_code make_error_code(net_errc code) noexcept;
 
 } // namespace poplarpitch
