--- a/poplarpitch/command_line/settings_command_line.h
+++ b/poplarpitch/command_line/settings_command_line.h
@@ -12,16 +12,16 @@
 
 namespace poplarpitch {
 
-/// What a daemon's main is to do.
+/// The parsed command line and settings of a daemon.
 template <class Settings>
 struct settings_command_line {
-    std::optional<int> exit_code; ///< set when there is nothing to run
+    std::optional<int> exit_code; ///< set when the daemon is not to run
     Settings settings;
-    std::string restored_file; ///< --restore: a backup to found the cluster from; else empty
+    std::string restored_file; ///< --restore: backup to create the cluster from; empty otherwise
 };
 
-/// Reads a daemon's command line and its settings by `parse`; prints every mistake with file and line. Thread
-/// safety: none.
+/// Parses a daemon's command line, and its settings with `parse`. Prints all errors with file and line.
+/// Thread safety: none.
 template <std::invocable<std::string_view> Parse>
 auto read_settings_command_line(int count, const char* const* arguments, const char* program,
                                 const char* about, const Parse& parse,
--- a/poplarpitch/command_line/settings_file.cpp
+++ b/poplarpitch/command_line/settings_file.cpp
@@ -14,10 +14,10 @@
     settings_file file;
     cxxopts::Options options(program, about);
     options.add_options()("settings", "settings file (INI)", cxxopts::value<std::string>())(
-        "check", "check the settings and exit: 0 when they are good, 2 when not")(
+        "check", "check the settings and exit: 0 when they are valid, 2 when not")(
         "version", "print the version")("help", "print this help");
     if (file_options.can_restore) {
-        options.add_options()("restore", "write a backup into the blank data folder, and exit",
+        options.add_options()("restore", "restore a backup into the blank data folder, and exit",
                               cxxopts::value<std::string>());
     }
     try {
--- a/poplarpitch/command_line/settings_file.h
+++ b/poplarpitch/command_line/settings_file.h
@@ -5,25 +5,25 @@
 
 namespace poplarpitch {
 
-/// What a daemon's command line has beside what all have.
+/// Options that only some daemons have on their command line.
 struct settings_file_options {
-    bool has_storage = true;  ///< its help names the exit code of a failed disk
-    bool can_restore = false; ///< it takes --restore
+    bool has_storage = true;  ///< the help text names the exit code of a storage failure
+    bool can_restore = false; ///< accepts --restore
 };
 
-/// A daemon's command line as far as its settings file.
+/// The parsed command line of a daemon and the text of its settings file.
 struct settings_file {
-    std::optional<int> exit_code; ///< set when there is nothing to run: help, version, or an error
+    std::optional<int> exit_code; ///< set when the daemon is not to run: help, version, or an error
     bool is_check_only = false;   ///< only check the settings
     std::string name;
     std::string text;
-    std::string restored_file; ///< --restore: a backup to found the cluster from; else empty
+    std::string restored_file; ///< --restore: backup to create the cluster from; empty otherwise
 };
 
-/// Exit code for a bad command line or bad settings.
+/// Exit code for an invalid command line or invalid settings.
 inline constexpr int usage_exit_code = 2;
 
-/// Reads a daemon's command line and the text of its settings file; prints help, version and what is wrong.
+/// Parses a daemon's command line and reads its settings file. Prints help, version and errors.
 /// Thread safety: none.
 [[nodiscard]] settings_file read_settings_file(int count, const char* const* arguments, const char* program,
                                                const char* about, const settings_file_options& file_options);
--- a/poplarpitch/config/config_error.h
+++ b/poplarpitch/config/config_error.h
@@ -5,9 +5,9 @@
 
 namespace poplarpitch {
 
-/// One mistake in an INI text, with its place.
+/// One error in an INI text, with its line.
 struct config_error {
-    int line = 0;        ///< line of the text, from 1; 0 when it concerns the whole text
+    int line = 0;        ///< from 1; 0 when the error concerns the whole text
     std::string message; ///< what is wrong, in one sentence
 
     friend auto operator<=>(const config_error&, const config_error&) = default;
--- a/poplarpitch/config/configuration.h
+++ b/poplarpitch/config/configuration.h
@@ -11,7 +11,7 @@
 
 namespace poplarpitch {
 
-/// The operators' text, checked; an immutable value once parsed.
+/// The validated configuration of the operators. Immutable once parsed.
 struct configuration {
     system_settings system;
     objective_settings objective;
--- a/poplarpitch/config/configuration_parser.cpp
+++ b/poplarpitch/config/configuration_parser.cpp
@@ -14,7 +14,7 @@
 constexpr std::int64_t max_count = 1'000'000;
 constexpr double max_weight = 1000;
 
-/// Reads one text; holds what the checks over several sections need.
+/// Parses one text. Keeps the state that checks across sections need.
 class configuration_reader {
 public:
     explicit configuration_reader(std::string_view text) : m_document(parse_ini(text)) {
@@ -129,7 +129,7 @@
         return need;
     }
 
-    /// The leases must nest: whoever holds one gives up before anybody takes over.
+    /// The lease times must be ordered, so that a lease holder always gives up before another takes over.
     void check_system() {
         const auto& system = m_parsed.value.system;
         if (system.drift_margin * 2 >= system.session_lease) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Every dependency names a service, and no service depends on itself over any number of steps.
+    /// Every dependency must name a service, and there must be no dependency cycle.
     void check_dependencies() {
         for (const auto& service : m_parsed.value.services) {
             for (const auto& name : service.depends) {
@@ -188,7 +188,7 @@
 
     ini_document m_document;
     parsed_configuration m_parsed;
-    int m_system_line = 0;                         ///< line of [system], for checks over several keys
+    int m_system_line = 0;                         ///< line of [system], for checks across keys
     std::map<std::string, int> m_dependency_lines; ///< line of each service's `depends`
 };
 
--- a/poplarpitch/config/configuration_parser.h
+++ b/poplarpitch/config/configuration_parser.h
@@ -8,7 +8,7 @@
 
 namespace poplarpitch {
 
-/// A configuration, or every reason why the text is not one.
+/// A configuration, or all errors in the text.
 struct parsed_configuration {
     configuration value;
     std::vector<config_error> errors; ///< empty when `value` may be used
@@ -16,7 +16,7 @@
     friend bool operator==(const parsed_configuration&, const parsed_configuration&) = default;
 };
 
-/// Reads and checks the operators' text. Thread safety: any thread.
+/// Parses and validates the operators' configuration text. Thread safety: any thread.
 [[nodiscard]] parsed_configuration parse_configuration(std::string_view text);
 
 } // namespace poplarpitch
--- a/poplarpitch/config/daemon_settings.cpp
+++ b/poplarpitch/config/daemon_settings.cpp
@@ -13,7 +13,7 @@
 constexpr int max_threads = 8192;
 constexpr absl::string_view spare_suffix = "/spare";
 
-/// Reads `1@127.0.0.1:7000` or `4@127.0.0.1:7003/spare`; notes an error when it is not of that form.
+/// Reads `1@127.0.0.1:7000` or `4@127.0.0.1:7003/spare`. Records an error when `text` has another form.
 void read_peer(const std::string& text, section_reader& reader, std::vector<peer_address>& peers) {
     const auto at = text.find('@');
     peer_address peer;
@@ -29,7 +29,7 @@
     }
     for (const auto& other : peers) {
         if (other.id == peer.id) {
-            reader.add_error("control", absl::StrCat("id ", peer.id, " stands twice"));
+            reader.add_error("control", absl::StrCat("id ", peer.id, " is listed twice"));
         }
     }
     peers.push_back(std::move(peer));
--- a/poplarpitch/config/ini_document.cpp
+++ b/poplarpitch/config/ini_document.cpp
@@ -11,16 +11,16 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_line_length = 190; // libinih cuts longer lines at INI_MAX_LINE (200)
+constexpr std::size_t max_line_length = 190; // libinih truncates longer lines at INI_MAX_LINE (200)
 
-/// What the callbacks of libinih share while one text is read.
+/// The state that the callbacks of libinih share while one text is parsed.
 struct reader_state {
     std::string_view rest;
     int line = 0;
     ini_document document;
 };
 
-/// Opens the section whose header stands in `header`, without its brackets.
+/// Adds a section. `header` is the section header without its brackets.
 void open_section(reader_state& state, std::string_view header) {
     ini_section section;
     section.line = state.line;
@@ -37,12 +37,13 @@
     if (first != sections.end()) {
         state.document.errors.push_back(
             {state.line,
-             absl::StrCat("section [", to_absl(header), "] stands twice, first in line ", first->line)});
+             absl::StrCat("section [", to_absl(header), "] is defined twice, first in line ", first->line)});
     }
     state.document.sections.push_back(std::move(section));
 }
 
-/// Gives libinih the next line, and notes section headers, of which it reports only those with values.
+/// Passes the next line to libinih and records section headers, because libinih reports only sections with
+/// values.
 char* read_line(char* buffer, int size, void* stream) {
     auto& state = *static_cast<reader_state*>(stream);
     if (state.rest.empty()) {
@@ -58,7 +59,7 @@
         line = "";
     }
     if (line.find('\0') != std::string_view::npos) {
-        state.document.errors.push_back({state.line, "line holds a NUL byte"});
+        state.document.errors.push_back({state.line, "line contains a NUL byte"});
         line = "";
     }
     const auto stripped = strip(line);
@@ -66,7 +67,8 @@
     if (!stripped.empty() && stripped.front() == '[' && close != std::string_view::npos) {
         open_section(state, strip(stripped.substr(1, close - 1)));
     }
-    // A continuation line would silently join two values, so leading blanks are not passed on.
+    // libinih would treat an indented line as a continuation and join two values, so leading blanks are
+    // removed.
     const auto length = std::min(stripped.size(), static_cast<std::size_t>(size) - 2);
     std::memcpy(buffer, stripped.data(), length);
     buffer[length] = '\n';
@@ -74,11 +76,12 @@
     return buffer;
 }
 
-/// Takes one value from libinih.
+/// Called by libinih for each value.
 int on_value(void* user, const char* /*section*/, const char* name, const char* value) {
     auto& state = *static_cast<reader_state*>(user);
     if (state.document.sections.empty()) {
-        state.document.errors.push_back({state.line, absl::StrCat("'", name, "' stands before any section")});
+        state.document.errors.push_back(
+            {state.line, absl::StrCat("'", name, "' appears before any section")});
         return 1;
     }
     auto& entries = state.document.sections.back().entries;
@@ -89,13 +92,14 @@
     if (first != entries.end()) {
         state.document.errors.push_back(
             {state.line,
-             absl::StrCat("'", name, "' stands twice in its section, first in line ", first->line)});
+             absl::StrCat("'", name, "' is defined twice in its section, first in line ", first->line)});
     }
     entries.push_back({name, value, state.line});
     return 1;
 }
 
-/// Finds every line that is neither a header, a value, a comment nor blank; libinih names only the first.
+/// Reports all lines that are neither a header, a value, a comment nor blank, as libinih reports only the
+/// first.
 void check_syntax(std::string_view text, std::vector<config_error>& errors) {
     int number = 0;
     while (!text.empty()) {
--- a/poplarpitch/config/ini_document.h
+++ b/poplarpitch/config/ini_document.h
@@ -27,16 +27,16 @@
     friend auto operator<=>(const ini_section&, const ini_section&) = default;
 };
 
-/// An INI text with the line of everything in it. Read by libinih, whose line callback tells us the line of
-/// each value; Boost.PropertyTree loses the lines of values and SimpleIni does not link header-only here.
+/// A parsed INI text with line numbers. It is parsed with libinih, whose line callback makes the line of each
+/// value known. Boost.PropertyTree loses the lines of values, and SimpleIni does not link header-only here.
 struct ini_document {
     std::vector<ini_section> sections;
-    std::vector<config_error> errors; ///< syntax errors, doubled sections and doubled keys
+    std::vector<config_error> errors; ///< syntax errors, duplicate sections and duplicate keys
 
     friend auto operator<=>(const ini_document&, const ini_document&) = default;
 };
 
-/// Reads `text`; mistakes are in `errors`, all of them. Thread safety: any thread.
+/// Parses `text` and collects all errors in `errors`. Thread safety: any thread.
 [[nodiscard]] ini_document parse_ini(std::string_view text);
 
 } // namespace poplarpitch
--- a/poplarpitch/config/peer_address.h
+++ b/poplarpitch/config/peer_address.h
@@ -6,11 +6,11 @@
 
 namespace poplarpitch {
 
-/// Where one control instance listens for the project's own processes.
+/// The address at which a control instance listens for the project's own processes.
 struct peer_address {
-    std::uint64_t id = 0;  ///< its number in the replicated log's membership, from 1
+    std::uint64_t id = 0;  ///< member id in the replicated log, from 1
     std::string address;   ///< host:port
-    bool is_spare = false; ///< does not found the cluster; waits to be added as a learner
+    bool is_spare = false; ///< not a founding member; waits to be added as a learner
 
     friend auto operator<=>(const peer_address&, const peer_address&) = default;
 };
--- a/poplarpitch/config/section_reader.cpp
+++ b/poplarpitch/config/section_reader.cpp
@@ -13,7 +13,7 @@
 namespace poplarpitch {
 namespace {
 
-/// A unit's name and its size in the base unit.
+/// The name of a unit and its size in the base unit.
 struct unit {
     std::string_view name;
     double size;
@@ -25,7 +25,7 @@
                                    unit{"GB", 1024.0 * 1024 * 1024}, unit{"TB", 1024.0 * 1024 * 1024 * 1024}};
 constexpr double max_amount = 9e18; // largest amount that fits into 64 bits
 
-/// Reads a number with a unit behind it; empty when it is not one.
+/// Parses a number followed by a unit. Returns nothing when `text` has another form.
 template <std::size_t Count>
 std::optional<double> read_with_unit(std::string_view text, const std::array<unit, Count>& units) {
     const auto digits = text.find_first_not_of("0123456789.");
--- a/poplarpitch/config/service_settings.h
+++ b/poplarpitch/config/service_settings.h
@@ -12,15 +12,15 @@
 /// `[service NAME]`: one latency-critical service.
 struct service_settings {
     std::string name;
-    std::vector<std::string> depends;   ///< services that must be up for this one to be useful
-    duration deadline = seconds{2};     ///< when the caller names none
-    bool idempotent = false;            ///< default for requests that do not say; false is the safe one
-    bool require_key = false;           ///< refuse non-idempotent requests without Idempotency-Key
-    bool hedge = false;                 ///< send a second copy of a slow idempotent request
-    bool serve_when_cut_off = false;    ///< go on serving idempotent requests without a control session
-    std::int64_t max_queue = 1000;      ///< waiting requests per entry
+    std::vector<std::string> depends; ///< services that must be up for this one to be useful
+    duration deadline = seconds{2};   ///< default when the caller sets none
+    bool idempotent = false;         ///< default for requests that do not specify it; false is the safe value
+    bool require_key = false;        ///< reject non-idempotent requests without Idempotency-Key
+    bool hedge = false;              ///< send a second copy of a slow idempotent request
+    bool serve_when_cut_off = false; ///< continue to serve idempotent requests without a control session
+    std::int64_t max_queue = 1000;   ///< waiting requests per entry
     std::int64_t max_in_flight = 10000; ///< running requests per entry
-    resources need{1, 0, 0, 0};         ///< what one request takes from its worker
+    resources need{1, 0, 0, 0};         ///< resources that one request uses on its worker
 
     friend bool operator==(const service_settings&, const service_settings&) = default;
 };
--- a/poplarpitch/config/system_settings.h
+++ b/poplarpitch/config/system_settings.h
@@ -6,16 +6,17 @@
 
 namespace poplarpitch {
 
-/// `[system]`: the timing of leases and reports, the same on every instance.
+/// `[system]`: timing of leases and reports, which is the same on every instance.
 struct system_settings {
-    duration session_lease = milliseconds{1500};    ///< an entry without renewal starts nothing after this
-    duration drift_margin = milliseconds{150};      ///< taken off every lease by its holder; 10% clock drift
-    duration task_lease = seconds{10};              ///< a task stops itself after this without renewal
+    duration session_lease = milliseconds{1500}; ///< an entry starts nothing after this time without renewal
+    duration drift_margin = milliseconds{150}; ///< subtracted from each lease by its holder; 10% clock drift
+    duration task_lease = seconds{10};         ///< a task stops itself after this time without renewal
     duration announce_interval = milliseconds{500}; ///< how often a target announces itself
-    duration target_silence = milliseconds{1600};   ///< a target silent for this gets no new work
-    duration intent_lifetime = seconds{3600};       ///< how long an Idempotency-Key is remembered
-    duration job_retention = seconds{24 * 3600};    ///< how long an ended job is kept
-    int max_attempts = 4;                           ///< failed attempts after which a job is parked
+    duration target_silence =
+        milliseconds{1600}; ///< a target without announcements for this time gets no new work
+    duration intent_lifetime = seconds{3600};    ///< how long an Idempotency-Key is kept
+    duration job_retention = seconds{24 * 3600}; ///< how long an ended job is kept
+    int max_attempts = 4;                        ///< failed attempts after which a job is parked
 
     friend auto operator<=>(const system_settings&, const system_settings&) = default;
 };
--- a/unit_tests/config/configuration_parser_test.cpp
+++ b/unit_tests/config/configuration_parser_test.cpp
@@ -8,7 +8,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Returns true when some error stands at `line` and says `part`.
+/// Returns true when there is an error at `line` whose message contains `part`.
 bool has_error(const parsed_configuration& parsed, int line, const std::string& part) {
     return std::any_of(parsed.errors.begin(), parsed.errors.end(), [&](const config_error& error) {
         return error.line == line && error.message.find(part) != std::string::npos;
@@ -49,17 +49,17 @@
     EXPECT_TRUE(has_error(parsed, 5, "no service is called"));
     EXPECT_TRUE(has_error(parsed, 7, "amount of bytes"));
     EXPECT_TRUE(has_error(parsed, 8, "no number"));
-    EXPECT_TRUE(has_error(parsed, 9, "stands twice"));
+    EXPECT_TRUE(has_error(parsed, 9, "is defined twice"));
     EXPECT_TRUE(has_error(parsed, 10, "unknown section"));
     EXPECT_TRUE(has_error(parsed, 11, "key = value"));
     EXPECT_TRUE(has_error(parsed, 12, "closing bracket"));
 }
 
-TEST(configuration_parser, refuses_a_doubled_section_that_is_empty) {
-    EXPECT_TRUE(has_error(parse_configuration("[tenant a]\n[tenant a]\n"), 2, "stands twice"));
+TEST(configuration_parser, rejects_an_empty_duplicate_section) {
+    EXPECT_TRUE(has_error(parse_configuration("[tenant a]\n[tenant a]\n"), 2, "is defined twice"));
 }
 
-TEST(configuration_parser, refuses_a_dependency_cycle) {
+TEST(configuration_parser, rejects_a_dependency_cycle) {
     const auto parsed =
         parse_configuration("[service a]\ndepends = b\n[service b]\ndepends = c\n[service c]\n"
                             "depends = a\n");
@@ -67,17 +67,17 @@
     EXPECT_NE(parsed.errors.front().message.find("a -> b -> c -> a"), std::string::npos);
 }
 
-TEST(configuration_parser, refuses_leases_that_do_not_nest) {
+TEST(configuration_parser, rejects_lease_times_in_the_wrong_order) {
     EXPECT_TRUE(has_error(parse_configuration("[system]\nsession_lease = 100ms\n"), 1, "drift_margin"));
     EXPECT_TRUE(has_error(parse_configuration("[system]\ntask_lease = 1s\n"), 1, "task_lease"));
 }
 
-TEST(configuration_parser, cuts_no_long_line_silently) {
+TEST(configuration_parser, reports_a_line_that_is_too_long) {
     const auto parsed = parse_configuration("[service a]\ndepends = " + std::string(300, 'x') + "\n");
     EXPECT_TRUE(has_error(parsed, 2, "longer than"));
 }
 
-RC_GTEST_PROP(configuration_parser, takes_any_bytes_without_harm, (const std::string& text)) {
+RC_GTEST_PROP(configuration_parser, reports_well_formed_errors_for_any_bytes, (const std::string& text)) {
     const auto parsed = parse_configuration(text);
     for (const auto& error : parsed.errors) {
         RC_ASSERT(error.line >= 0);
--- a/unit_tests/config/daemon_settings_test.cpp
+++ b/unit_tests/config/daemon_settings_test.cpp
@@ -16,7 +16,7 @@
     EXPECT_EQ(parsed.value.control[1].address, "127.0.0.1:2");
 }
 
-TEST(daemon_settings, names_what_is_missing) {
+TEST(daemon_settings, reports_missing_keys) {
     const auto parsed = parse_daemon_settings("[daemon]\ncontrol = x\n", true);
     std::string all;
     for (const auto& error : parsed.errors) {
@@ -28,7 +28,7 @@
     EXPECT_FALSE(parse_daemon_settings("", false).errors.empty());
 }
 
-TEST(daemon_settings, refuses_control_keys_for_an_entry) {
+TEST(daemon_settings, rejects_control_keys_for_an_entry) {
     const auto parsed = parse_daemon_settings("[daemon]\nid = e\ncontrol = 1@a:1\ndata_folder = d\n", false);
     ASSERT_EQ(parsed.errors.size(), 1U);
     EXPECT_NE(parsed.errors.front().message.find("unknown key 'data_folder'"), std::string::npos);
