--- a/poplarpitch/core/answer_slot.h
+++ b/poplarpitch/core/answer_slot.h
@@ -9,18 +9,19 @@
 
 namespace poplarpitch {
 
-/// One answer on its way from the thread that works to the one that waits, which may have gone when it comes:
-/// the two share the slot. Thread safety: one thread gives, one waits.
+/// Passes one result from a working thread to a waiting thread. Both threads share ownership of the slot,
+/// because the waiting thread may time out before the result is set. Thread safety: one thread sets, one
+/// waits.
 template <class Answer>
 class answer_slot {
 public:
-    /// Hands the answer over. Precondition: called once.
+    /// Sets the result and wakes the waiting thread. Precondition: called once.
     void give(const Answer& answer) {
         m_answer = answer;
         m_ready.Notify();
     }
 
-    /// Waits for the answer, at most for `limit`; nothing when it has not come by then.
+    /// Waits for the result for at most `limit`. Returns nothing when it is not set by then.
     std::optional<Answer> wait_for(duration limit) {
         if (!m_ready.WaitForNotificationWithTimeout(absl::Nanoseconds(limit.count()))) {
             return std::nullopt;
--- a/poplarpitch/core/clock.h
+++ b/poplarpitch/core/clock.h
@@ -6,7 +6,7 @@
 
 namespace poplarpitch {
 
-/// Anything that tells the present time: the runtime's clock in daemons, a manual clock in tests.
+/// A source of the current time: the system clock in daemons, a manual clock in tests.
 template <class T>
 concept clock_source = requires(const T& clock) {
     { clock.now() } -> std::same_as<time_point>;
--- a/poplarpitch/core/manual_clock.h
+++ b/poplarpitch/core/manual_clock.h
@@ -6,10 +6,10 @@
 
 namespace poplarpitch {
 
-/// A clock that stands still until a test advances it.
+/// A clock that changes only when a test advances it.
 class manual_clock {
 public:
-    /// Returns the time that was last set. Thread safety: any thread.
+    /// Returns the time that the clock was advanced to. Thread safety: any thread.
     [[nodiscard]] time_point now() const noexcept { return time_point{duration{m_now.load()}}; }
 
     /// Moves the clock forward. Precondition: `step` is not negative. Thread safety: any thread.
--- a/poplarpitch/core/resources.h
+++ b/poplarpitch/core/resources.h
@@ -5,9 +5,9 @@
 
 namespace poplarpitch {
 
-/// An amount of everything a worker can be asked for.
+/// An amount of each resource that a worker has.
 struct resources {
-    std::int64_t slots = 0;        ///< requests that run at the same time
+    std::int64_t slots = 0;        ///< concurrent requests
     std::int64_t millicores = 0;   ///< thousandths of a processor core
     std::int64_t memory = 0;       ///< bytes
     std::int64_t accelerators = 0; ///< whole devices
--- a/poplarpitch/core/result.h
+++ b/poplarpitch/core/result.h
@@ -5,8 +5,8 @@
 
 namespace poplarpitch {
 
-/// A value or a `std::error_code` of the layer that returns it. Boost.Outcome stands in for std::expected,
-/// which clang-tidy 14 cannot parse.
+/// A value or a `std::error_code` of the layer that returns it. Boost.Outcome is used instead of
+/// std::expected, which clang-tidy 14 cannot parse.
 template <class T>
 using result = boost::outcome_v2::std_result<T>;
 
--- a/poplarpitch/core/stop_signal.h
+++ b/poplarpitch/core/stop_signal.h
@@ -4,9 +4,9 @@
 
 namespace poplarpitch {
 
-/// SIGTERM and SIGINT as something a thread can wait for. Blocks both signals in the calling thread and those
-/// it starts later, so the object is made before any thread. Thread safety: one waiting thread; `is_raised`
-/// from any.
+/// Lets a thread wait for SIGTERM or SIGINT. Blocks both signals in the calling thread and the threads it
+/// starts later, so the object must be created before any thread. Thread safety: one waiting thread;
+/// `is_raised` from any thread.
 class stop_signal {
 public:
     stop_signal();
@@ -14,13 +14,13 @@
     stop_signal(const stop_signal&) = delete;
     stop_signal& operator=(const stop_signal&) = delete;
 
-    /// Waits until a signal came.
+    /// Waits until a signal arrives.
     void wait();
-    /// Waits until a signal came, at most for `limit`. Returns true when one came.
+    /// Waits for a signal for at most `limit`. Returns true if one has arrived.
     bool wait_for(duration limit);
-    /// Returns true when a signal came.
+    /// Returns true if a signal has arrived.
     [[nodiscard]] bool is_raised();
-    /// Forgets that a signal came, so that the next one can be waited for.
+    /// Clears the received signal, so that the next one can be waited for.
     void reset();
 
 private:
--- a/poplarpitch/core/system_clock.h
+++ b/poplarpitch/core/system_clock.h
@@ -4,7 +4,7 @@
 
 namespace poplarpitch {
 
-/// The runtime's clock. Reads CLOCK_BOOTTIME, because a lease must also run out while an instance is
+/// The clock of daemons. Reads CLOCK_BOOTTIME, because a lease must also expire while an instance is
 /// suspended.
 class system_clock {
 public:
--- a/poplarpitch/core/time.h
+++ b/poplarpitch/core/time.h
@@ -3,13 +3,13 @@
 #include <chrono>
 #include <cstdint>
 
-/// Time types shared by every layer. All decisions use the boot-time clock, which also counts suspension.
+/// Time types for all layers. All decisions use the boot-time clock, which also counts time in suspension.
 namespace poplarpitch {
 
-/// Length of time in nanoseconds.
+/// A duration in nanoseconds.
 using duration = std::chrono::nanoseconds;
 
-/// Tag of the boot-time scale: nanoseconds since the instance booted, suspension included.
+/// Clock tag of the boot-time clock: nanoseconds since the instance booted, including suspension.
 struct boot_time {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
@@ -18,7 +18,7 @@
     static constexpr bool is_steady = true;
 };
 
-/// Point on the boot-time scale of one instance; never compared between instances.
+/// A point in time on the boot-time clock of one instance. Must not be compared between instances.
 using time_point = boot_time::time_point;
 
 using std::chrono::milliseconds;
--- a/poplarpitch/telemetry/history_logger.h
+++ b/poplarpitch/telemetry/history_logger.h
@@ -2,7 +2,8 @@
 
 namespace poplarpitch {
 
-/// The logger of events of `log_weight::history`; the root logger's child, so that it writes where that does.
+/// Name of the logger for events of `log_weight::history`. It is a child of the root logger, so that it uses
+/// the same appenders.
 inline constexpr const char* history_logger = "history";
 
 } // namespace poplarpitch
--- a/poplarpitch/telemetry/line_ring.cpp
+++ b/poplarpitch/telemetry/line_ring.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t chunk_bytes =
-    4096; // PIPE_BUF: a pipe that polls as writable takes this much without waiting
+    4096; // PIPE_BUF: a pipe that polls as writable accepts this much without blocking
 
 bool is_writable(int descriptor) {
     pollfd item{descriptor, POLLOUT, 0};
@@ -26,7 +26,7 @@
         ++m_unreported;
         return;
     }
-    if (weight == log_weight::ordinary) { // counts would take of what is kept for the others
+    if (weight == log_weight::ordinary) { // the notice must not use the space reserved for history lines
         add_left_out_notice();
     }
     m_bytes += line.size();
@@ -57,7 +57,10 @@
         if (count < 0 && (errno == EAGAIN || errno == EINTR)) {
             return;
         }
-        auto left = count < 0 ? bytes.size() : static_cast<std::size_t>(count); // broken: nobody reads it
+        auto left =
+            count < 0
+                ? bytes.size()
+                : static_cast<std::size_t>(count); // on an error the bytes are dropped: nobody reads them
         while (left > 0 && !m_lines.empty()) {
             const auto rest = m_lines.front().size() - m_written;
             if (left < rest) {
--- a/poplarpitch/telemetry/line_ring.h
+++ b/poplarpitch/telemetry/line_ring.h
@@ -9,22 +9,23 @@
 
 namespace poplarpitch {
 
-/// Log lines on their way to a reader that may be slow or gone. Bounded in bytes: when it is full, new lines
-/// are left out and counted, and a line with the count follows once there is room. A part of it is kept for
-/// lines of weight, so that a flood of others does not crowd them out. Thread safety: none.
+/// A queue of log lines for a reader that may be slow or gone, bounded in bytes. When it is full, new lines
+/// are left out and counted. A line with the count follows once there is room. Part of the space is reserved
+/// for lines of `log_weight::history`, so that many ordinary lines cannot displace them. Thread safety: none.
 class line_ring {
 public:
-    /// `capacity`: bytes kept at most; `reserve`: how many of them ordinary lines leave free.
+    /// `capacity` is the maximum number of bytes. `reserve` is how many of them ordinary lines must leave
+    /// free.
     explicit line_ring(std::size_t capacity, std::size_t reserve = 0)
         : m_capacity(capacity), m_reserve(reserve) {}
 
-    /// Adds a line, which ends with a line feed, or counts it as left out.
+    /// Adds a line, or counts it as left out. Precondition: the line ends with a line feed.
     void add(std::string line, log_weight weight = log_weight::ordinary);
-    /// Writes what the descriptor takes without waiting. A descriptor that is broken takes everything: nobody
-    /// reads it any more.
+    /// Writes as much as the descriptor accepts without blocking. If a write fails, drops the lines, because
+    /// nobody reads them any more.
     void write_to(int descriptor);
     [[nodiscard]] bool is_empty() const { return m_lines.empty(); }
-    /// Returns how many lines were left out since the start.
+    /// Returns the number of lines left out since the start.
     [[nodiscard]] std::uint64_t get_left_out() const { return m_left_out; }
 
 private:
@@ -34,9 +35,9 @@
     std::size_t m_reserve;
     std::deque<std::string> m_lines;
     std::size_t m_bytes = 0;
-    std::size_t m_written = 0; ///< bytes of the first line that are out already
+    std::size_t m_written = 0; ///< bytes of the first line that were written already
     std::uint64_t m_left_out = 0;
-    std::uint64_t m_unreported = 0; ///< lines left out that no line has told of yet
+    std::uint64_t m_unreported = 0; ///< lines left out that no notice has reported yet
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/telemetry/log_budget.h
+++ b/poplarpitch/telemetry/log_budget.h
@@ -9,36 +9,36 @@
 
 namespace poplarpitch {
 
-/// How many lines of one kind of event may be written.
+/// Limits on the log lines of one kind of event.
 struct log_budget_settings {
-    /// Lines a second. A busy leader writes 2,500 of its most frequent kind; ten times as many, as a fault
-    /// that touches every order brings them, would admit more time than the orders.
+    /// Lines per second. A busy leader writes 2,500 lines per second of its most frequent kind. A fault that
+    /// affects every order causes ten times as many, which would take more time than the orders.
     double rate = 5000;
-    double burst = 10'000; ///< lines at once after a quiet time: one for each run of 600 workers
+    double burst = 10'000; ///< lines at once after an idle period: one for each run of 600 workers
 
     friend auto operator<=>(const log_budget_settings&, const log_budget_settings&) = default;
 };
 
-/// Bounds the lines of each kind of event by a token bucket of its own, so that one kind cannot crowd out the
-/// others. Load pattern: 48,000 orders a second that fail for the same reason.
+/// Limits the log lines of each kind of event with a separate token bucket, so that one kind cannot displace
+/// the others. Load pattern: 48,000 orders a second that fail for the same reason.
 ///
-/// What is left out is counted, and told with the first line of the kind that is written again. Thread
-/// safety: none, as for all methods.
+/// Lines that are left out are counted. The count is reported with the next line of the kind that is written.
+/// Thread safety: none, for all methods.
 class log_budget {
 public:
     explicit log_budget(const log_budget_settings& settings) : m_settings(settings) {}
 
-    /// What to do with a line.
+    /// Whether to write a line, and what to report with it.
     struct decision {
         bool is_written = true;
-        std::uint64_t left_out = 0; ///< lines of the kind that were left out before this one and not told yet
+        std::uint64_t left_out = 0; ///< earlier lines of the kind that were left out and not reported yet
 
         friend auto operator<=>(const decision&, const decision&) = default;
     };
 
-    /// Decides on a line of `kind`.
+    /// Decides whether a line of `kind` may be written at `now`.
     decision admit(std::string_view kind, time_point now);
-    /// Returns how many lines were left out since the start.
+    /// Returns the number of lines left out since the start.
     [[nodiscard]] std::uint64_t get_left_out() const { return m_left_out; }
 
 private:
--- a/poplarpitch/telemetry/log_event.cpp
+++ b/poplarpitch/telemetry/log_event.cpp
@@ -25,7 +25,7 @@
     return log4cplus::ERROR_LOG_LEVEL;
 }
 
-/// Appends `value`, quoted where a reader could not tell its end otherwise.
+/// Appends `value`, in quotes if its end would be ambiguous otherwise.
 void append_value(std::string& line, std::string_view value) {
     const bool is_plain = !value.empty() && value.find_first_of(" \t\r\n\"=\\") == std::string_view::npos;
     if (is_plain) {
@@ -46,7 +46,7 @@
     line += '"';
 }
 
-/// The budgets of the process: its logger is one too.
+/// Applies the log budget of the process. There is one for the process, as there is one root logger.
 log_budget::decision check_budget(std::string_view kind) {
     static absl::Mutex mutex;
     static log_budget budget{log_budget_settings{}};
--- a/poplarpitch/telemetry/log_event.h
+++ b/poplarpitch/telemetry/log_event.h
@@ -7,22 +7,22 @@
 
 namespace poplarpitch {
 
-/// How important an event is.
+/// The severity of an event.
 enum class log_level : std::uint8_t { debug, info, warn, error };
 
-/// What is left out last where lines must be left out.
+/// Which lines are kept longest when lines must be left out.
 enum class log_weight : std::uint8_t {
     ordinary,
-    history, ///< what became of a task: part of the lines' room is kept for these
+    history, ///< the history of tasks: part of the buffer is reserved for these lines
 };
 
-/// One event; written as one line when it goes out of scope:
+/// One log event, which is written as one line when the object goes out of scope:
 ///
 ///     log_event(log_level::info, "session_opened").add("entry", id).add("lease_ms", 1500);
 ///
-/// Values with blanks or quotes are quoted, so that a line can be split again. Each kind of event has a
-/// budget of lines (`log_budget`); a line `log_lines_left_out kind= count=` tells what was over it. Thread
-/// safety: none; different threads write different events at the same time.
+/// Values with blanks or quotes are quoted, so that a line can be parsed. Each kind of event has a limit on
+/// its lines (`log_budget`). A line `log_lines_left_out kind= count=` reports the lines above the limit.
+/// Thread safety: none for one object. Different threads may write different events at the same time.
 class log_event {
 public:
     log_event(log_level level, std::string_view name, log_weight weight = log_weight::ordinary);
@@ -38,7 +38,7 @@
     log_event& add(std::string_view key, double value);
     log_event& add(std::string_view key, const std::error_code& value);
 
-    /// Returns the line as far as it was added. Thread safety: none.
+    /// Returns the line with all values added so far. Thread safety: none.
     [[nodiscard]] const std::string& get_line() const { return m_line; }
 
 private:
--- a/poplarpitch/telemetry/logging.cpp
+++ b/poplarpitch/telemetry/logging.cpp
@@ -13,11 +13,12 @@
 namespace {
 
 constexpr const char* pattern = "time=%d{%Y-%m-%dT%H:%M:%S.%qZ} level=%p %m%n";
-constexpr std::size_t ring_bytes = 1U << 20; // 8,000 lines: what a busy leader writes in ten seconds
-constexpr std::size_t history_reserve_bytes = ring_bytes / 2; // of these, for what became of tasks
+constexpr std::size_t ring_bytes = 1U << 20; // 8,000 lines, which a busy leader writes in ten seconds
+constexpr std::size_t history_reserve_bytes =
+    ring_bytes / 2; // part of the ring reserved for the history of tasks
 
 log4cplus::SharedAppenderPtr& get_ring() {
-    static log4cplus::SharedAppenderPtr ring; // the logger's own state is one for the process too
+    static log4cplus::SharedAppenderPtr ring; // one for the process, as the state of log4cplus
     return ring;
 }
 
@@ -42,7 +43,7 @@
 void start_ring_logging(const std::string& level) {
     static const log4cplus::Initializer initializer;
     get_ring() = log4cplus::SharedAppenderPtr(
-        new ring_appender(ring_bytes, history_reserve_bytes)); // NOLINT: the library counts it
+        new ring_appender(ring_bytes, history_reserve_bytes)); // NOLINT: log4cplus counts the references
     get_ring()->setLayout(std::make_unique<log4cplus::PatternLayout>(pattern));
     auto root = log4cplus::Logger::getRoot();
     root.addAppender(get_ring());
--- a/poplarpitch/telemetry/metric_labels.h
+++ b/poplarpitch/telemetry/metric_labels.h
@@ -5,7 +5,7 @@
 
 namespace poplarpitch {
 
-/// What a metric's series is split by. Empty members are left out of the text.
+/// The labels of a metric series. Empty labels are omitted from the text.
 struct metric_labels {
     std::string tenant;
     std::string service; ///< or the batch class
--- a/poplarpitch/telemetry/metrics_registry.cpp
+++ b/poplarpitch/telemetry/metrics_registry.cpp
@@ -11,9 +11,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_series = 500; // of each kind and shard
+constexpr std::size_t max_series = 500; // for each metric type and shard
 constexpr std::size_t shard_count = 8;
-constexpr int bins = 40; // two for each doubling from 50 us to 52 s
+constexpr int bins = 40; // two for each doubling, from 50 us to 52 s
 constexpr double lowest_seconds = 50e-6;
 constexpr double highest_seconds = 52.4288;
 
@@ -25,7 +25,7 @@
     return absl::StrReplaceAll(text, {{"\\", "\\\\"}, {"\"", "\\\""}, {"\n", " "}});
 }
 
-/// Returns `{tenant="a",service="b"}` with `extra` behind, or nothing when all is empty.
+/// Returns `{tenant="a",service="b"}` with `extra` at the end, or an empty string when there are no labels.
 std::string format_labels(const metric_labels& labels, const std::string& extra = "") {
     std::string text;
     const auto append = [&](const char* key, const std::string& value) {
@@ -80,8 +80,8 @@
 metrics_registry::~metrics_registry() = default;
 
 metrics_registry::shard& metrics_registry::get_shard() {
-    // Threads take the shards in turn; one registry a process is the rule, and a second one only shares the
-    // numbers.
+    // Threads are assigned to shards in turn. A process usually has one registry; with a second one, a thread
+    // uses the same index in both.
     thread_local const std::size_t index = m_next_shard.fetch_add(1) % shard_count;
     return *m_shards[index];
 }
--- a/poplarpitch/telemetry/metrics_registry.h
+++ b/poplarpitch/telemetry/metrics_registry.h
@@ -14,9 +14,9 @@
 
 namespace poplarpitch {
 
-/// Counters, gauges and latency histograms (Boost.Histogram), for each tenant and service or class, printed
-/// as Prometheus text. Series are bounded in number; above the bound they share one series named "other", so
-/// that made-up tenant names cannot fill the memory. Thread safety: any thread, for all methods.
+/// Counters, gauges and latency histograms (Boost.Histogram) by tenant and service or batch class, formatted
+/// as Prometheus text. The number of series is bounded. Above the bound new series share one named "other",
+/// so that arbitrary tenant names cannot exhaust the memory. Thread safety: any thread, for all methods.
 class metrics_registry {
 public:
     metrics_registry();
@@ -28,17 +28,17 @@
     void count(const std::string& name, const metric_labels& labels, std::int64_t amount = 1);
     /// Sets a gauge.
     void set(const std::string& name, const metric_labels& labels, double value);
-    /// Adds one time to a histogram.
+    /// Adds one duration to a histogram.
     void observe(const std::string& name, const metric_labels& labels, duration value);
-    /// Returns everything as Prometheus text.
+    /// Returns all series as Prometheus text.
     [[nodiscard]] std::string format() const;
 
 private:
     using series_key = std::pair<std::string, metric_labels>;
     struct histogram_series;
-    /// A part of the series; each thread uses one, so that threads seldom meet. The text adds them up.
+    /// Part of the series. Each thread uses one shard, which reduces lock contention. `format` adds them up.
     struct shard;
-    /// All series of one kind added up.
+    /// The sums of all shards.
     struct totals;
 
     shard& get_shard();
--- a/poplarpitch/telemetry/ring_appender.h
+++ b/poplarpitch/telemetry/ring_appender.h
@@ -6,9 +6,9 @@
 
 namespace poplarpitch {
 
-/// Takes log4cplus' events into a ring of lines, which the daemon's loop writes out when there is time:
-/// logging never waits for who reads the logs. Thread safety: as log4cplus' appenders; `flush` on the
-/// daemon's thread.
+/// A log4cplus appender that queues lines in a `line_ring`. The daemon's loop writes them out later, so that
+/// logging never blocks on a slow reader. Thread safety: as log4cplus appenders; `flush` on the daemon's
+/// thread.
 class ring_appender : public log4cplus::Appender {
 public:
     explicit ring_appender(std::size_t capacity, std::size_t reserve = 0) : m_ring(capacity, reserve) {}
@@ -16,7 +16,7 @@
     ring_appender(const ring_appender&) = delete;
     ring_appender& operator=(const ring_appender&) = delete;
 
-    /// Writes what standard output takes without waiting.
+    /// Writes as much as standard output accepts without blocking.
     void flush();
     void close() override;
     [[nodiscard]] const line_ring& get_ring() const { return m_ring; }
--- a/poplarpitch/telemetry/storage_failure.cpp
+++ b/poplarpitch/telemetry/storage_failure.cpp
@@ -8,7 +8,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int storage_failure_code = 3; // exit code, documented for operators
+constexpr int storage_failure_code = 3; // exit code that the operations documentation names
 
 } // namespace
 
@@ -17,7 +17,7 @@
         .add("error", error)
         .add("place", place)
         .add("action", "process ends; nothing unsynced was acknowledged");
-    flush_logs(); // nothing else writes the line out
+    flush_logs(); // nothing else would write the line
     std::_Exit(storage_failure_code);
 }
 
--- a/unit_tests/telemetry/line_ring_test.cpp
+++ b/unit_tests/telemetry/line_ring_test.cpp
@@ -1,4 +1,4 @@
-// Logging never waits: a full ring leaves lines out and tells how many.
+// Logging never blocks. A full ring leaves lines out and reports how many.
 #include "poplarpitch/telemetry/line_ring.h"
 
 #include "poplarpitch/telemetry/log_event.h"
@@ -18,7 +18,7 @@
 namespace poplarpitch {
 namespace {
 
-/// A pipe whose reader a test controls.
+/// A pipe whose read end is controlled by the test.
 class test_pipe {
 public:
     test_pipe() { EXPECT_EQ(::pipe2(m_ends, O_NONBLOCK), 0); }
@@ -52,7 +52,7 @@
     EXPECT_EQ(pipe.read(), "one\ntwo\n");
 }
 
-TEST(line_ring, leaves_out_what_does_not_fit_and_tells_so) {
+TEST(line_ring, leaves_out_lines_that_do_not_fit_and_reports_them) {
     const test_pipe pipe;
     line_ring ring(10);
     ring.add("12345678\n");
@@ -65,11 +65,11 @@
     EXPECT_EQ(pipe.read(), "12345678\nlevel=WARN event=log_lines_left_out count=2\nnext\n");
 }
 
-TEST(line_ring, leaves_out_ordinary_lines_before_those_that_tell_the_history_of_tasks) {
+TEST(line_ring, leaves_out_ordinary_lines_before_history_lines) {
     const test_pipe pipe;
     line_ring ring(40, 20);
     ring.add("ordinary 1\n");
-    ring.add("ordinary 2\n"); // would take of the part that is kept
+    ring.add("ordinary 2\n"); // would use the reserved part
     ring.add("history 1\n", log_weight::history);
     ring.add("history 2\n", log_weight::history);
     EXPECT_EQ(ring.get_left_out(), 1U);
@@ -82,9 +82,9 @@
     EXPECT_NE(written.find("history 1\n"), std::string::npos);
 }
 
-TEST(line_ring, keeps_room_for_events_of_history_in_a_flood_of_others) {
+TEST(line_ring, reserves_space_for_history_events_during_a_flood_of_ordinary_ones) {
     static const log4cplus::Initializer initializer;
-    auto* ring = new ring_appender(4000, 2000); // NOLINT: the library counts it
+    auto* ring = new ring_appender(4000, 2000); // NOLINT: log4cplus counts the references
     const log4cplus::SharedAppenderPtr appender(ring);
     appender->setLayout(std::make_unique<log4cplus::PatternLayout>("%m%n"));
     appender->setName("ring");
@@ -107,7 +107,7 @@
     EXPECT_NE(testing::internal::GetCapturedStdout().find("event=run_ended run=1\n"), std::string::npos);
 }
 
-TEST(line_ring, returns_at_once_when_the_reader_has_stopped_and_goes_on_where_it_was) {
+TEST(line_ring, returns_at_once_when_the_reader_has_stopped_and_resumes_later) {
     const test_pipe pipe;
     line_ring ring(1U << 20);
     std::string expected;
@@ -124,7 +124,7 @@
     EXPECT_EQ(seen, expected);
 }
 
-TEST(line_ring, drops_everything_when_nobody_reads_any_more) {
+TEST(line_ring, drops_all_lines_when_the_reader_has_closed_the_pipe) {
     int ends[2] = {-1, -1};
     ASSERT_EQ(::pipe2(ends, O_NONBLOCK), 0);
     ::close(ends[0]);
--- a/unit_tests/telemetry/log_budget_test.cpp
+++ b/unit_tests/telemetry/log_budget_test.cpp
@@ -1,5 +1,5 @@
-// A fault that brings the same line tens of thousands of times a second fills neither the disk nor the
-// thread.
+// A fault that logs the same line tens of thousands of times a second must not fill the disk or use up the
+// thread's time.
 #include "poplarpitch/telemetry/log_budget.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 constexpr log_budget_settings small{100, 200};
 
-TEST(log_budget, bounds_the_lines_of_one_kind_and_counts_what_it_leaves_out) {
+TEST(log_budget, bounds_the_lines_of_one_kind_and_counts_those_left_out) {
     log_budget budget(small);
     time_point now{seconds{10}};
     int written = 0;
@@ -29,7 +29,7 @@
     EXPECT_EQ(reported, budget.get_left_out()) << "every line that was left out is told of";
 }
 
-TEST(log_budget, leaves_other_kinds_alone) {
+TEST(log_budget, does_not_limit_other_kinds) {
     log_budget budget(small);
     const time_point now{seconds{10}};
     for (int line = 0; line < 1000; ++line) {
--- a/unit_tests/telemetry/metrics_registry_test.cpp
+++ b/unit_tests/telemetry/metrics_registry_test.cpp
@@ -13,7 +13,7 @@
     return metrics.format().find(line + "\n") != std::string::npos;
 }
 
-TEST(metrics_registry, adds_up_what_many_threads_count) {
+TEST(metrics_registry, adds_up_the_counts_of_many_threads) {
     metrics_registry metrics;
     std::vector<std::thread> threads;
     threads.reserve(20);
@@ -33,7 +33,7 @@
     EXPECT_TRUE(has_line(metrics, "seconds_bucket{tenant=\"t\",service=\"s\",le=\"+Inf\"} 2000"));
 }
 
-TEST(metrics_registry, is_bounded_against_made_up_names) {
+TEST(metrics_registry, bounds_the_series_of_arbitrary_names) {
     metrics_registry metrics;
     for (int index = 0; index < 2000; ++index) {
         metrics.count("requests", {"tenant-" + std::to_string(index), "s", "done"});
@@ -47,7 +47,7 @@
     EXPECT_TRUE(has_line(metrics, "gauge{tenant=\"a\\\"b\\\\c\"} 2"));
 }
 
-TEST(log_event, quotes_what_could_not_be_split_again) {
+TEST(log_event, quotes_values_that_would_be_ambiguous) {
     log_event event(log_level::debug, "test");
     event.add("plain", "a-b")
         .add("blank", "a b")
