--- a/unit_tests/net/background_task_test.cpp
+++ b/unit_tests/net/background_task_test.cpp
@@ -1,4 +1,4 @@
-// Work that waits must not keep the loop from serving others.
+// Blocking work must not block the event loop.
 #include "poplarpitch/net/background_task.h"
 
 #include "poplarpitch/net/event_loop.h"
@@ -12,7 +12,7 @@
 namespace poplarpitch {
 namespace {
 
-TEST(background_task, lets_the_loop_serve_others_while_work_waits) {
+TEST(background_task, does_not_block_the_loop_while_work_waits) {
     event_loop loop;
     background_task task(loop);
     absl::Notification was_served;
@@ -20,7 +20,7 @@
     loop.post([&] {
         task.run(
             [&] {
-                was_served.WaitForNotification(); // a disk that does not answer until somebody was served
+                was_served.WaitForNotification(); // blocks until the loop has run another handler
             },
             [&] {
                 order.emplace_back("done");
@@ -37,7 +37,7 @@
     EXPECT_FALSE(task.is_running());
 }
 
-TEST(background_task, tells_each_end_on_the_loop_before_the_next_work) {
+TEST(background_task, reports_each_end_on_the_loop_before_the_next_work) {
     event_loop loop;
     background_task task(loop);
     constexpr int rounds = 100;
@@ -57,7 +57,7 @@
     EXPECT_EQ(done, rounds);
 }
 
-TEST(background_task, waits_at_its_end_for_the_work_under_way) {
+TEST(background_task, destructor_waits_for_the_work_in_progress) {
     bool is_written = false;
     {
         event_loop loop;
--- a/unit_tests/net/event_loop_test.cpp
+++ b/unit_tests/net/event_loop_test.cpp
@@ -1,4 +1,4 @@
-// A thread that has more to do than it can: what has to be done each turn is done all the same.
+// Turn hooks and timers must run even when the loop is overloaded and a handler is always ready.
 #include "poplarpitch/net/event_loop.h"
 
 #include "poplarpitch/core/system_clock.h"
@@ -11,7 +11,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Keeps the thread busy without a wait, as a call that computes would.
+/// Keeps the thread busy without blocking, as a long computation would.
 void work_for(duration length) {
     const system_clock clock;
     const auto end = clock.now() + length;
@@ -25,7 +25,7 @@
     int calls = 0;
     bool has_timer_fired = false;
     loop.on_turn_end([&] { ++turns; });
-    const std::function<void()> again = [&] { // a load that never ends: each call brings the next one
+    const std::function<void()> again = [&] { // endless load: each call posts the next one
         ++calls;
         work_for(std::chrono::microseconds{200});
         if (calls < 5000) {
@@ -46,7 +46,7 @@
     EXPECT_GT(loop.get_cut_turns(), 0U);
 }
 
-TEST(event_loop, tells_how_busy_it_is) {
+TEST(event_loop, reports_its_busy_share) {
     event_loop loop;
     int calls = 0;
     double busy = 0;
@@ -57,7 +57,7 @@
             return;
         }
         busy = loop.get_busy_share();
-        loop.call_after(seconds{2}, [&] { loop.stop(); }); // four times as long as the share is smoothed over
+        loop.call_after(seconds{2}, [&] { loop.stop(); }); // four times the smoothing time of the share
     };
     loop.post(again);
     loop.post(again);
@@ -67,11 +67,11 @@
     EXPECT_LT(loop.get_busy_share(), 0.2);
 }
 
-TEST(event_loop, tells_no_time_from_before_a_stand_still_to_what_comes_after_it) {
+TEST(event_loop, now_is_not_stale_after_a_handler_that_blocked) {
     event_loop loop;
     const system_clock clock;
     time_point woke{};
-    loop.post([] {}); // ends the turn's wait
+    loop.post([] {}); // ends the wait of the turn
     loop.post([&] {
         std::this_thread::sleep_for(milliseconds{50});
         woke = clock.now();
@@ -83,14 +83,14 @@
     loop.run();
 }
 
-TEST(event_loop, tells_no_time_from_before_a_wait_to_what_ended_it) {
+TEST(event_loop, now_is_not_stale_in_the_handler_that_ended_a_wait) {
     event_loop loop;
     const system_clock clock;
     time_point posted{};
     std::thread poster;
     loop.post([&] {
         poster = std::thread([&] {
-            std::this_thread::sleep_for(milliseconds{50}); // the loop waits meanwhile
+            std::this_thread::sleep_for(milliseconds{50}); // the loop is waiting during this time
             posted = clock.now();
             loop.post([&] {
                 EXPECT_GE(loop.now(), posted);
--- a/unit_tests/net/http_caller_test.cpp
+++ b/unit_tests/net/http_caller_test.cpp
@@ -1,4 +1,4 @@
-// An HTTP client that has fewer connections than there are addresses to call, and one without descriptors.
+// An HTTP client with fewer connections than addresses to call, and one without free file descriptors.
 #include "poplarpitch/net/event_loop.h"
 #include "poplarpitch/net/http_caller.h"
 #include "poplarpitch/net/http_listener.h"
@@ -17,16 +17,16 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration test_timeout = seconds{60}; // a wait that fails a test; no test reaches it when it passes
+constexpr duration test_timeout = seconds{60}; // a passing test never reaches it
 
-/// Listeners on one loop with the client under test, and what came back.
+/// The client under test, listeners on the same loop, and the results of the calls.
 class client_harness {
 public:
     explicit client_harness(const http_caller_settings& settings) : caller(loop, settings) {
         loop.call_after(test_timeout, [this] { loop.stop(); });
     }
 
-    /// Adds an address that answers after `delay`. Returns it.
+    /// Starts a listener that responds after `delay`. Returns its address.
     std::string add_address(duration delay = {}) {
         http_listener_settings settings;
         settings.max_connections = 100'000;
@@ -57,7 +57,7 @@
         });
     }
 
-    /// Ends the loop once the listeners have noticed what the client closed.
+    /// Stops the loop once the listeners have noticed the connections that the client closed.
     void stop_when_settled() {
         if (count_open() == caller.get_use().connections) {
             loop.stop();
@@ -90,7 +90,7 @@
     return settings;
 }
 
-/// Lets the process have `limit` descriptors while it lives.
+/// Lowers the descriptor limit of the process to `limit` for the lifetime of the object.
 class descriptor_limit {
 public:
     explicit descriptor_limit(rlim_t limit) {
@@ -129,7 +129,7 @@
     EXPECT_LE(harness.count_open(), allowed);
 }
 
-TEST(http_caller, sends_calls_to_one_address_behind_each_other_on_one_connection) {
+TEST(http_caller, sends_calls_to_one_address_in_sequence_on_one_connection) {
     client_harness harness(make_settings(100));
     const auto address = harness.add_address();
     for (int number = 0; number < 50; ++number) {
@@ -140,7 +140,7 @@
     EXPECT_EQ(harness.caller.get_use().opened, 1U);
 }
 
-TEST(http_caller, lets_a_long_call_hold_up_no_other) {
+TEST(http_caller, does_not_delay_other_calls_by_a_long_call) {
     client_harness harness(make_settings(100));
     const auto address = harness.add_address(milliseconds{50});
     auto long_call = client_harness::make_call(address, "/hold");
@@ -166,7 +166,7 @@
     EXPECT_TRUE(were_both_under_way);
 }
 
-TEST(http_caller, sends_what_matters_most_first_where_connections_are_short) {
+TEST(http_caller, sends_calls_by_importance_where_connections_are_short) {
     client_harness harness(make_settings(1));
     const auto busy = harness.add_address(milliseconds{50});
     const auto other = harness.add_address();
@@ -183,7 +183,7 @@
     EXPECT_EQ(harness.arrived, expected);
 }
 
-TEST(http_caller, says_of_a_call_that_found_no_connection_that_it_was_not_sent) {
+TEST(http_caller, reports_not_sent_for_a_call_that_found_no_connection) {
     client_harness harness(make_settings(1));
     const auto busy = harness.add_address(milliseconds{300});
     const auto other = harness.add_address();
@@ -206,7 +206,7 @@
         harness.send(client_harness::make_call(busy));
     }
     harness.loop.run();
-    EXPECT_EQ(harness.outcomes[std::error_code{}], 4); // one under way, three behind it
+    EXPECT_EQ(harness.outcomes[std::error_code{}], 4); // one in progress, three waiting
     EXPECT_EQ(harness.outcomes[make_error_code(net_errc::not_sent)], 6);
 }
 
@@ -215,7 +215,7 @@
     settings.exhausted_pause = milliseconds{10};
     client_harness harness(settings);
     const auto address = harness.add_address();
-    harness.send(client_harness::make_call(address)); // opens what the loop itself needs
+    harness.send(client_harness::make_call(address)); // makes the loop open its own descriptors
     harness.loop.run();
     client_harness after(settings);
     const auto target = after.add_address();
@@ -233,13 +233,14 @@
     EXPECT_LT(after.caller.get_use().exhausted, 20U) << "it is not to be tried again at once";
 }
 
-TEST(http_caller, leaves_an_address_alone_while_it_accepts_nothing) {
-    // A socket that listens and accepts nothing: connections come up in the backlog, no answer ever comes.
+TEST(http_caller, bounds_connections_to_an_address_that_accepts_nothing) {
+    // A socket that listens but never accepts: connections are established in the backlog, but get no
+    // response.
     const int listening = ::socket(AF_INET, SOCK_STREAM, 0);
     ASSERT_EQ(::listen(listening, 4), 0);
     sockaddr_in bound{};
     socklen_t size = sizeof(bound);
-    ::getsockname(listening, reinterpret_cast<sockaddr*>(&bound), &size); // NOLINT: the call's own interface
+    ::getsockname(listening, reinterpret_cast<sockaddr*>(&bound), &size); // NOLINT: required by the call
     client_harness harness(make_settings(100));
     const auto silent = "127.0.0.1:" + std::to_string(ntohs(bound.sin_port));
     const auto other = harness.add_address();
@@ -267,7 +268,7 @@
             if (request.target == "/first") {
                 respond(http_response{});
             } else {
-                harness.loop.post([&] { listener.reset(); }); // its process ends with the call in its hands
+                harness.loop.post([&] { listener.reset(); }); // the server is destroyed before it responds
             }
         });
     const auto address = "127.0.0.1:" + std::to_string(listener->start().value());
--- a/unit_tests/net/late_call_test.cpp
+++ b/unit_tests/net/late_call_test.cpp
@@ -1,4 +1,4 @@
-// A call whose time is over before it could be written, as where the process stood still.
+// A call whose timeout expires before it could be written, for instance while the process was suspended.
 #include "poplarpitch/net/event_loop.h"
 #include "poplarpitch/net/http_caller.h"
 #include "poplarpitch/net/http_listener.h"
@@ -13,7 +13,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration test_timeout = seconds{60}; // a wait that fails a test; no test reaches it when it passes
+constexpr duration test_timeout = seconds{60}; // a passing test never reaches it
 
 TEST(late_call, is_not_written_once_its_time_is_over) {
     event_loop loop;
@@ -34,9 +34,10 @@
     loop.post([&] {
         caller.send(call, [&](const result<http_response>& response) {
             outcome = response ? std::error_code{} : response.error();
-            loop.call_after(milliseconds{1}, [&] { loop.stop(); }); // what was written has arrived by then
+            loop.call_after(milliseconds{1},
+                            [&] { loop.stop(); }); // a written request would have arrived by then
         });
-        std::this_thread::sleep_for(2 * call.timeout); // the connection comes up meanwhile
+        std::this_thread::sleep_for(2 * call.timeout); // the connection is established during this time
     });
     loop.run();
     EXPECT_EQ(outcome, make_error_code(net_errc::unreachable));
