--- a/poplarpitch/net/event_loop.cpp
+++ b/poplarpitch/net/event_loop.cpp
@@ -14,10 +14,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration max_turn_duration =
-    milliseconds{5};                     // 1/20 of the log's heartbeat interval, one commit's sync
-constexpr int calls_per_clock_read = 8;  // handlers run between two reads of the clock
-constexpr double smoothing_time_s = 0.5; // time constant for smoothing load and lag
+constexpr duration max_turn_duration = milliseconds{5}; // 1/20 of the log's heartbeat interval, one sync
+constexpr int calls_per_clock_read = 8;                 // handlers run between two reads of the clock
+constexpr double smoothing_time_s = 0.5;                // time constant for smoothing load and lag
 
 } // namespace
 
@@ -92,7 +91,8 @@
     }
 }
 
-/// The wait of a turn is measured until its first handler has run. That includes the handler, which is short.
+/// Updates the busy share and the lag. The wait of a turn is measured until its first handler has run. That
+/// includes the handler, which is short.
 void event_loop::update_load(time_point wait_began, time_point wait_ended) {
     const auto worked = to_seconds(wait_began - m_last_wake);
     const auto waited = to_seconds(wait_ended - wait_began);
--- a/poplarpitch/net/frame_socket.cpp
+++ b/poplarpitch/net/frame_socket.cpp
@@ -22,10 +22,9 @@
 
 constexpr std::size_t header_bytes = 4;
 constexpr std::size_t max_frame_bytes = 64U << 20;   // a larger length cannot come from this protocol
-constexpr std::size_t max_unsent_bytes = 16U << 20;  // the peer may have stopped reading
+constexpr std::size_t max_unsent_bytes = 16U << 20;  // waiting for a peer that may have stopped reading
 constexpr std::size_t read_buffer_bytes = 64U << 10; // for each system call
-constexpr int tcp_user_timeout_ms =
-    2500; // TCP_USER_TIMEOUT: closes the connection when the path stops responding
+constexpr int tcp_user_timeout_ms = 2500;            // closes the connection when the path stops responding
 constexpr int listen_backlog = 1024;
 
 void set_options(asio::ip::tcp::socket& socket) {
--- a/poplarpitch/net/frame_socket.h
+++ b/poplarpitch/net/frame_socket.h
@@ -24,6 +24,7 @@
     /// Called for each received frame.
     using frame_handler = std::function<void(const std::string&)>;
 
+    /// Takes over a connected socket. Use `connect_frames` or `frame_listener` to create one.
     explicit frame_socket(std::unique_ptr<impl> connected);
     ~frame_socket();
     frame_socket(const frame_socket&) = delete;
@@ -35,6 +36,7 @@
     void send(const std::string& frame);
     /// Closes the connection. Neither handler is called afterwards.
     void close();
+    /// Returns true until the connection is closed by either side.
     [[nodiscard]] bool is_open() const;
 
 private:
@@ -49,6 +51,7 @@
 /// Accepts frame connections.
 class frame_listener {
 public:
+    /// Called for each accepted connection.
     using accept_handler = std::function<void(std::shared_ptr<frame_socket>)>;
 
     /// Precondition: `loop` outlives the listener.
--- a/poplarpitch/net/http_caller.h
+++ b/poplarpitch/net/http_caller.h
@@ -29,6 +29,7 @@
 /// cause may have affected them all. Thread safety: the loop's thread, for all methods.
 class http_caller {
 public:
+    /// Receives the response, or an error of `net_errc`.
     using response_handler = std::function<void(result<http_response>)>;
 
     /// Precondition: `loop` outlives the caller.
--- a/poplarpitch/net/http_connections.cpp
+++ b/poplarpitch/net/http_connections.cpp
@@ -221,10 +221,10 @@
 // ---- calls that found no free connection
 
 void http_connections::add_starved(const std::string& address, peer& item, call_importance importance) {
-    const auto place = static_cast<std::size_t>(importance);
-    if (!item.starved[place]) {
-        item.starved[place] = true;
-        m_starved[place].push_back(address);
+    const auto level = static_cast<std::size_t>(importance);
+    if (!item.starved[level]) {
+        item.starved[level] = true;
+        m_starved[level].push_back(address);
     }
 }
 
--- a/poplarpitch/net/http_connections.h
+++ b/poplarpitch/net/http_connections.h
@@ -54,6 +54,7 @@
 
     [[nodiscard]] event_loop& get_loop() const { return m_loop; }
     [[nodiscard]] const http_caller_settings& get_settings() const { return m_settings; }
+    /// Returns the current connection counts and the totals since the start.
     [[nodiscard]] http_caller_use get_use() const;
 
 private:
@@ -67,9 +68,9 @@
     using wait_queue = std::deque<std::shared_ptr<http_exchange>>;
     struct peer {
         std::vector<idle_list::iterator> idle;            ///< newest last
-        std::size_t short_calls = 0;                      ///< under way
-        std::size_t long_calls = 0;                       ///< under way
-        time_point last_short_call_at{};                  ///< when the last short call began
+        std::size_t short_calls = 0;                      ///< in progress
+        std::size_t long_calls = 0;                       ///< in progress
+        time_point last_short_call_at{};                  ///< when the last short call was started
         std::array<wait_queue, call_importances> waiting; ///< short calls, by importance
         wait_queue waiting_long_calls;
         std::array<bool, call_importances> starved{}; ///< the address is in `m_starved`
@@ -79,6 +80,7 @@
         [[nodiscard]] bool is_empty() const;
     };
 
+    /// Starts the queued calls of an address for which connections are available.
     void serve(const std::string& address);
     [[nodiscard]] bool may_begin_short_call(const peer& item) const;
     /// Returns the queue whose first call may be started now, or null.
@@ -87,11 +89,15 @@
     bool begin_first(const std::string& address, peer& item, wait_queue& queue);
     /// Returns an idle connection that the call may use, or null.
     socket_ptr take_idle(peer& item, http_exchange& exchange);
+    /// Closes the oldest idle connection if the limit is reached. Returns true if a new one may be opened.
     [[nodiscard]] bool make_room();
     void close_oldest_idle();
     void close_expired_idle();
+    /// Records that calls of this importance to `address` wait because no connection could be opened.
     void add_starved(const std::string& address, peer& item, call_importance importance);
+    /// Serves the starved addresses while connections can be opened, by descending importance.
     void serve_starved();
+    /// Schedules the second connection for short calls if calls wait and only one is in use.
     void arm_second_connection_timer(const std::string& address, peer& item);
     void erase_if_empty(const std::string& address);
 
@@ -100,8 +106,7 @@
     idle_list m_idle; ///< oldest first
     absl::node_hash_map<std::string, peer> m_peers;
     absl::flat_hash_set<std::shared_ptr<http_exchange>> m_exchanges;
-    std::array<std::deque<std::string>, call_importances>
-        m_starved; ///< addresses with calls that found no free connection
+    std::array<std::deque<std::string>, call_importances> m_starved; ///< addresses that wait for a connection
     std::size_t m_connections = 0;
     std::size_t m_waiting = 0;
     std::uint64_t m_opened = 0;
--- a/poplarpitch/net/http_exchange.h
+++ b/poplarpitch/net/http_exchange.h
@@ -26,6 +26,7 @@
     using response_handler = std::function<void(result<http_response>)>;
     using socket_ptr = std::unique_ptr<boost::asio::ip::tcp::socket>;
 
+    /// Creates a call that is not started yet.
     http_exchange(std::shared_ptr<http_connections> owner, http_call call, response_handler on_response);
 
     /// Requests a connection and starts the call's timeout.
@@ -47,6 +48,7 @@
     [[nodiscard]] time_point get_opened_at() const { return m_opened_at; }
     /// Sets when the connection that the call reuses was opened.
     void set_opened_at(time_point opened_at) { m_opened_at = opened_at; }
+    /// Returns true when the call has ended.
     [[nodiscard]] bool is_finished() const { return m_stage == stage::finished; }
     /// Returns true if a response can still be expected before the timeout when the call is sent now. A call
     /// that is sent with less time left times out with an unknown outcome, which is worse than `not_sent`.
--- a/poplarpitch/net/http_listener.h
+++ b/poplarpitch/net/http_listener.h
@@ -38,6 +38,7 @@
 /// methods.
 class http_listener {
 public:
+    /// Called for each request. The handler may call the responder later.
     using request_handler = std::function<void(http_request, http_responder)>;
 
     /// Precondition: `loop` outlives the listener.
--- a/poplarpitch/telemetry/line_ring.h
+++ b/poplarpitch/telemetry/line_ring.h
@@ -24,6 +24,7 @@
     /// Writes as much as the descriptor accepts without blocking. If a write fails, drops the lines, because
     /// nobody reads them any more.
     void write_to(int descriptor);
+    /// Returns true when no lines are queued.
     [[nodiscard]] bool is_empty() const { return m_lines.empty(); }
     /// Returns the number of lines left out since the start.
     [[nodiscard]] std::uint64_t get_left_out() const { return m_left_out; }
--- a/poplarpitch/telemetry/log_event.h
+++ b/poplarpitch/telemetry/log_event.h
@@ -25,11 +25,13 @@
 /// Thread safety: none for one object. Different threads may write different events at the same time.
 class log_event {
 public:
+    /// Starts a line for the event `name`.
     log_event(log_level level, std::string_view name, log_weight weight = log_weight::ordinary);
     ~log_event();
     log_event(const log_event&) = delete;
     log_event& operator=(const log_event&) = delete;
 
+    /// Appends ` key=value` to the line.
     log_event& add(std::string_view key, std::string_view value);
     log_event& add(std::string_view key, const char* value) { return add(key, std::string_view(value)); }
     log_event& add(std::string_view key, std::int64_t value);
--- a/poplarpitch/telemetry/ring_appender.h
+++ b/poplarpitch/telemetry/ring_appender.h
@@ -18,6 +18,7 @@
 
     /// Writes as much as standard output accepts without blocking.
     void flush();
+    /// Writes the queued lines and closes the appender.
     void close() override;
     [[nodiscard]] const line_ring& get_ring() const { return m_ring; }
 
