--- a/poplarpitch/config/section_reader.cpp
+++ b/poplarpitch/config/section_reader.cpp
@@ -131,18 +131,18 @@
 }
 
 std::vector<std::string> section_reader::get_list(const std::string& key) {
-    std::vector<std::string> words;
+    std::vector<std::string> items;
     const auto* entry = find(key);
     if (entry == nullptr) {
-        return words;
+        return items;
     }
     for (const auto part : absl::StrSplit(entry->value, ',')) {
-        const auto word = strip(from_absl(part));
-        if (!word.empty()) {
-            words.emplace_back(word);
+        const auto item = strip(from_absl(part));
+        if (!item.empty()) {
+            items.emplace_back(item);
         }
     }
-    return words;
+    return items;
 }
 
 int section_reader::get_line(const std::string& key) const {
--- a/poplarpitch/config/system_settings.h
+++ b/poplarpitch/config/system_settings.h
@@ -12,11 +12,10 @@
     duration drift_margin = milliseconds{150}; ///< subtracted from each lease by its holder; 10% clock drift
     duration task_lease = seconds{10};         ///< a task stops itself after this time without renewal
     duration announce_interval = milliseconds{500}; ///< how often a target announces itself
-    duration target_silence =
-        milliseconds{1600}; ///< a target without announcements for this time gets no new work
-    duration intent_lifetime = seconds{3600};    ///< how long an Idempotency-Key is kept
-    duration job_retention = seconds{24 * 3600}; ///< how long an ended job is kept
-    int max_attempts = 4;                        ///< failed attempts after which a job is parked
+    duration target_silence = milliseconds{1600};   ///< a target silent for this time gets no new work
+    duration intent_lifetime = seconds{3600};       ///< how long an Idempotency-Key is kept
+    duration job_retention = seconds{24 * 3600};    ///< how long an ended job is kept
+    int max_attempts = 4;                           ///< failed attempts after which a job is parked
 
     friend auto operator<=>(const system_settings&, const system_settings&) = default;
 };
--- a/poplarpitch/telemetry/line_ring.cpp
+++ b/poplarpitch/telemetry/line_ring.cpp
@@ -57,10 +57,7 @@
         if (count < 0 && (errno == EAGAIN || errno == EINTR)) {
             return;
         }
-        auto left =
-            count < 0
-                ? bytes.size()
-                : static_cast<std::size_t>(count); // on an error the bytes are dropped: nobody reads them
+        auto left = count < 0 ? bytes.size() : static_cast<std::size_t>(count); // on an error all are dropped
         while (left > 0 && !m_lines.empty()) {
             const auto rest = m_lines.front().size() - m_written;
             if (left < rest) {
--- a/poplarpitch/telemetry/logging.cpp
+++ b/poplarpitch/telemetry/logging.cpp
@@ -14,8 +14,7 @@
 
 constexpr const char* pattern = "time=%d{%Y-%m-%dT%H:%M:%S.%qZ} level=%p %m%n";
 constexpr std::size_t ring_bytes = 1U << 20; // 8,000 lines, which a busy leader writes in ten seconds
-constexpr std::size_t history_reserve_bytes =
-    ring_bytes / 2; // part of the ring reserved for the history of tasks
+constexpr std::size_t history_reserve_bytes = ring_bytes / 2; // for the history of tasks
 
 log4cplus::SharedAppenderPtr& get_ring() {
     static log4cplus::SharedAppenderPtr ring; // one for the process, as the state of log4cplus
