--- a/poplarpitch/command_line/settings_command_line.h
+++ b/poplarpitch/command_line/settings_command_line.h
@@ -12,23 +12,23 @@
 
 namespace poplarpitch {
 
-/// What a daemon's main is to do.
+/// The parsed command line and settings of a daemon.
 template <class Settings>
 struct settings_command_line {
-    std::optional<int> exit_code; ///< set when there is nothing to run
+    std::optional<int> exit_code; ///< set when the daemon is not to run
     Settings settings;
-    std::string restored_file; ///< --restore: a backup to found the cluster from; else empty
+    std::string restored_file; ///< --restore: backup to create the cluster from; empty otherwise
 };
 
-/// Reads a daemon's command line and its settings by `parse`; prints every mistake with file and line. Thread
-/// safety: none.
+/// Parses a daemon's command line, and its settings with `parse`. Prints all errors with file and line.
+/// Thread safety: none.
 template <std::invocable<std::string_view> Parse>
 auto read_settings_command_line(int count, const char* const* arguments, const char* program,
                                 const char* about, const Parse& parse,
-                                const settings_file_options& choices = {}) {
+                                const settings_file_options& file_options = {}) {
     using parsed_settings = std::invoke_result_t<Parse, std::string_view>;
     settings_command_line<decltype(parsed_settings::value)> line;
-    const auto file = read_settings_file(count, arguments, program, about, choices);
+    const auto file = read_settings_file(count, arguments, program, about, file_options);
     line.exit_code = file.exit_code;
     line.restored_file = file.restored_file;
     if (line.exit_code.has_value()) {
@@ -40,7 +40,7 @@
     }
     if (!parsed.errors.empty()) {
         line.exit_code = usage_exit_code;
-    } else if (file.is_check) {
+    } else if (file.is_check_only) {
         line.exit_code = 0;
     }
     line.settings = std::move(parsed.value);
--- a/poplarpitch/config/section_reader.cpp
+++ b/poplarpitch/config/section_reader.cpp
@@ -13,7 +13,7 @@
 namespace poplarpitch {
 namespace {
 
-/// A unit's name and its size in the base unit.
+/// The name of a unit and its size in the base unit.
 struct unit {
     std::string_view name;
     double size;
@@ -25,7 +25,7 @@
                                    unit{"GB", 1024.0 * 1024 * 1024}, unit{"TB", 1024.0 * 1024 * 1024 * 1024}};
 constexpr double max_amount = 9e18; // largest amount that fits into 64 bits
 
-/// Reads a number with a unit behind it; empty when it is not one.
+/// Parses a number followed by a unit. Returns nothing when `text` has another form.
 template <std::size_t Count>
 std::optional<double> read_with_unit(std::string_view text, const std::array<unit, Count>& units) {
     const auto digits = text.find_first_not_of("0123456789.");
@@ -51,7 +51,7 @@
     : m_section(section), m_errors(errors) {}
 
 const ini_entry* section_reader::find(const std::string& key) {
-    m_known.insert(key);
+    m_requested.insert(key);
     for (const auto& entry : m_section.entries) {
         if (entry.key == key) {
             return &entry;
@@ -131,18 +131,18 @@
 }
 
 std::vector<std::string> section_reader::get_list(const std::string& key) {
-    std::vector<std::string> words;
+    std::vector<std::string> items;
     const auto* entry = find(key);
     if (entry == nullptr) {
-        return words;
+        return items;
     }
     for (const auto part : absl::StrSplit(entry->value, ',')) {
-        const auto word = strip(from_absl(part));
-        if (!word.empty()) {
-            words.emplace_back(word);
+        const auto item = strip(from_absl(part));
+        if (!item.empty()) {
+            items.emplace_back(item);
         }
     }
-    return words;
+    return items;
 }
 
 int section_reader::get_line(const std::string& key) const {
@@ -160,7 +160,7 @@
 
 void section_reader::finish() {
     for (const auto& entry : m_section.entries) {
-        if (!m_known.contains(entry.key)) {
+        if (!m_requested.contains(entry.key)) {
             m_errors.push_back(
                 {entry.line, absl::StrCat("unknown key '", entry.key, "' in [", m_section.kind,
                                           m_section.name.empty() ? "" : " ", m_section.name, "]")});
