--- a/hello_world/hello_world.cpp
+++ b/hello_world/hello_world.cpp
@@ -1,4 +1,5 @@
-// The smallest embedding: one worker's ledger keeps requests and tasks within what the worker holds.
+// The smallest example of embedding the library: a worker's ledger limits requests and tasks to the capacity
+// of the worker.
 #include "poplarpitch/policy/worker_ledger.h"
 
 #include <iostream>
@@ -6,7 +7,7 @@
 int main() {
     poplarpitch::worker_ledger ledger(
         {.slots = 2, .millicores = 4000, .memory = 8LL << 30, .accelerators = 0});
-    ledger.set_open(true); // its worker has reported all that it runs
+    ledger.set_open(true); // its worker has reported everything that it runs
 
     const poplarpitch::resources request{.slots = 1, .millicores = 0, .memory = 0, .accelerators = 0};
     const poplarpitch::resources task{.slots = 0, .millicores = 3000, .memory = 4LL << 30, .accelerators = 0};
--- a/poplarpitch/tools/control_commands.cpp
+++ b/poplarpitch/tools/control_commands.cpp
@@ -29,14 +29,16 @@
     return command_exit::usage;
 }
 
-/// Reports an answer that is no success. Precondition: the exchange is not a 2xx.
+/// Prints why a request failed and returns the exit code. Precondition: the exchange did not end with a 2xx
+/// status.
 command_exit report_failure(const http_exchange& exchange) {
     if (exchange.progress == exchange_progress::not_sent) {
         std::cerr << "poplarctl: no entry could be reached\n";
         return command_exit::unreachable;
     }
     if (exchange.progress == exchange_progress::maybe_sent) {
-        std::cerr << "poplarctl: no answer; what became of it is not known: ask again with the same id\n";
+        std::cerr
+            << "poplarctl: no answer; the outcome is not known. Retry with the same id of the request\n";
         return command_exit::unknown;
     }
     const auto body = json::parse(exchange.response.body, nullptr, false);
@@ -53,7 +55,7 @@
     return exchange.response.status == 504 ? command_exit::unknown : command_exit::refused;
 }
 
-bool is_good(const http_exchange& exchange) {
+bool is_success(const http_exchange& exchange) {
     return exchange.progress == exchange_progress::answered && exchange.response.status / 100 == 2;
 }
 
@@ -67,11 +69,13 @@
     return request;
 }
 
-/// Sends, and prints the body as it is or what `print` makes of its JSON.
-command_exit ask(operator_client& client, const http_request& request, const command_options& options,
-                 const std::function<void(const json&)>& print = nullptr) {
+/// Sends a request and prints the body of the answer: formatted by `print`, or unchanged when `print` is
+/// null, when JSON output is wanted or when the body is not JSON.
+command_exit send_and_print(operator_client& client, const http_request& request,
+                            const command_options& options,
+                            const std::function<void(const json&)>& print = nullptr) {
     const auto exchange = client.send(request);
-    if (!is_good(exchange)) {
+    if (!is_success(exchange)) {
         return report_failure(exchange);
     }
     const auto body = json::parse(exchange.response.body, nullptr, false);
@@ -80,7 +84,7 @@
     } else {
         print(body);
     }
-    return command_exit::good;
+    return command_exit::success;
 }
 
 // ---- configuration
@@ -94,15 +98,16 @@
     for (const auto& error : parsed.errors) {
         std::cerr << error.format(file) << "\n";
     }
-    return parsed.errors.empty() ? command_exit::good : command_exit::usage;
+    return parsed.errors.empty() ? command_exit::success : command_exit::usage;
 }
 
-command_exit wait_in_force(operator_client& client, std::uint64_t version, const command_options& options) {
+command_exit wait_until_in_force(operator_client& client, std::uint64_t version,
+                                 const command_options& options) {
     const system_clock clock;
     const auto end = clock.now() + options.timeout;
     while (clock.now() < end) {
         const auto exchange = client.send(make_request("GET", "/v1/status"));
-        if (is_good(exchange)) {
+        if (is_success(exchange)) {
             const auto body = json::parse(exchange.response.body, nullptr, false);
             const auto in_force = body.value("control", json::object()).value("in_force", json::object());
             std::size_t behind = 0;
@@ -111,7 +116,7 @@
             }
             if (!in_force.empty() && behind == 0) {
                 std::cerr << "version " << version << " is in force on " << in_force.size() << " entries\n";
-                return command_exit::good;
+                return command_exit::success;
             }
             std::cerr << "waiting: " << behind << " of " << in_force.size() << " entries are behind\n";
         }
@@ -122,16 +127,16 @@
 
 command_exit apply_config(operator_client& client, const std::string& file, const command_options& options) {
     const auto checked = check_config(file);
-    if (checked != command_exit::good) {
+    if (checked != command_exit::success) {
         return checked;
     }
     auto base = options.base;
     if (base.empty()) {
-        const auto present = client.send(make_request("GET", "/v1/config"));
-        if (!is_good(present)) {
-            return report_failure(present);
+        const auto current = client.send(make_request("GET", "/v1/config"));
+        if (!is_success(current)) {
+            return report_failure(current);
         }
-        base = present.response.headers.get("ETag");
+        base = current.response.headers.get("ETag");
     }
     auto request = make_request("PUT", "/v1/config", *read_text_file(file));
     request.headers.add("If-Match", base);
@@ -140,35 +145,36 @@
     }
     request.headers.add("Poplarpitch-Author", options.author);
     const auto exchange = client.send(request);
-    if (!is_good(exchange)) {
+    if (!is_success(exchange)) {
         return report_failure(exchange);
     }
     std::cout << exchange.response.body;
     const auto version = json::parse(exchange.response.body).value("version", std::uint64_t{0});
-    return options.is_waiting ? wait_in_force(client, version, options) : command_exit::good;
+    return options.is_waiting ? wait_until_in_force(client, version, options) : command_exit::success;
 }
 
-command_exit run_config(operator_client& client, const std::vector<std::string>& words,
+command_exit run_config(operator_client& client, const std::vector<std::string>& arguments,
                         const command_options& options) {
-    const auto verb = words.size() > 1 ? words[1] : "";
-    if (verb == "check" && words.size() == 3) {
-        return check_config(words[2]);
+    const auto verb = arguments.size() > 1 ? arguments[1] : "";
+    if (verb == "check" && arguments.size() == 3) {
+        return check_config(arguments[2]);
     }
-    if (verb == "apply" && words.size() == 3) {
-        return apply_config(client, words[2], options);
+    if (verb == "apply" && arguments.size() == 3) {
+        return apply_config(client, arguments[2], options);
     }
     if (verb == "get") {
-        const auto version = words.size() > 2 ? "?version=" + words[2] : "";
-        return ask(client, make_request("GET", "/v1/config" + version), options);
+        const auto version = arguments.size() > 2 ? "?version=" + arguments[2] : "";
+        return send_and_print(client, make_request("GET", "/v1/config" + version), options);
     }
     if (verb == "history") {
-        return ask(client, make_request("GET", "/v1/config/history"), options, [](const json& body) {
-            for (const auto& version : body["versions"]) {
-                std::cout << absl::StreamFormat("%6d  %-20s %-12s %d\n", version.value("version", 0),
-                                                version.value("change_id", ""), version.value("author", ""),
-                                                version.value("at_ms", std::int64_t{0}));
-            }
-        });
+        return send_and_print(
+            client, make_request("GET", "/v1/config/history"), options, [](const json& body) {
+                for (const auto& version : body["versions"]) {
+                    std::cout << absl::StreamFormat(
+                        "%6d  %-20s %-12s %d\n", version.value("version", 0), version.value("change_id", ""),
+                        version.value("author", ""), version.value("at_ms", std::int64_t{0}));
+                }
+            });
     }
     return fail_usage("config check FILE | apply FILE | get [VERSION] | history");
 }
@@ -182,7 +188,7 @@
         job.value("evictions", 0), job.value("worker", ""), job.value("reason", ""));
 }
 
-bool is_ended_state(const std::string& state) {
+bool is_terminal_state(const std::string& state) {
     return state != "queued" && state != "assigned" && state != "running";
 }
 
@@ -192,16 +198,16 @@
     std::string last;
     while (clock.now() < end) {
         const auto exchange = client.send(make_request("GET", "/v1/jobs/" + id));
-        if (is_good(exchange)) {
+        if (is_success(exchange)) {
             const auto job = json::parse(exchange.response.body, nullptr, false);
             const auto state = job.value("state", "");
             if (state != last) {
                 std::cerr << id << ": " << state << "\n";
                 last = state;
             }
-            if (is_ended_state(state)) {
+            if (is_terminal_state(state)) {
                 print_job_line(job);
-                return state == "done" ? command_exit::good : command_exit::refused;
+                return state == "done" ? command_exit::success : command_exit::refused;
             }
         }
         absl::SleepFor(absl::Nanoseconds(poll_interval.count()));
@@ -209,10 +215,12 @@
     return command_exit::timed_out;
 }
 
-/// Sends many jobs at once, and prints a line for each. Fails when one of them was refused.
-command_exit ask_many(operator_client& client, const http_request& request, const command_options& options) {
+/// Sends a request about many jobs and prints a line for each job. Returns `refused` when the system refused
+/// one of them.
+command_exit send_job_batch(operator_client& client, const http_request& request,
+                            const command_options& options) {
     bool is_any_refused = false;
-    const auto done = ask(client, request, options, [&](const json& body) {
+    const auto exit_code = send_and_print(client, request, options, [&](const json& body) {
         for (const auto& job : body.value("jobs", json::array())) {
             const auto error = job.value("error", json::object());
             is_any_refused = is_any_refused || !error.empty();
@@ -220,47 +228,50 @@
                                             job.value("state", "refused"), error.value("message", ""));
         }
     });
-    return done == command_exit::good && is_any_refused ? command_exit::refused : done;
+    return exit_code == command_exit::success && is_any_refused ? command_exit::refused : exit_code;
 }
 
-command_exit run_job(operator_client& client, const std::vector<std::string>& words,
+command_exit run_job(operator_client& client, const std::vector<std::string>& arguments,
                      const command_options& options) {
-    const auto verb = words.size() > 1 ? words[1] : "";
-    const auto argument = words.size() > 2 ? words[2] : "";
+    const auto verb = arguments.size() > 1 ? arguments[1] : "";
+    const auto argument = arguments.size() > 2 ? arguments[2] : "";
     if (verb == "submit" && !argument.empty()) {
         const auto text = absl::StartsWith(argument, "{") ? argument : read_text_file(argument).value_or("");
         const auto body = json::parse(text, nullptr, false);
         if (body.is_object() && body.contains("jobs")) {
-            return ask_many(client, make_request("POST", "/v1/jobs/submit", text), options);
+            return send_job_batch(client, make_request("POST", "/v1/jobs/submit", text), options);
         }
-        const auto done = ask(client, make_request("POST", "/v1/jobs", text), options, print_job_line);
-        if (done != command_exit::good || !options.is_waiting) {
-            return done;
+        const auto exit_code =
+            send_and_print(client, make_request("POST", "/v1/jobs", text), options, print_job_line);
+        if (exit_code != command_exit::success || !options.is_waiting) {
+            return exit_code;
         }
         return wait_for_job(client, json::parse(text).value("id", ""), options);
     }
     if (verb == "get" && !argument.empty()) {
-        return ask(client, make_request("GET", "/v1/jobs/" + argument), options, print_job_line);
+        return send_and_print(client, make_request("GET", "/v1/jobs/" + argument), options, print_job_line);
     }
     if (verb == "list") {
         const auto query = absl::StrCat("?tenant=", options.tenant, "&state=", options.state);
-        return ask(client, make_request("GET", "/v1/jobs" + query), options, [](const json& body) {
+        return send_and_print(client, make_request("GET", "/v1/jobs" + query), options, [](const json& body) {
             for (const auto& job : body["jobs"]) {
                 print_job_line(job);
             }
         });
     }
-    if (verb == "cancel" && words.size() > 3) {
-        const json body = {{"ids", std::vector<std::string>(words.begin() + 2, words.end())}};
-        return ask_many(client, make_request("POST", "/v1/jobs/cancel", body.dump()), options);
+    if (verb == "cancel" && arguments.size() > 3) {
+        const json body = {{"ids", std::vector<std::string>(arguments.begin() + 2, arguments.end())}};
+        return send_job_batch(client, make_request("POST", "/v1/jobs/cancel", body.dump()), options);
     }
     if (verb == "cancel" && !argument.empty()) {
-        return ask(client, make_request("DELETE", "/v1/jobs/" + argument), options, print_job_line);
+        return send_and_print(client, make_request("DELETE", "/v1/jobs/" + argument), options,
+                              print_job_line);
     }
-    if (verb == "resolve" && words.size() == 4) {
-        return ask(client,
-                   make_request("POST", absl::StrCat("/v1/jobs/", argument, "/resolve?action=", words[3])),
-                   options, print_job_line);
+    if (verb == "resolve" && arguments.size() == 4) {
+        return send_and_print(
+            client,
+            make_request("POST", absl::StrCat("/v1/jobs/", argument, "/resolve?action=", arguments[3])),
+            options, print_job_line);
     }
     return fail_usage("job submit JSON|FILE | get ID | list | cancel ID... | resolve ID rerun|done|failed");
 }
@@ -302,23 +313,24 @@
         if (rounds > 1) {
             std::cout << "\x1b[H\x1b[2J";
         }
-        const auto status = ask(client, make_request("GET", "/v1/status"), options, print_status);
-        if (status != command_exit::good) {
+        const auto status = send_and_print(client, make_request("GET", "/v1/status"), options, print_status);
+        if (status != command_exit::success) {
             return status;
         }
         std::cout << "\n";
-        const auto workers = ask(client, make_request("GET", "/v1/workers"), options, [](const json& body) {
-            std::cout << "workers owned by " << body.value("entry", "") << ":\n";
-            for (const auto& worker : body.value("owned_here", json::array())) {
-                std::cout << absl::StreamFormat(
-                    "%-16s %-12s %-11s requests=%-3d tasks=%-3d free slots=%d cores=%.1f slowdown=%.2f\n",
-                    worker.value("id", ""), worker.value("ready", false) ? "ready" : "not ready",
-                    worker.value("trust", ""), worker.value("outstanding", 0), worker.value("tasks", 0),
-                    worker.value("free_slots", 0), worker.value("free_millicores", 0) / 1000.0,
-                    worker.value("slowdown", 1.0));
-            }
-        });
-        if (workers != command_exit::good) {
+        const auto workers =
+            send_and_print(client, make_request("GET", "/v1/workers"), options, [](const json& body) {
+                std::cout << "workers owned by " << body.value("entry", "") << ":\n";
+                for (const auto& worker : body.value("owned_here", json::array())) {
+                    std::cout << absl::StreamFormat(
+                        "%-16s %-12s %-11s requests=%-3d tasks=%-3d free slots=%d cores=%.1f slowdown=%.2f\n",
+                        worker.value("id", ""), worker.value("ready", false) ? "ready" : "not ready",
+                        worker.value("trust", ""), worker.value("outstanding", 0), worker.value("tasks", 0),
+                        worker.value("free_slots", 0), worker.value("free_millicores", 0) / 1000.0,
+                        worker.value("slowdown", 1.0));
+                }
+            });
+        if (workers != command_exit::success) {
             return workers;
         }
         std::cout << std::flush;
@@ -326,13 +338,13 @@
             absl::SleepFor(absl::Nanoseconds(top_interval.count()));
         }
     }
-    return command_exit::good;
+    return command_exit::success;
 }
 
-command_exit run_members(operator_client& client, const std::vector<std::string>& words,
+command_exit run_members(operator_client& client, const std::vector<std::string>& arguments,
                          const command_options& options) {
-    if (words.size() == 1) {
-        return ask(client, make_request("GET", "/v1/members"), options, [](const json& body) {
+    if (arguments.size() == 1) {
+        return send_and_print(client, make_request("GET", "/v1/members"), options, [](const json& body) {
             std::cout << "control: " << body["control"].dump() << "\n";
             for (const auto& entry : body["entries"]) {
                 std::cout << absl::StreamFormat("%-16s %-10s %-22s%s\n", entry.value("entry", ""),
@@ -341,16 +353,17 @@
             }
         });
     }
-    if (words.size() == 3) {
-        return ask(client, make_request("POST", absl::StrCat("/v1/members/", words[2], "/", words[1])),
-                   options);
+    if (arguments.size() == 3) {
+        return send_and_print(
+            client, make_request("POST", absl::StrCat("/v1/members/", arguments[2], "/", arguments[1])),
+            options);
     }
     return fail_usage("members | members add|promote|remove|drain|lead NUMBER | members drain|resume ENTRY");
 }
 
 command_exit save_snapshot(operator_client& client, const std::string& file) {
     const auto exchange = client.send(make_request("GET", "/v1/snapshot"));
-    if (!is_good(exchange)) {
+    if (!is_success(exchange)) {
         return report_failure(exchange);
     }
     std::ofstream target(file, std::ios::binary);
@@ -360,80 +373,81 @@
         return fail_usage("cannot write " + file);
     }
     std::cout << exchange.response.body.size() << " bytes written to " << file << "\n";
-    return command_exit::good;
+    return command_exit::success;
 }
 
 command_exit inspect_snapshot(const std::string& file) {
     const auto bytes = read_text_file(file);
     wire::state_snapshot snapshot;
     if (!bytes.has_value() || !snapshot.ParseFromString(*bytes)) {
-        return fail_usage(file + " is no snapshot");
+        return fail_usage(file + " is not a snapshot");
     }
     const auto version =
         snapshot.history_size() == 0 ? 0 : snapshot.history(snapshot.history_size() - 1).version();
     std::cout << "applied index " << snapshot.applied_index() << ", configuration version " << version << ", "
               << snapshot.sessions_size() << " entries, " << snapshot.workers_size() << " workers, "
               << snapshot.jobs_size() << " jobs, " << snapshot.intents_size() << " keys\n";
-    return command_exit::good;
+    return command_exit::success;
 }
 
-/// `explain ID LOG...`: what the logs say of a job, request or worker.
-command_exit explain(const std::vector<std::string>& words) {
+/// Runs `explain ID LOG...`: prints what the logs record about a job, request or worker.
+command_exit explain(const std::vector<std::string>& arguments) {
     std::vector<std::string> texts;
-    for (std::size_t word = 2; word < words.size(); ++word) {
-        auto text = read_text_file(words[word]);
+    for (std::size_t index = 2; index < arguments.size(); ++index) {
+        auto text = read_text_file(arguments[index]);
         if (!text.has_value()) {
-            return fail_usage(words[word] + " cannot be read");
+            return fail_usage(arguments[index] + " cannot be read");
         }
         texts.push_back(std::move(*text));
     }
-    const auto story = explain_id(words[1], texts);
-    for (const auto& line : story.lines) {
+    const auto explanation = explain_id(arguments[1], texts);
+    for (const auto& line : explanation.lines) {
         std::cout << line << "\n";
     }
-    if (story.lines.empty()) {
-        std::cerr << "no line names " << words[1] << "\n";
+    if (explanation.lines.empty()) {
+        std::cerr << "no line names " << arguments[1] << "\n";
         return command_exit::refused;
     }
     std::cout << "\n";
-    for (const auto& line : story.history.runs) {
+    for (const auto& line : explanation.history.runs) {
         std::cout << line << "\n";
     }
-    for (const auto& line : story.history.overlaps) {
+    for (const auto& line : explanation.history.overlaps) {
         std::cout << "OVERLAP: " << line << "\n";
     }
-    std::cout << "decided by: " << (story.cause.empty() ? "nothing that went wrong" : story.cause) << "\n";
-    return command_exit::good;
+    std::cout << "decided by: " << (explanation.cause.empty() ? "nothing that went wrong" : explanation.cause)
+              << "\n";
+    return command_exit::success;
 }
 
 } // namespace
 
-command_exit run_command(operator_client& client, const std::vector<std::string>& words,
+command_exit run_command(operator_client& client, const std::vector<std::string>& arguments,
                          const command_options& options) {
-    const auto command = words.empty() ? "" : words[0];
+    const auto command = arguments.empty() ? "" : arguments[0];
     if (command == "config") {
-        return run_config(client, words, options);
+        return run_config(client, arguments, options);
     }
     if (command == "job") {
-        return run_job(client, words, options);
+        return run_job(client, arguments, options);
     }
     if (command == "status") {
-        return ask(client, make_request("GET", "/v1/status"), options, print_status);
+        return send_and_print(client, make_request("GET", "/v1/status"), options, print_status);
     }
     if (command == "workers") {
-        return ask(client, make_request("GET", "/v1/workers"), options, print_workers);
+        return send_and_print(client, make_request("GET", "/v1/workers"), options, print_workers);
     }
     if (command == "members") {
-        return run_members(client, words, options);
+        return run_members(client, arguments, options);
     }
     if (command == "top") {
         return run_top(client, options);
     }
-    if (command == "explain" && words.size() >= 3) {
-        return explain(words);
+    if (command == "explain" && arguments.size() >= 3) {
+        return explain(arguments);
     }
-    if (command == "snapshot" && words.size() == 3) {
-        return words[1] == "save" ? save_snapshot(client, words[2]) : inspect_snapshot(words[2]);
+    if (command == "snapshot" && arguments.size() == 3) {
+        return arguments[1] == "save" ? save_snapshot(client, arguments[2]) : inspect_snapshot(arguments[2]);
     }
     return fail_usage("unknown command '" + command + "'");
 }
--- a/poplarpitch/tools/log_explainer.cpp
+++ b/poplarpitch/tools/log_explainer.cpp
@@ -11,7 +11,8 @@
 namespace poplarpitch {
 namespace {
 
-// The most telling first: a line of an earlier kind decides over all of later kinds.
+// In order of precedence: a line with an earlier event explains the end better than any line with a later
+// one.
 constexpr std::array<std::string_view, 8> deciding_events = {
     "event=job_given_up", "event=job_refused",   "event=request_given_up", "event=lease_lapsed",
     "event=run_lost",     "event=start_refused", "event=run_ended",        "event=job_ended",
@@ -23,8 +24,8 @@
                                            : line.substr(start, line.find(' ', start) - start);
 }
 
-/// An end that is as it should be explains nothing.
-bool is_good_end(std::string_view line) {
+/// Returns true when a line records a successful end, which is no cause of a problem.
+bool is_normal_end(std::string_view line) {
     return line.find("end=done") != std::string_view::npos ||
            line.find("phase=completed") != std::string_view::npos;
 }
@@ -32,7 +33,7 @@
 std::string find_cause(const std::vector<std::string>& lines) {
     for (const auto event : deciding_events) {
         const auto last = std::find_if(lines.rbegin(), lines.rend(), [event](const std::string& line) {
-            return absl::StrContains(line, to_absl(event)) && !is_good_end(line);
+            return absl::StrContains(line, to_absl(event)) && !is_normal_end(line);
         });
         if (last != lines.rend()) {
             return *last;
@@ -41,47 +42,48 @@
     return {};
 }
 
-/// Returns the name of the process that wrote a log.
-std::string find_instance(std::string_view text, std::size_t place) {
-    constexpr std::string_view mark = "event=started id=";
-    const auto found = text.find(mark);
+/// Returns the id of the process that wrote a log, or the log's position when the log does not contain the
+/// id.
+std::string find_instance(std::string_view text, std::size_t index) {
+    constexpr std::string_view marker = "event=started id=";
+    const auto found = text.find(marker);
     if (found == std::string_view::npos) {
-        return "log " + std::to_string(place + 1);
+        return "log " + std::to_string(index + 1);
     }
-    const auto start = found + mark.size();
+    const auto start = found + marker.size();
     return std::string(text.substr(start, text.find_first_of(" \n", start) - start));
 }
 
 bool names_job(std::string_view id, const std::vector<std::string>& lines) {
-    const auto mark = " job=" + std::string(id);
+    const auto marker = " job=" + std::string(id);
     return std::any_of(lines.begin(), lines.end(),
-                       [&mark](const std::string& line) { return absl::StrContains(line, mark); });
+                       [&marker](const std::string& line) { return absl::StrContains(line, marker); });
 }
 
 } // namespace
 
-log_story explain_id(std::string_view id, const std::vector<std::string>& texts) {
-    std::vector<told_line> told;
-    for (std::size_t place = 0; place < texts.size(); ++place) {
-        const auto instance = find_instance(texts[place], place);
-        for (const auto line : absl::StrSplit(texts[place], '\n', absl::SkipEmpty())) {
+log_explanation explain_id(std::string_view id, const std::vector<std::string>& texts) {
+    std::vector<log_line> matches;
+    for (std::size_t index = 0; index < texts.size(); ++index) {
+        const auto instance = find_instance(texts[index], index);
+        for (const auto line : absl::StrSplit(texts[index], '\n', absl::SkipEmpty())) {
             if (absl::StrContains(line, to_absl(id))) {
-                told.push_back({instance, std::string(line)});
+                matches.push_back({instance, std::string(line)});
             }
         }
     }
-    std::stable_sort(told.begin(), told.end(), [](const told_line& left, const told_line& right) {
+    std::stable_sort(matches.begin(), matches.end(), [](const log_line& left, const log_line& right) {
         return get_time(left.line) < get_time(right.line);
     });
-    log_story story;
-    for (const auto& item : told) {
-        story.lines.push_back(item.line);
+    log_explanation explanation;
+    for (const auto& item : matches) {
+        explanation.lines.push_back(item.line);
     }
-    story.cause = find_cause(story.lines);
-    if (names_job(id, story.lines)) {
-        story.history = tell_runs(told);
+    explanation.cause = find_cause(explanation.lines);
+    if (names_job(id, explanation.lines)) {
+        explanation.history = build_run_history(matches);
     }
-    return story;
+    return explanation;
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/tools/log_explainer.h
+++ b/poplarpitch/tools/log_explainer.h
@@ -8,18 +8,19 @@
 
 namespace poplarpitch {
 
-/// What the logs of several processes say of one job, request or worker.
-struct log_story {
-    std::vector<std::string> lines; ///< all lines that name it, in the order of their times
-    std::string cause;              ///< the line that decided its end; empty when none is known
-    run_history history;            ///< of the job's runs; empty where `id` is of another kind
+/// What the logs of several processes record about one job, request or worker.
+struct log_explanation {
+    std::vector<std::string> lines; ///< all lines that name it, ordered by time
+    std::string cause;              ///< the line that explains its end; empty when there is none
+    run_history history;            ///< of the job's runs; empty when `id` is not the id of a job
 
-    friend bool operator==(const log_story&, const log_story&) = default;
+    friend bool operator==(const log_explanation&, const log_explanation&) = default;
 };
 
-/// Picks the lines that name `id` out of `texts`, the logs of several processes, orders them by time, and
-/// names the one that decided: the last of those that refuse, give up, lose or end something. A process is
-/// named by its line `started id=`, else by the place of its log. Thread safety: any thread.
-[[nodiscard]] log_story explain_id(std::string_view id, const std::vector<std::string>& texts);
+/// Collects the lines that name `id` from `texts`, the logs of several processes, and orders them by time.
+/// The cause is the last line that records a refusal, a job or request given up, a loss or an end. A process
+/// is identified by its line `started id=`, or by the position of its log when there is no such line. Thread
+/// safety: any thread.
+[[nodiscard]] log_explanation explain_id(std::string_view id, const std::vector<std::string>& texts);
 
 } // namespace poplarpitch
--- a/poplarpitch/tools/operator_client.h
+++ b/poplarpitch/tools/operator_client.h
@@ -8,14 +8,14 @@
 
 namespace poplarpitch {
 
-/// Asks entries on behalf of `poplarctl`; goes on to the next one when one cannot be reached.
+/// Sends the requests of `poplarctl` to entries. Tries the next entry when one cannot be reached.
 /// Thread safety: none.
 class operator_client {
 public:
-    /// Precondition: `entries` (host:port) is not empty.
+    /// `timeout` applies to each attempt. Precondition: `entries` (host:port) is not empty.
     operator_client(std::vector<std::string> entries, duration timeout);
 
-    /// Sends a request to the first entry that answers.
+    /// Sends a request to the first entry that can be reached. Returns the last attempt when none can.
     http_exchange send(const http_request& request);
 
 private:
--- a/poplarpitch/tools/run_history.h
+++ b/poplarpitch/tools/run_history.h
@@ -5,25 +5,25 @@
 
 namespace poplarpitch {
 
-/// A line of a log, and which process wrote it.
-struct told_line {
+/// A log line and the process that wrote it.
+struct log_line {
     std::string instance;
     std::string line;
 
-    friend bool operator==(const told_line&, const told_line&) = default;
+    friend bool operator==(const log_line&, const log_line&) = default;
 };
 
-/// What the lines of one job say of its runs.
+/// The runs of one job as its log lines record them.
 struct run_history {
-    std::vector<std::string> runs; ///< of each run who started it, and on whose word it ended
-    std::vector<std::string>
-        overlaps; ///< of each two runs of a task that nothing says were one after another
+    std::vector<std::string> runs; ///< for each run, who started it and what ended it
+    /// Each pair of runs of one task for which no line shows that the first ended before the second began.
+    std::vector<std::string> overlaps;
 
     friend bool operator==(const run_history&, const run_history&) = default;
 };
 
-/// Tells the history of runs. Precondition: `lines` name one job and are in the order of their times. Thread
+/// Builds the history of a job's runs. Precondition: `lines` name one job and are ordered by time. Thread
 /// safety: any thread.
-[[nodiscard]] run_history tell_runs(const std::vector<told_line>& lines);
+[[nodiscard]] run_history build_run_history(const std::vector<log_line>& lines);
 
 } // namespace poplarpitch
--- a/programs/poplarctl.cpp
+++ b/programs/poplarctl.cpp
@@ -17,36 +17,36 @@
   config apply FILE [--wait]    change the configuration; --wait until it is in force everywhere
   config get [VERSION]          print a configuration
   config history                list the kept versions
-  job submit JSON|FILE [--wait] submit a job; its id makes a resend safe
-  job get ID | job list         show jobs; --tenant and --state pick some
+  job submit JSON|FILE [--wait] submit a job; its id makes a retry safe
+  job get ID | job list         show jobs; --tenant and --state select some
   job cancel ID                 cancel a job
-  job resolve ID rerun|done|failed   end the doubt about a parked or unknown job
-  workers | members | status    show the system
+  job resolve ID rerun|done|failed   decide the outcome of a parked or unknown job
+  workers | members | status    show the state of the system
   members add|promote|remove|drain|lead NUMBER   change the control instances
-  top                           a live screen; with --wait one picture only
+  top                           a live view; with --wait it is printed only once
   snapshot save FILE            write a backup of the replicated state
-  snapshot inspect FILE         say what a backup holds
-  explain ID LOG...             what the logs say of a job, request or worker, and which line decided
+  snapshot inspect FILE         show what a backup contains
+  explain ID LOG...             show what the logs record of a job, request or worker, and the line that explains its end
 
-Exit codes: 0 good, 1 refused, 2 bad usage or configuration, 3 no entry reached,
-            4 outcome unknown (ask again with the same id), 5 --wait timed out.
+Exit codes: 0 success, 1 refused, 2 bad usage or configuration, 3 no entry could be reached,
+            4 outcome unknown (retry with the same id), 5 --wait timed out.
 Entries are taken from --entry or the environment variable POPLARCTL_ENTRY (host:port, comma-separated).
 )";
 
 } // namespace
 
 int main(int count, char** arguments) {
-    cxxopts::Options options("poplarctl", "Command line of operators and batch users.");
+    cxxopts::Options options("poplarctl", "Command-line tool for operators and batch users.");
     options.positional_help("COMMAND ...");
-    options.add_options()("entry", "entries to ask, host:port, comma-separated",
+    options.add_options()("entry", "entries to contact, host:port, comma-separated",
                           cxxopts::value<std::string>())(
         "output", "text or json", cxxopts::value<std::string>()->default_value("text"))(
-        "wait", "wait until it is true")("timeout", "seconds to wait",
-                                         cxxopts::value<int>()->default_value("30"))(
-        "change-id", "id of a configuration change, for a safe resend",
-        cxxopts::value<std::string>()->default_value(""))("base", "version the change was made for",
+        "wait", "wait until the change is complete")("timeout", "longest time to wait, seconds",
+                                                     cxxopts::value<int>()->default_value("30"))(
+        "change-id", "id of a configuration change, which makes a retry safe",
+        cxxopts::value<std::string>()->default_value(""))("base", "version that the change is based on",
                                                           cxxopts::value<std::string>()->default_value(""))(
-        "author", "who changes", cxxopts::value<std::string>()->default_value(""))(
+        "author", "name of the author of the change", cxxopts::value<std::string>()->default_value(""))(
         "tenant", "only this tenant's jobs", cxxopts::value<std::string>()->default_value(""))(
         "state", "only jobs in this state",
         cxxopts::value<std::string>()->default_value(""))("version", "print the version")(
@@ -78,12 +78,12 @@
             entry_list = variable;
         }
         const std::vector<std::string> entries = absl::StrSplit(entry_list, ',', absl::SkipEmpty());
-        std::vector<std::string> words;
+        std::vector<std::string> command_words;
         if (parsed.count("words") > 0) {
-            words = parsed["words"].as<std::vector<std::string>>();
+            command_words = parsed["words"].as<std::vector<std::string>>();
         }
         poplarpitch::operator_client client(entries, std::chrono::seconds{10});
-        return static_cast<int>(poplarpitch::run_command(client, words, common));
+        return static_cast<int>(poplarpitch::run_command(client, command_words, common));
     } catch (const cxxopts::exceptions::exception& error) {
         std::cerr << "poplarctl: " << error.what() << "; see --help\n";
         return usage_code;
--- a/programs/poplarpitch_control.cpp
+++ b/programs/poplarpitch_control.cpp
@@ -7,7 +7,7 @@
 
 int main(int count, char** arguments) {
     const auto line = poplarpitch::read_settings_command_line(
-        count, arguments, "poplarpitch-control", "Keeps the replicated state: configuration, workers, jobs.",
+        count, arguments, "poplarpitch-control", "Stores the replicated state: configuration, workers, jobs.",
         [](std::string_view text) { return poplarpitch::parse_daemon_settings(text, true); },
         {.can_restore = true});
     if (line.exit_code.has_value()) {
--- a/programs/poplarpitch_entry.cpp
+++ b/programs/poplarpitch_entry.cpp
@@ -6,7 +6,7 @@
 
 int main(int count, char** arguments) {
     const auto line = poplarpitch::read_settings_command_line(
-        count, arguments, "poplarpitch-entry", "Takes callers' requests and targets' announcements.",
+        count, arguments, "poplarpitch-entry", "Accepts callers' requests and targets' announcements.",
         [](std::string_view text) { return poplarpitch::parse_daemon_settings(text, false); },
         {.has_storage = false});
     if (line.exit_code.has_value()) {
--- a/programs/poplarpitch_gateway.cpp
+++ b/programs/poplarpitch_gateway.cpp
@@ -6,7 +6,7 @@
 int main(int count, char** arguments) {
     const auto line = poplarpitch::read_settings_command_line(
         count, arguments, "poplarpitch-gateway",
-        "Takes callers' requests and relays them to the scheduler that leads.",
+        "Accepts callers' requests and relays them to the leading scheduler.",
         poplarpitch::parse_gateway_settings, {.has_storage = false});
     if (line.exit_code.has_value()) {
         return *line.exit_code;
--- a/programs/poplarpitch_scheduler.cpp
+++ b/programs/poplarpitch_scheduler.cpp
@@ -8,7 +8,7 @@
 int main(int count, char** arguments) {
     const auto line = poplarpitch::read_settings_command_line(
         count, arguments, "poplarpitch-scheduler",
-        "Keeps the replicated jobs and runs them on workers while it leads.",
+        "Stores the replicated jobs and runs them on workers while it is the leader.",
         poplarpitch::parse_scheduler_settings);
     if (line.exit_code.has_value()) {
         return *line.exit_code;
--- a/programs/poplarpitch_stand_in.cpp
+++ b/programs/poplarpitch_stand_in.cpp
@@ -17,9 +17,10 @@
 namespace {
 
 constexpr int usage_code = 2;
-constexpr auto leave_limit = std::chrono::seconds{30};
+constexpr auto drain_timeout = std::chrono::seconds{30};
 
-/// Says that all workers leave, waits until nothing runs on them, stops.
+/// Drains all workers and stops them: announces that they leave, waits until nothing runs on them or the
+/// limit has passed or a second stop signal arrives, and stops them.
 void stop_workers(std::vector<std::unique_ptr<poplarpitch::stand_in_worker>>& workers,
                   poplarpitch::stop_signal& signal) {
     for (auto& worker : workers) {
@@ -27,7 +28,7 @@
     }
     signal.reset();
     const poplarpitch::system_clock clock;
-    const auto end = clock.now() + leave_limit;
+    const auto end = clock.now() + drain_timeout;
     for (auto& worker : workers) {
         while (!worker->may_stop() && clock.now() < end && !signal.wait_for(std::chrono::milliseconds{20})) {
         }
@@ -41,7 +42,7 @@
 
 int main(int count, char** arguments) {
     cxxopts::Options options("poplarpitch-stand-in",
-                             "Pretended workers for the demo, tests and measurements.");
+                             "Simulated workers for the demo, tests and measurements.");
     options.add_options()("settings", "settings file (INI)", cxxopts::value<std::string>())(
         "check", "check the settings and exit")("version", "print the version")("help", "print this help");
     try {
