--- a/performance_test/load_runner.cpp
+++ b/performance_test/load_runner.cpp
@@ -224,7 +224,7 @@
         }
         // A target echoes; its error answers are whole too, but their bodies are its own.
         const bool is_echo = call.outcome == outcome_done && exchange.response.status == 200;
-        call.is_whole = !is_echo || exchange.response.body == body;
+        call.is_body_intact = !is_echo || exchange.response.body == body;
     } else {
         call.outcome = exchange.progress == exchange_progress::not_sent ? outcome_not_run : "cut";
         return call.outcome == outcome_not_run ? "not_sent" : "cut";
--- a/poplarpitch/stand_in/record_checker.cpp
+++ b/poplarpitch/stand_in/record_checker.cpp
@@ -11,7 +11,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t fields_in_line = 5;
+constexpr std::size_t fields_per_line = 5;
 
 int get_count(const std::map<std::string, int>& counts, const std::string& key) {
     const auto found = counts.find(key);
@@ -34,8 +34,8 @@
 
 void record_checker::read_line(const std::string& line) {
     const std::vector<std::string> fields = absl::StrSplit(line, ' ');
-    if (fields.size() != fields_in_line) {
-        return; // torn by a kill
+    if (fields.size() != fields_per_line) {
+        return; // incomplete: the process was killed while it wrote the line
     }
     const auto& kind = fields[0];
     std::int64_t time_us = 0;
@@ -51,8 +51,8 @@
         return;
     }
     if (kind == "report-known") {
-        if (auto* run = find_run(fields[2], fields[1])) {
-            run->is_known = true;
+        if (auto* run = find_span(fields[2], fields[1])) {
+            run->is_acknowledged = true;
         }
         return;
     }
@@ -64,17 +64,18 @@
         runs.push_back({fields[2], fields[1], time_us, 0, false});
         return;
     }
-    auto* run = find_run(fields[2], fields[1]);
+    auto* run = find_span(fields[2], fields[1]);
     if (run != nullptr && run->end_us == 0) {
         run->end_us = time_us;
         run->is_finished = kind == "task-finished";
     }
 }
 
-record_checker::run_span* record_checker::find_run(const std::string& lease, const std::string& worker) {
-    auto& runs = m_runs[lease.substr(0, lease.find('#'))];
+record_checker::run_span* record_checker::find_span(const std::string& attempt_id,
+                                                    const std::string& worker) {
+    auto& runs = m_runs[attempt_id.substr(0, attempt_id.find('#'))];
     const auto run = std::find_if(runs.rbegin(), runs.rend(), [&](const run_span& span) {
-        return span.lease == lease && span.worker == worker;
+        return span.attempt_id == attempt_id && span.worker == worker;
     });
     return run == runs.rend() ? nullptr : &*run;
 }
@@ -82,12 +83,12 @@
 bool record_checker::is_finished_once(const std::vector<run_span>& runs,
                                       const std::set<std::string>& killed) {
     std::int64_t finished = 0;
-    std::int64_t unheard = 0;
+    std::int64_t unacknowledged = 0;
     for (const auto& run : runs) {
         finished += run.is_finished ? 1 : 0;
-        unheard += run.is_finished && !run.is_known && killed.contains(run.worker) ? 1 : 0;
+        unacknowledged += run.is_finished && !run.is_acknowledged && killed.contains(run.worker) ? 1 : 0;
     }
-    return finished >= 1 && finished - unheard <= 1;
+    return finished >= 1 && finished - unacknowledged <= 1;
 }
 
 promise_report record_checker::check_calls(const std::vector<observed_call>& calls) const {
@@ -105,11 +106,12 @@
             check(starts <= 1, call, "not idempotent, but ran more than once");
         }
         if (call.outcome == "not-run") {
-            check(starts == 0, call, "answered not-run, but ran");
+            check(starts == 0, call, "was answered with not-run, but ran");
         }
         if (call.outcome == "done") {
-            check(get_count(m_request_ends, call.check_id) >= 1, call, "answered done, but did not run");
-            check(call.is_whole, call, "the answer was not whole or not its own");
+            check(get_count(m_request_ends, call.check_id) >= 1, call,
+                  "was answered with done, but did not run");
+            check(call.is_body_intact, call, "its answer is incomplete or belongs to another request");
         }
     }
     return report;
@@ -125,18 +127,20 @@
             report.broken.push_back(text);
         }
     };
-    check(m_overcommits == 0, absl::StrCat(m_overcommits, " times more work was sent than a worker holds"));
+    check(m_overcommits == 0,
+          absl::StrCat(m_overcommits, " times more work was sent than a worker can hold"));
     for (const auto& [job, runs] : m_runs) {
         auto sorted = runs;
         std::sort(sorted.begin(), sorted.end(),
                   [](const run_span& left, const run_span& right) { return left.start_us < right.start_us; });
         for (std::size_t index = 1; index < sorted.size(); ++index) {
             const auto& before = sorted[index - 1];
-            // A run without an end was on a worker that was killed: it lasted as long as that worker was seen
-            // alive.
+            // A run without a recorded end was on a worker that was killed: it lasted at most until the last
+            // line of that worker.
             const auto end = before.end_us != 0 ? before.end_us : m_last_seen.at(before.worker);
             check(sorted[index].start_us >= end, absl::StrCat("job ", job, " ran in two places"));
-            check(sorted[index].lease != before.lease, absl::StrCat("job ", job, " ran an attempt twice"));
+            check(sorted[index].attempt_id != before.attempt_id,
+                  absl::StrCat("job ", job, " ran an attempt twice"));
         }
     }
     for (const auto& job : done) {
--- a/poplarpitch/stand_in/run_record.cpp
+++ b/poplarpitch/stand_in/run_record.cpp
@@ -7,9 +7,9 @@
 namespace poplarpitch {
 namespace {
 
-std::string clean(std::string text) {
+std::string replace_blanks(std::string text) {
     std::replace_if(
-        text.begin(), text.end(), [](char letter) { return letter <= ' '; }, '_');
+        text.begin(), text.end(), [](char character) { return character <= ' '; }, '_');
     return text.empty() ? "-" : text;
 }
 
@@ -32,12 +32,12 @@
 void run_record::write(const std::string& kind, const std::string& worker, const std::string& id,
                        const std::string& detail) {
     const auto now = system_clock().now().time_since_epoch().count() / 1000;
-    const auto line =
-        kind + " " + worker + " " + clean(id) + " " + clean(detail) + " " + std::to_string(now) + "\n";
+    const auto line = kind + " " + worker + " " + replace_blanks(id) + " " + replace_blanks(detail) + " " +
+                      std::to_string(now) + "\n";
     const absl::MutexLock lock(&m_mutex);
     if (m_file != nullptr) {
         std::fputs(line.c_str(), m_file);
-        std::fflush(m_file); // into the kernel: survives kill -9
+        std::fflush(m_file); // hands the line to the kernel, so that it survives SIGKILL
     }
 }
 
--- a/poplarpitch/stand_in/stand_in_settings.cpp
+++ b/poplarpitch/stand_in/stand_in_settings.cpp
@@ -10,7 +10,7 @@
 constexpr std::int64_t max_workers = 2000;
 constexpr std::int64_t max_amount = 1'000'000;
 
-void read_main(section_reader& reader, stand_in_settings& value) {
+void read_worker_section(section_reader& reader, stand_in_settings& value) {
     value.id = reader.get_text("id", value.id);
     value.count = static_cast<int>(reader.get_integer("count", value.count, 1, max_workers));
     value.first_number =
@@ -46,7 +46,7 @@
     for (const auto& section : document.sections) {
         section_reader reader(section, parsed.errors);
         if (section.kind == "stand_in") {
-            read_main(reader, parsed.value);
+            read_worker_section(reader, parsed.value);
         } else if (section.kind == "service") {
             stand_in_service service;
             service.name = section.name;
--- a/poplarpitch/stand_in/stand_in_worker.cpp
+++ b/poplarpitch/stand_in/stand_in_worker.cpp
@@ -23,10 +23,12 @@
 
 using json = nlohmann::json;
 
-constexpr const char* check_header = "X-Check-Id"; ///< the caller's own number of a request, for the record
-constexpr duration announce_wait = seconds{2};
+constexpr const char* check_id_header =
+    "X-Check-Id"; ///< identifies a request in the run record; chosen by the caller
+constexpr duration announce_timeout = seconds{2};
 constexpr duration first_interval = milliseconds{200};
-constexpr duration leave_grace = milliseconds{300}; // for requests that were sent before the owner knew
+constexpr duration leave_grace_period =
+    milliseconds{300}; // for requests sent before the owner knew that the worker leaves
 constexpr duration task_step = milliseconds{50};
 constexpr int server_threads = 256;
 
@@ -43,8 +45,8 @@
     return server;
 }
 
-/// Reads `ms=1500` out of a payload such as `ms=1500;fail`.
-duration read_total(const std::string& payload, duration declared) {
+/// Returns the run time from a payload such as `ms=1500;fail`, or `declared` when the payload contains none.
+duration parse_run_time(const std::string& payload, duration declared) {
     for (const auto part : absl::StrSplit(payload, ';')) {
         std::int64_t value = 0;
         if (absl::StartsWith(part, "ms=") && absl::SimpleAtoi(part.substr(3), &value)) {
@@ -60,13 +62,13 @@
     : m_settings(settings), m_id(absl::StrCat(settings.id, "-", number)),
       m_data_centre(settings.data_centres[static_cast<std::size_t>(number) % settings.data_centres.size()]),
       m_rack(absl::StrCat("rack-", number / settings.rack_size)),
-      m_factor(number % 100 < settings.old_share * 100 || (settings.old_share >= 0.5 && number % 2 == 0)
-                   ? settings.old_factor
-                   : 1.0),
+      m_time_factor(number % 100 < settings.old_share * 100 || (settings.old_share >= 0.5 && number % 2 == 0)
+                        ? settings.old_factor
+                        : 1.0),
       m_incarnation(make_incarnation(number)), m_record(record), m_entries(http_client_settings{}),
       m_server(make_server_settings(settings),
                [this](const http_request& request) { return handle(request); }),
-      m_random(static_cast<std::uint64_t>(number)), m_tasks(settings, m_id, m_factor, record) {}
+      m_random(static_cast<std::uint64_t>(number)), m_tasks(settings, m_id, m_time_factor, record) {}
 
 stand_in_worker::~stand_in_worker() {
     stop();
@@ -98,9 +100,10 @@
     }
 }
 
-bool stand_in_worker::may_stop() {
+bool stand_in_worker::can_stop() {
     const absl::MutexLock lock(&m_mutex);
-    const bool is_known = m_leaving_told != time_point{} && m_clock.now() - m_leaving_told >= leave_grace;
+    const bool is_known = m_leaving_acknowledged_time != time_point{} &&
+                          m_clock.now() - m_leaving_acknowledged_time >= leave_grace_period;
     return is_known && m_requests.empty() && m_tasks.is_idle();
 }
 
@@ -122,7 +125,7 @@
     } else if (absl::StartsWith(path, "/v1/tasks/")) {
         const std::vector<std::string> parts = absl::StrSplit(path, '/', absl::SkipEmpty());
         response = parts.size() == 4
-                       ? tell_task(absl::StrReplaceAll(parts[2], {{"%23", "#"}}), parts[3], request)
+                       ? control_task(absl::StrReplaceAll(parts[2], {{"%23", "#"}}), parts[3], request)
                        : make_error_response(404, "not_found", "no such path");
     } else if (absl::StartsWith(path, "/stand-in/")) {
         response = set_fault(path.substr(std::string_view("/stand-in/").size()), request);
@@ -142,18 +145,18 @@
     return m_settings.capacity.holds(used + need);
 }
 
-duration stand_in_worker::draw_time(const std::string& service) {
-    stand_in_service shape;
+duration stand_in_worker::sample_service_time(const std::string& service) {
+    stand_in_service settings;
     for (const auto& known : m_settings.services) {
         if (known.name == service) {
-            shape = known;
+            settings = known;
         }
     }
-    std::normal_distribution<double> normal(0, shape.jitter);
-    const auto slowed = m_slowed.find(service);
-    const double fault = slowed == m_slowed.end() ? 1 : slowed->second;
-    const double factor = m_factor * fault * (1 + m_tasks.get_growth()) * std::exp(normal(m_random));
-    return duration{static_cast<std::int64_t>(static_cast<double>(shape.time.count()) * factor)};
+    std::normal_distribution<double> normal(0, settings.jitter);
+    const auto slowdown = m_service_slowdown.find(service);
+    const double fault = slowdown == m_service_slowdown.end() ? 1 : slowdown->second;
+    const double factor = m_time_factor * fault * (1 + m_tasks.get_growth()) * std::exp(normal(m_random));
+    return duration{static_cast<std::int64_t>(static_cast<double>(settings.time.count()) * factor)};
 }
 
 http_response stand_in_worker::serve(const http_request& request) {
@@ -162,8 +165,8 @@
         return make_error_response(404, "not_found", "no service named");
     }
     const auto id = request.headers.get(header_request_id);
-    const auto check = absl::StrCat(request.headers.get(check_header), "|", parts[2], "|",
-                                    request.headers.get(header_idempotent));
+    const auto detail = absl::StrCat(request.headers.get(check_id_header), "|", parts[2], "|",
+                                     request.headers.get(header_idempotent));
     std::uint64_t epoch = 0;
     static_cast<void>(absl::SimpleAtoi(request.headers.get(header_epoch), &epoch));
     duration time{};
@@ -174,21 +177,21 @@
             return refuse("stale-epoch");
         }
         if (!has_room({1, 0, 0, 0})) {
-            m_record.write("overcommit", m_id, id, check);
+            m_record.write("overcommit", m_id, id, detail);
             return refuse("full");
         }
         m_requests[id] = {epoch};
         is_failing = m_is_failing;
-        time = draw_time(parts[2]);
+        time = sample_service_time(parts[2]);
         if (time.count() == 0) {
             time = duration{1};
         }
     }
-    m_record.write("request-start", m_id, id, check);
+    m_record.write("request-start", m_id, id, detail);
     if (time > std::chrono::microseconds{2}) {
         absl::SleepFor(absl::Nanoseconds(time.count()));
     }
-    m_record.write("request-end", m_id, id, check);
+    m_record.write("request-end", m_id, id, detail);
     {
         const absl::MutexLock lock(&m_mutex);
         m_requests.erase(id);
@@ -217,17 +220,17 @@
                      object.value("memory", std::int64_t{0}), object.value("accelerators", std::int64_t{0})};
     task.declared_millicores = object.value("declared_millicores", task.reserved.millicores);
     task.declared = milliseconds{object.value("run_time_ms", std::int64_t{0})};
-    task.total = read_total(task.payload, task.declared);
+    task.total = parse_run_time(task.payload, task.declared);
     std::int64_t saved_ms = 0;
     static_cast<void>(absl::SimpleAtoi(object.value("checkpoint", ""), &saved_ms));
     task.saved = milliseconds{saved_ms};
     task.done = task.saved;
-    const auto lease = task_simulator::make_lease(task.job, task.attempt);
+    const auto attempt_id = task_simulator::make_attempt_id(task.job, task.attempt);
     const auto epoch = object.value("epoch", std::uint64_t{0});
 
     const absl::MutexLock lock(&m_mutex);
-    if (m_tasks.knows(lease)) {
-        http_response response; // it was started by an earlier copy of this call
+    if (m_tasks.has_seen(attempt_id)) {
+        http_response response; // an earlier copy of this request started it
         response.body = "{\"started\":true}";
         return response;
     }
@@ -241,7 +244,7 @@
         return refuse("leaving");
     }
     if (!has_room(task.reserved)) {
-        m_record.write("overcommit", m_id, lease, task.batch);
+        m_record.write("overcommit", m_id, attempt_id, task.batch);
         return refuse("full");
     }
     const auto now = m_clock.now();
@@ -252,8 +255,8 @@
     return response;
 }
 
-http_response stand_in_worker::tell_task(const std::string& lease, const std::string& verb,
-                                         const http_request& request) {
+http_response stand_in_worker::control_task(const std::string& attempt_id, const std::string& verb,
+                                            const http_request& request) {
     std::uint64_t epoch = 0;
     static_cast<void>(absl::SimpleAtoi(request.headers.get(header_epoch), &epoch));
     const absl::MutexLock lock(&m_mutex);
@@ -262,7 +265,7 @@
     }
     const auto now = m_clock.now();
     m_tasks.advance(now, m_is_failing);
-    if (!m_tasks.tell(lease, verb, now, m_task_lease)) {
+    if (!m_tasks.apply_verb(attempt_id, verb, now, m_task_lease)) {
         return make_error_response(404, "not_found", "no such verb");
     }
     http_response response;
@@ -282,7 +285,7 @@
     } else if (name == "slow") {
         double factor = 1;
         static_cast<void>(absl::SimpleAtod(request.get_query("factor"), &factor));
-        m_slowed[request.get_query("service")] = is_on ? factor : 1;
+        m_service_slowdown[request.get_query("service")] = is_on ? factor : 1;
     } else {
         return make_error_response(404, "not_found", "no such fault");
     }
@@ -296,39 +299,40 @@
 announcement stand_in_worker::make_announcement() {
     const absl::MutexLock lock(&m_mutex);
     m_tasks.advance(m_clock.now(), m_is_failing);
-    announcement told;
-    told.id = m_id;
-    told.address = m_address;
-    told.data_centre = m_data_centre;
-    told.rack = m_rack;
-    told.speed_class = m_factor > 1 ? "old" : "new";
+    announcement message;
+    message.id = m_id;
+    message.address = m_address;
+    message.data_centre = m_data_centre;
+    message.rack = m_rack;
+    message.speed_class = m_time_factor > 1 ? "old" : "new";
     for (const auto& service : m_settings.services) {
-        told.services.push_back(service.name);
-    }
-    told.capacity = m_settings.capacity;
-    told.epoch = m_epoch;
-    told.incarnation = m_incarnation;
-    told.sequence = ++m_sequence;
-    told.is_leaving = m_is_leaving;
-    told.is_complete = m_wants_complete || m_sequence % 16 == 0;
+        message.services.push_back(service.name);
+    }
+    message.capacity = m_settings.capacity;
+    message.epoch = m_epoch;
+    message.incarnation = m_incarnation;
+    message.sequence = ++m_sequence;
+    message.is_leaving = m_is_leaving;
+    message.is_complete = m_wants_complete || m_sequence % 16 == 0;
     for (const auto& [id, request] : m_requests) {
-        told.requests.push_back(id);
+        message.requests.push_back(id);
         if (request.epoch < m_epoch) {
-            told.old_work.slots += 1;
+            message.old_work.slots += 1;
         }
     }
-    if (told.is_complete) {
-        told.tasks = m_tasks.list_running();
+    if (message.is_complete) {
+        message.tasks = m_tasks.list_running();
     }
-    told.reports = m_tasks.get_reports();
-    return told;
+    message.reports = m_tasks.get_reports();
+    return message;
 }
 
-void stand_in_worker::take_answer(const announcement& told, const announce_answer& answer, time_point sent) {
+void stand_in_worker::handle_answer(const announcement& message, const announce_answer& answer,
+                                    time_point sent) {
     const absl::MutexLock lock(&m_mutex);
-    const bool is_owner = answer.epoch != 0 && answer.epoch == told.epoch;
-    if (told.is_leaving && is_owner && m_leaving_told == time_point{}) {
-        m_leaving_told = m_clock.now();
+    const bool is_owner = answer.epoch != 0 && answer.epoch == message.epoch;
+    if (message.is_leaving && is_owner && m_leaving_acknowledged_time == time_point{}) {
+        m_leaving_acknowledged_time = m_clock.now();
     }
     m_wants_complete = answer.wants_complete;
     if (answer.epoch > m_epoch) {
@@ -344,7 +348,7 @@
     m_owner_address = answer.owner_address;
     m_tasks.acknowledge(answer.acknowledged);
     if (answer.is_renewed) {
-        // The lease counts from when we asked: an answer may have been under way for long.
+        // The lease counts from when the announcement was sent, because its answer may have been delayed.
         m_tasks.renew(sent + m_task_lease);
     }
 }
@@ -359,22 +363,22 @@
         address = m_owner_address.empty() ? m_settings.entries[m_next_entry % m_settings.entries.size()]
                                           : m_owner_address;
     }
-    const auto told = make_announcement();
+    const auto message = make_announcement();
     http_request request;
     request.method = "POST";
     request.target = "/v1/targets/announce";
-    request.body = encode_announcement(told);
+    request.body = encode_announcement(message);
     request.headers.add("Content-Type", "application/json");
     const auto sent = m_clock.now();
-    // A connection of its own, closed at once: cpp-httplib wakes a server thread 100 times a second for each
-    // idle one, which costs an entry more than the connect.
-    const auto exchange = m_entries.send(address, request, sent + announce_wait, connection_choice::fresh);
+    // Each announcement uses a new connection and closes it at once: cpp-httplib wakes a server thread 100
+    // times a second for each idle connection, which costs an entry more than a new connection.
+    const auto exchange = m_entries.send(address, request, sent + announce_timeout, connection_choice::fresh);
     m_entries.drop(address);
     const bool is_good = exchange.progress == exchange_progress::answered && exchange.response.status == 200;
     if (is_good) {
         const auto decoded = decode_announce_answer(exchange.response.body);
         if (const auto* answer = std::get_if<announce_answer>(&decoded)) {
-            take_answer(told, *answer, sent);
+            handle_answer(message, *answer, sent);
             return;
         }
     } else if (exchange.progress == exchange_progress::answered && exchange.response.status / 100 == 4) {
@@ -400,11 +404,11 @@
         if (m_clock.now() >= next) {
             announce_once();
             const absl::MutexLock lock(&m_mutex);
-            // Soon again when there is news to get or to give; else in the usual rhythm.
-            const bool is_eager = m_wants_complete || m_owner_address.empty() ||
-                                  !m_tasks.get_reports().empty() ||
-                                  (m_is_leaving && m_leaving_told == time_point{});
-            next = m_clock.now() + (is_eager ? std::min(first_interval, m_interval) : m_interval);
+            // Announces again soon while information has to be exchanged, otherwise at the normal interval.
+            const bool is_urgent = m_wants_complete || m_owner_address.empty() ||
+                                   !m_tasks.get_reports().empty() ||
+                                   (m_is_leaving && m_leaving_acknowledged_time == time_point{});
+            next = m_clock.now() + (is_urgent ? std::min(first_interval, m_interval) : m_interval);
         }
         absl::SleepFor(absl::Nanoseconds(task_step.count()));
     }
--- a/poplarpitch/stand_in/stand_in_worker.h
+++ b/poplarpitch/stand_in/stand_in_worker.h
@@ -20,29 +20,31 @@
 
 class run_record;
 
-/// One pretended target and worker: serves requests by waiting, runs tasks by counting time, slows its
-/// requests by what runs beside them, announces itself, refuses older epochs, keeps leases, reports until
-/// acknowledged. It keeps its side of the protocol exactly, so that a broken promise on our side shows in its
-/// record. Thread safety: any thread, for all methods.
+/// A simulated target and worker. It serves a request by sleeping, runs a task by counting time, and slows
+/// requests down according to the tasks that run beside them. It announces itself, refuses commands with an
+/// older epoch, observes leases and repeats each report until it is acknowledged. It follows the worker's
+/// side of the protocol exactly, so that a promise that the system breaks shows in its record. Thread safety:
+/// any thread, for all methods.
 class stand_in_worker {
 public:
-    /// Precondition: `record` outlives the worker. `number` picks data centre, rack and generation.
+    /// `number` determines the data centre, rack and hardware generation. Precondition: `record` outlives the
+    /// worker.
     stand_in_worker(const stand_in_settings& settings, int number, run_record& record);
     ~stand_in_worker();
     stand_in_worker(const stand_in_worker&) = delete;
     stand_in_worker& operator=(const stand_in_worker&) = delete;
 
-    /// Listens and begins to announce itself. Returns the port, or 0 when it cannot listen.
+    /// Listens and starts to announce itself. Returns the port, or 0 when it cannot listen.
     int start();
-    /// Says that it leaves; goes on with what it runs.
+    /// Announces from now on that it leaves. What it runs continues.
     void leave();
-    /// Stops announcing and serving.
+    /// Stops announcements and the server.
     void stop();
 
     [[nodiscard]] const std::string& get_id() const { return m_id; }
-    /// Returns true when it may stop: its owner knows that it leaves, what was on its way has come in, and
-    /// nothing runs.
-    [[nodiscard]] bool may_stop();
+    /// Returns true when the worker can stop without losing work: its owner knows that it leaves, requests
+    /// sent before that have had time to arrive, and nothing runs.
+    [[nodiscard]] bool can_stop();
 
 private:
     struct running_request {
@@ -52,22 +54,23 @@
     http_response handle(const http_request& request);
     http_response serve(const http_request& request);
     http_response start_task(const http_request& request);
-    http_response tell_task(const std::string& lease, const std::string& verb, const http_request& request);
+    http_response control_task(const std::string& attempt_id, const std::string& verb,
+                               const http_request& request);
     http_response set_fault(const std::string& name, const http_request& request);
-    duration draw_time(const std::string& service) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    duration sample_service_time(const std::string& service) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
     bool has_room(const resources& need) const ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     void announce_until_stopped();
     void announce_once();
     [[nodiscard]] announcement make_announcement();
-    void take_answer(const announcement& told, const announce_answer& answer, time_point sent);
+    void handle_answer(const announcement& message, const announce_answer& answer, time_point sent);
     static http_response refuse(const std::string& reason);
 
     const stand_in_settings m_settings;
     const std::string m_id;
     const std::string m_data_centre;
     const std::string m_rack;
-    const double m_factor; ///< how much longer work takes here
+    const double m_time_factor; ///< how many times longer work takes on this worker
     const std::uint64_t m_incarnation;
     const system_clock m_clock{};
     run_record& m_record;
@@ -84,12 +87,13 @@
     task_simulator m_tasks ABSL_GUARDED_BY(m_mutex);
     bool m_wants_complete ABSL_GUARDED_BY(m_mutex) = true;
     bool m_is_leaving ABSL_GUARDED_BY(m_mutex) = false;
-    time_point
-        m_leaving_told ABSL_GUARDED_BY(m_mutex){}; ///< when the owner first answered an announcement of it
+    time_point m_leaving_acknowledged_time
+        ABSL_GUARDED_BY(m_mutex){}; ///< when the owner first answered an announcement that it leaves
     bool m_is_stopped ABSL_GUARDED_BY(m_mutex) = false;
-    bool m_is_failing ABSL_GUARDED_BY(m_mutex) = false;              ///< fault: every request and task fails
-    bool m_is_mute ABSL_GUARDED_BY(m_mutex) = false;                 ///< fault: no announcements
-    std::map<std::string, double> m_slowed ABSL_GUARDED_BY(m_mutex); ///< fault: by service, how much slower
+    bool m_is_failing ABSL_GUARDED_BY(m_mutex) = false; ///< injected fault: every request and task fails
+    bool m_is_mute ABSL_GUARDED_BY(m_mutex) = false;    ///< injected fault: no announcements
+    std::map<std::string, double>
+        m_service_slowdown ABSL_GUARDED_BY(m_mutex); ///< injected fault: slowdown factor by service
     std::string m_owner_address ABSL_GUARDED_BY(m_mutex);
     std::size_t m_next_entry ABSL_GUARDED_BY(m_mutex) = 0;
     duration m_interval ABSL_GUARDED_BY(m_mutex) = milliseconds{200};
--- a/programs/poplarpitch_stand_in.cpp
+++ b/programs/poplarpitch_stand_in.cpp
@@ -30,7 +30,7 @@
     const poplarpitch::system_clock clock;
     const auto end = clock.now() + drain_timeout;
     for (auto& worker : workers) {
-        while (!worker->may_stop() && clock.now() < end && !signal.wait_for(std::chrono::milliseconds{20})) {
+        while (!worker->can_stop() && clock.now() < end && !signal.wait_for(std::chrono::milliseconds{20})) {
         }
     }
     for (auto& worker : workers) {
--- a/unit_tests/process/cluster_request_test.cpp
+++ b/unit_tests/process/cluster_request_test.cpp
@@ -117,7 +117,7 @@
                         m_cluster.send(1 + (number + attempt) % 3, "POST", "/v1/call/pay", id,
                                        {{header_tenant, "t"}, {header_key, id}, {"X-Check-Id", id}});
                     call.outcome = exchange.response.headers.get(header_outcome);
-                    call.is_whole = call.outcome != outcome_done || exchange.response.body == id;
+                    call.is_body_intact = call.outcome != outcome_done || exchange.response.body == id;
                 }
                 done += call.outcome == outcome_done ? 1 : 0;
                 const absl::MutexLock lock(&mutex);
--- a/unit_tests/stand_in/record_checker_test.cpp
+++ b/unit_tests/stand_in/record_checker_test.cpp
@@ -5,8 +5,8 @@
 namespace poplarpitch {
 namespace {
 
-/// A checker that was told these lines.
-record_checker read(const std::vector<std::string>& lines) {
+/// Returns a checker that has read these lines.
+record_checker make_checker(const std::vector<std::string>& lines) {
     record_checker checker;
     for (const auto& line : lines) {
         checker.read_line(line);
@@ -16,7 +16,7 @@
 
 std::size_t count_broken(const std::vector<std::string>& lines, const std::vector<std::string>& done,
                          const std::set<std::string>& killed = {}) {
-    return read(lines).check_tasks(done, killed).broken.size();
+    return make_checker(lines).check_tasks(done, killed).broken.size();
 }
 
 TEST(record_checker, job_that_finished_once_keeps_the_promise) {
@@ -28,20 +28,20 @@
     EXPECT_EQ(count_broken({}, {"j"}), 1U);
 }
 
-TEST(record_checker, second_finish_is_broken_unless_the_first_was_never_known_of_a_killed_worker) {
-    const std::vector<std::string> unheard = {"task-start w j#1 b 10", "task-finished w j#1 b 20",
-                                              "task-start v j#2 b 90", "task-finished v j#2 b 99",
-                                              "report-known v j#2 finished 100"};
-    EXPECT_EQ(count_broken(unheard, {"j"}), 1U); // w lives and would have told it
-    EXPECT_EQ(count_broken(unheard, {"j"}, {"v"}), 1U);
-    EXPECT_EQ(count_broken(unheard, {"j"}, {"w"}), 0U);
-    auto heard = unheard;
-    heard.insert(heard.begin() + 2, "report-known w j#1 finished 21");
-    EXPECT_EQ(count_broken(heard, {"j"}, {"w"}), 1U); // known, and run again all the same
+TEST(record_checker, second_finish_is_broken_unless_a_killed_worker_could_not_report_the_first) {
+    const std::vector<std::string> unacknowledged = {"task-start w j#1 b 10", "task-finished w j#1 b 20",
+                                                     "task-start v j#2 b 90", "task-finished v j#2 b 99",
+                                                     "report-known v j#2 finished 100"};
+    EXPECT_EQ(count_broken(unacknowledged, {"j"}), 1U); // w is alive and would have reported it
+    EXPECT_EQ(count_broken(unacknowledged, {"j"}, {"v"}), 1U);
+    EXPECT_EQ(count_broken(unacknowledged, {"j"}, {"w"}), 0U);
+    auto acknowledged = unacknowledged;
+    acknowledged.insert(acknowledged.begin() + 2, "report-known w j#1 finished 21");
+    EXPECT_EQ(count_broken(acknowledged, {"j"}, {"w"}), 1U); // acknowledged, but run again
 }
 
 TEST(record_checker, finish_of_a_killed_worker_may_be_the_one_that_counts) {
-    // Its report was committed, and the worker was killed before it heard of that.
+    // Its report was committed, but the worker was killed before it received the acknowledgement.
     EXPECT_EQ(count_broken({"task-start w j#1 b 10", "task-finished w j#1 b 20"}, {"j"}, {"w"}), 0U);
 }
 
@@ -63,9 +63,9 @@
     EXPECT_EQ(count_broken({"overcommit w j#1 b 10"}, {}), 1U);
 }
 
-TEST(record_checker, calls_are_held_to_their_outcomes) {
-    const auto checker = read({"request-start w r1 a|s|false 1", "request-end w r1 a|s|false 2",
-                               "request-start w r2 b|s|false 3", "request-start v r3 b|s|false 4"});
+TEST(record_checker, calls_are_checked_against_their_outcomes) {
+    const auto checker = make_checker({"request-start w r1 a|s|false 1", "request-end w r1 a|s|false 2",
+                                       "request-start w r2 b|s|false 3", "request-start v r3 b|s|false 4"});
     EXPECT_TRUE(checker.check_calls({{"a", "s", false, "done", true}}).broken.empty());
     EXPECT_EQ(checker.check_calls({{"a", "s", false, "not-run", true}}).broken.size(), 1U);
     EXPECT_EQ(checker.check_calls({{"a", "s", false, "done", false}}).broken.size(), 1U);
--- a/unit_tests/support/caller_load.h
+++ b/unit_tests/support/caller_load.h
@@ -53,7 +53,7 @@
                                                  {{header_tenant, "t"}, {"X-Check-Id", call.check_id}});
             if (exchange.progress == exchange_progress::answered) {
                 call.outcome = exchange.response.headers.get(header_outcome);
-                call.is_whole = call.outcome != outcome_done || exchange.response.body == body;
+                call.is_body_intact = call.outcome != outcome_done || exchange.response.body == body;
             } else {
                 call.outcome = exchange.progress == exchange_progress::not_sent ? "not-sent" : "cut";
             }
--- a/unit_tests/tools/log_explainer_test.cpp
+++ b/unit_tests/tools/log_explainer_test.cpp
@@ -1,4 +1,4 @@
-// From an id to its cause, by lines recorded from real runs.
+// Finding the cause of an end by id, with log lines recorded from real runs.
 #include "poplarpitch/tools/log_explainer.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace poplarpitch {
 namespace {
 
-// A job that finished late: its worker fell silent and its lease ran out.
+// A job that finished late because its worker became silent and the lease of its run expired.
 const std::string first_leader = "time=2026-09-04T13:33:11.100Z level=INFO event=job_submitted "
                                  "job=d26bdc0f717215b3 queue=r-yaik8ha config=7 steps=1\n"
                                  "time=2026-09-04T13:33:11.120Z level=INFO event=run_started "
@@ -35,7 +35,7 @@
     EXPECT_NE(story.cause.find("lease_lapsed"), std::string::npos);
 }
 
-TEST(log_explainer, names_that_a_job_was_given_up_for_crashing_its_workers) {
+TEST(log_explainer, names_the_giving_up_of_a_job_that_crashed_its_workers) {
     const auto story = explain_id(
         "00000000000000ad", {"time=1 level=WARN event=run_lost reason=another_life_answers "
                              "job=00000000000000ad run=3 worker=i-7\n"
@@ -62,7 +62,7 @@
     EXPECT_NE(story.cause.find("outcome=unknown"), std::string::npos);
 }
 
-// A leader starts a run and ends; the next one does not know of it and starts another.
+// A leader starts a run and exits. The next leader does not know of that run and starts another.
 const std::string former_leader =
     "time=2026-09-04T10:00:00.000Z level=INFO event=started id=gimje-2 node=7 port=1\n"
     "time=2026-09-04T10:00:01.000Z level=INFO event=run_started job=00000000000000ae occurrence=0 step=0 "
@@ -103,7 +103,7 @@
     EXPECT_NE(history.overlaps[0].find("no line says when that began"), std::string::npos);
 }
 
-TEST(log_explainer, names_a_run_that_was_given_up_while_it_went_on_for_no_overlap_in_the_lines) {
+TEST(log_explainer, names_no_overlap_for_a_run_that_was_given_up_before_the_next_one_began) {
     const auto history = explain_id("d26bdc0f717215b3", {second_leader, first_leader}).history;
     EXPECT_EQ(history.runs.size(), 4U);
     EXPECT_TRUE(history.overlaps.empty());
