--- a/poplarpitch/tools/control_commands.cpp
+++ b/poplarpitch/tools/control_commands.cpp
@@ -37,8 +37,7 @@
         return command_exit::unreachable;
     }
     if (exchange.progress == exchange_progress::maybe_sent) {
-        std::cerr
-            << "poplarctl: no answer; the outcome is not known. Retry with the same id of the request\n";
+        std::cerr << "poplarctl: no answer; it is not known what happened. Retry with the same id\n";
         return command_exit::unknown;
     }
     const auto body = json::parse(exchange.response.body, nullptr, false);
--- a/programs/poplarctl.cpp
+++ b/programs/poplarctl.cpp
@@ -23,7 +23,7 @@
   job resolve ID rerun|done|failed   decide the outcome of a parked or unknown job
   workers | members | status    show the state of the system
   members add|promote|remove|drain|lead NUMBER   change the control instances
-  top                           a live view; with --wait it is printed only once
+  top                           a live view; with --wait one output only
   snapshot save FILE            write a backup of the replicated state
   snapshot inspect FILE         show what a backup contains
   explain ID LOG...             show what the logs record of a job, request or worker, and the line that explains its end
@@ -46,7 +46,7 @@
         "change-id", "id of a configuration change, which makes a retry safe",
         cxxopts::value<std::string>()->default_value(""))("base", "version that the change is based on",
                                                           cxxopts::value<std::string>()->default_value(""))(
-        "author", "name of the author of the change", cxxopts::value<std::string>()->default_value(""))(
+        "author", "author who changes the configuration", cxxopts::value<std::string>()->default_value(""))(
         "tenant", "only this tenant's jobs", cxxopts::value<std::string>()->default_value(""))(
         "state", "only jobs in this state",
         cxxopts::value<std::string>()->default_value(""))("version", "print the version")(
--- a/unit_tests/process/child_process.cpp
+++ b/unit_tests/process/child_process.cpp
@@ -11,19 +11,20 @@
 
 child_process::child_process(const std::vector<std::string>& arguments, std::string log)
     : m_log(std::move(log)) {
-    std::vector<char*> words;
-    words.reserve(arguments.size() + 1);
+    std::vector<char*> argv;
+    argv.reserve(arguments.size() + 1);
     for (const auto& argument : arguments) {
-        words.push_back(const_cast<char*>(argument.c_str()));
+        argv.push_back(const_cast<char*>(argument.c_str()));
     }
-    words.push_back(nullptr);
+    argv.push_back(nullptr);
     const int file = ::open(m_log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     m_pid = ::fork();
     if (m_pid == 0) {
         ::dup2(file, STDOUT_FILENO);
         ::dup2(file, STDERR_FILENO);
-        ::close_range(STDERR_FILENO + 1, ~0U, 0); // the test's own sockets would stay open with the daemon
-        ::execv(words[0], words.data());
+        ::close_range(STDERR_FILENO + 1, ~0U,
+                      0); // otherwise the daemon would keep the test's own sockets open
+        ::execv(argv[0], argv.data());
         ::_exit(127);
     }
     ::close(file);
--- a/unit_tests/process/cluster_control_test.cpp
+++ b/unit_tests/process/cluster_control_test.cpp
@@ -1,4 +1,4 @@
-// Configuration, leaders, lost disks and backups of real daemons.
+// Configuration changes, leader failures, lost disks and backups with real daemons.
 #include "poplarpitch/entry/protocol_names.h"
 #include "unit_tests/support/cluster_fixture.h"
 
@@ -49,7 +49,7 @@
                 const auto id = absl::StrCat("op", number, "-", change);
                 const auto base =
                     m_cluster.send(number + 1, "GET", "/v1/config").response.headers.get("ETag");
-                // Resent with the same id, through another entry, until there is an answer.
+                // Retries with the same id through another entry until there is a final answer.
                 for (int attempt = 0; attempt < 40 && !base.empty(); ++attempt) {
                     const auto exchange = m_cluster.send((number + attempt) % 3 + 1, "PUT", "/v1/config",
                                                          absl::StrCat(config_text, "[tenant ", id, "]\n"),
@@ -90,7 +90,7 @@
     for (auto& thread : operators) {
         thread.join();
     }
-    // The history holds exactly what was accepted, in order and without gaps.
+    // The history contains exactly the accepted changes, in order and without gaps.
     const auto body = nlohmann::json::parse(m_cluster.send(1, "GET", "/v1/config/history").response.body);
     std::uint64_t last = 0;
     for (const auto& version : body["versions"]) {
@@ -114,7 +114,7 @@
     m_cluster.start_control(3);
     EXPECT_EQ(m_cluster.get_control(3).wait(), 1);
     EXPECT_NE(m_cluster.get_control(3).read_log().find("event=lost_disk"), std::string::npos);
-    EXPECT_EQ(submit("j"), 202); // the others go on
+    EXPECT_EQ(submit("j"), 202); // the other instances continue to work
 }
 
 TEST_F(cluster_test, whole_control_restarts_with_everything) {
@@ -123,7 +123,7 @@
     for (int number = 1; number <= 3; ++number) {
         m_cluster.get_control(number).kill();
     }
-    // Without control nothing is served on an old configuration.
+    // Without control, entries do not serve requests on an old configuration.
     EXPECT_TRUE(
         test_cluster::wait_until([&] { return m_cluster.send(1, "GET", "/readyz").response.status == 503; }));
     const auto refused = m_cluster.send(1, "POST", "/v1/call/fast", "x", {{header_tenant, "t"}});
@@ -158,7 +158,7 @@
         m_cluster.start_control(number);
         m_cluster.start_entry(number);
     }
-    // Workers that know higher epochs than the backup take work again.
+    // Workers that know higher epochs than the backup accept work again.
     EXPECT_TRUE(test_cluster::wait_until([&] { return m_cluster.get_job_state(1, "again") == "done"; }));
     EXPECT_EQ(m_cluster.get_job_state(1, "once"), "outcome_unknown");
     EXPECT_EQ(m_cluster.get_status_number(1, "config_version"), 1U);
--- a/unit_tests/process/cluster_job_test.cpp
+++ b/unit_tests/process/cluster_job_test.cpp
@@ -1,4 +1,4 @@
-// Jobs through real daemons, under kills and leaving workers.
+// Jobs through real daemons while processes are killed and workers leave.
 #include "poplarpitch/entry/protocol_names.h"
 #include "unit_tests/support/cluster_fixture.h"
 
@@ -51,7 +51,7 @@
         const auto next = m_cluster.find_leader(2);
         return next != 0 && next != leader;
     }));
-    // All workers are owned by the entries that are left.
+    // The remaining entries own all workers.
     EXPECT_TRUE(test_cluster::wait_until([&] {
         return m_cluster.get_status_number(2, "ready_workers") +
                    m_cluster.get_status_number(3, "ready_workers") ==
@@ -88,7 +88,7 @@
         EXPECT_TRUE(
             test_cluster::wait_until([&] { return m_cluster.get_job_state(1, jobs.back()) == "done"; }));
     }
-    // It may have run to its end before the kill; else nobody knows, and it is not run again.
+    // The job may have finished before the kill. Otherwise its outcome is unknown, and it is not run again.
     EXPECT_TRUE(test_cluster::wait_until([&] {
         const auto state = m_cluster.get_job_state(1, "once");
         return state == "outcome_unknown" || state == "done";
@@ -137,7 +137,7 @@
     const auto cancelled =
         m_cluster.send(2, "POST", "/v1/jobs/cancel", nlohmann::json{{"ids", ids}}.dump()).response;
     EXPECT_EQ(cancelled.status, 200);
-    // Some were done before; each ends.
+    // Some jobs had finished before the cancellation. Every job ends.
     for (int number = 0; number < 100; ++number) {
         EXPECT_TRUE(test_cluster::wait_until([&] {
             const auto state = m_cluster.get_job_state(3, "m" + std::to_string(number));
--- a/unit_tests/process/cluster_request_test.cpp
+++ b/unit_tests/process/cluster_request_test.cpp
@@ -1,4 +1,4 @@
-// Requests through real daemons, under kills, freezes, stops and drains.
+// Requests through real daemons while processes are killed, frozen, stopped and drained.
 #include "poplarpitch/entry/protocol_names.h"
 #include "unit_tests/support/cluster_fixture.h"
 
@@ -73,28 +73,29 @@
             entry, "POST", "/v1/call/slow", "charge",
             {{header_tenant, "t"}, {header_key, "k"}, {header_idempotent, "false"}, {"X-Check-Id", "keyed"}});
     };
-    std::thread first([&] { call(1); }); // runs 400 ms, which its entry does not survive
+    std::thread first([&] { call(1); }); // runs for 400 ms; its entry is killed before the end
     EXPECT_TRUE(test_cluster::wait_until([&] { return m_cluster.get_status_number(2, "keys") == 1; }));
     m_cluster.get_entry(1).kill();
     first.join();
-    // Until control knows that the entry is gone the key is in use; then nobody can say what became of it. An
-    // entry that is short of processor time may refuse in between, which says nothing of the first copy.
-    observed_call seen{"keyed", "slow", false, outcome_unknown, true};
-    const auto ask_again = [&](int entry) {
+    // The key is in use until control knows that the entry is lost; after that the outcome is unknown. An
+    // entry that is short of processor time may refuse a copy in between, which reveals nothing about the
+    // first copy.
+    observed_call expected{"keyed", "slow", false, outcome_unknown, true};
+    const auto repeat_call = [&](int entry) {
         const auto outcome = call(entry).response.headers.get(header_outcome);
         EXPECT_NE(outcome, outcome_done);
         return outcome == outcome_unknown;
     };
     for (int attempt = 0; attempt < 5; ++attempt) {
-        EXPECT_TRUE(test_cluster::wait_until([&] { return ask_again(2 + attempt % 2); }));
+        EXPECT_TRUE(test_cluster::wait_until([&] { return repeat_call(2 + attempt % 2); }));
     }
     EXPECT_TRUE(test_cluster::wait_until([&] {
         return m_cluster.get_status_number(2, "ready_workers") +
                    m_cluster.get_status_number(3, "ready_workers") ==
                4;
     }));
-    EXPECT_TRUE(test_cluster::wait_until([&] { return ask_again(2); }));
-    check_promises({seen});
+    EXPECT_TRUE(test_cluster::wait_until([&] { return repeat_call(2); }));
+    check_promises({expected});
 }
 
 TEST_F(cluster_test, keyed_requests_run_once_at_most_while_the_leader_is_killed) {
@@ -111,7 +112,8 @@
             for (int number = 0; !is_stopped; ++number) {
                 const auto id = absl::StrCat("key", caller, "-", number);
                 observed_call call{id, "pay", false, "", true};
-                // As a caller should: asked again with the same key, through another entry, while unknown.
+                // Retries with the same key through another entry while the outcome is unknown, as callers
+                // should.
                 for (int attempt = 0; attempt < 40 && call.outcome != outcome_done; ++attempt) {
                     const auto exchange =
                         m_cluster.send(1 + (number + attempt) % 3, "POST", "/v1/call/pay", id,
@@ -153,7 +155,7 @@
                4;
     }));
     m_cluster.get_entry(1).send(SIGCONT);
-    // It comes back under a new session and gets a share of the workers again.
+    // It opens a new session and owns a share of the workers again.
     EXPECT_TRUE(
         test_cluster::wait_until([&] { return m_cluster.get_status_number(1, "ready_workers") >= 1; }));
     EXPECT_TRUE(test_cluster::wait_until([&] { return m_cluster.get_job_state(2, "j") == "done"; }));
@@ -165,7 +167,7 @@
     caller_load traffic(m_cluster, {1}, 6);
     EXPECT_TRUE(test_cluster::wait_until([&] { return traffic.count() > 200; }));
     m_cluster.get_entry(1).send(SIGTERM);
-    // The balancer's part: once unready, nobody sends there any more.
+    // Acts as the load balancer, which sends nothing to an entry that is not ready.
     EXPECT_TRUE(
         test_cluster::wait_until([&] { return m_cluster.send(1, "GET", "/readyz").response.status != 200; }));
     const auto calls = traffic.stop();
--- a/unit_tests/process/port_reservation_test.cpp
+++ b/unit_tests/process/port_reservation_test.cpp
@@ -11,7 +11,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Binds a socket as somebody who knows nothing of the reservation would.
+/// Returns true when a process that does not know of the reservation can bind the port.
 bool can_bind(int port) {
     const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in address{};
@@ -23,13 +23,14 @@
     return outcome == 0;
 }
 
-// Found by CI: an entry did not start, as a connection of another test had taken its port in the meantime.
+// Guards against a failure in CI: an entry did not start because a connection of another test had taken its
+// port.
 TEST(port_reservation_test, keeps_the_port_from_others_and_lets_the_daemon_listen) {
-    const port_reservation held;
-    EXPECT_FALSE(can_bind(held.get_port()));
+    const port_reservation reservation;
+    EXPECT_FALSE(can_bind(reservation.get_port()));
     http_server_settings settings;
-    settings.port = held.get_port();
-    for (int start = 0; start < 2; ++start) { // a daemon may start again on its port
+    settings.port = reservation.get_port();
+    for (int start = 0; start < 2; ++start) { // a daemon may restart on its port
         http_server server(settings, [](const http_request&) { return http_response{}; });
         EXPECT_TRUE(server.start());
         http_server second(settings, [](const http_request&) { return http_response{}; });
--- a/unit_tests/process/test_cluster.cpp
+++ b/unit_tests/process/test_cluster.cpp
@@ -31,15 +31,15 @@
 
 } // namespace
 
-test_cluster::test_cluster(int controls, int entries, int workers_each)
-    : m_folder(make_folder()), m_workers_each(workers_each), m_pool(http_client_settings{}) {
+test_cluster::test_cluster(int controls, int entries, int workers_per_process)
+    : m_folder(make_folder()), m_workers_per_process(workers_per_process), m_pool(http_client_settings{}) {
     std::vector<std::string> peers;
     for (int number = 1; number <= controls; ++number) {
         peers.push_back(absl::StrCat(number, "@127.0.0.1:", m_control_ports[number].get_port()));
     }
     m_control_list = absl::StrJoin(peers, ", ");
     for (int number = 1; number <= entries; ++number) {
-        m_entry_ports[number]; // reserved before anybody starts
+        m_entry_ports[number]; // reserves the ports before any daemon starts
     }
     for (int number = 1; number <= controls; ++number) {
         start_control(number);
@@ -56,15 +56,15 @@
     m_entries.clear();
     m_controls.clear();
     if (testing::Test::HasFailure()) {
-        std::cerr << "logs are kept in " << m_folder << "\n";
-        print_log_ends();
+        std::cerr << "the logs are kept in " << m_folder << "\n";
+        print_log_tails();
     } else {
         std::filesystem::remove_all(m_folder);
     }
 }
 
-void test_cluster::print_log_ends() const {
-    constexpr std::size_t shown_lines = 6; // a daemon that could not start says why in its last line
+void test_cluster::print_log_tails() const {
+    constexpr std::size_t shown_lines = 6; // a daemon that could not start logs the reason in its last line
     for (const auto& file : std::filesystem::directory_iterator(m_folder)) {
         if (file.path().extension() != ".log") {
             continue;
@@ -131,7 +131,7 @@
     write_file(
         name + ".ini",
         absl::StrCat(
-            "[stand_in]\nid = w", process, "\ncount = ", m_workers_each,
+            "[stand_in]\nid = w", process, "\ncount = ", m_workers_per_process,
             "\nentries = ", absl::StrJoin(entries, ","), "\nrecord = ", get_record(process),
             "\n[service fast]\ntime = 2ms\n[service pay]\ntime = 5ms\n[service slow]\ntime = 400ms\n"));
     m_workers[process] = std::make_unique<child_process>(
@@ -165,7 +165,7 @@
         if (clock.now() > end) {
             return false;
         }
-        absl::SleepFor(absl::Milliseconds(20)); // between looks; what is waited for is the event itself
+        absl::SleepFor(absl::Milliseconds(20)); // polling interval; no condition depends on its length
     }
     return true;
 }
@@ -204,7 +204,7 @@
         for (const auto& [number, port] : m_entry_ports) {
             ready += get_status_number(number, "ready_workers");
         }
-        return ready == static_cast<std::uint64_t>(m_workers_each) * 2;
+        return ready == static_cast<std::uint64_t>(m_workers_per_process) * 2;
     }));
 }
 
--- a/unit_tests/support/caller_load.h
+++ b/unit_tests/support/caller_load.h
@@ -15,7 +15,7 @@
 
 namespace poplarpitch {
 
-/// Callers that go on sending until told to stop, and remember how each request ended.
+/// Callers that send requests until `stop`, and record how each request ended.
 class caller_load {
 public:
     caller_load(test_cluster& cluster, std::vector<int> entries, int callers)
@@ -25,6 +25,7 @@
         }
     }
 
+    /// Stops the callers and returns all calls.
     std::vector<observed_call> stop() {
         m_is_stopped = true;
         for (auto& thread : m_threads) {
@@ -35,6 +36,7 @@
         return m_calls;
     }
 
+    /// Returns the number of calls that have ended.
     std::size_t count() {
         const absl::MutexLock lock(&m_mutex);
         return m_calls.size();
--- a/unit_tests/support/child_process.h
+++ b/unit_tests/support/child_process.h
@@ -6,7 +6,8 @@
 
 namespace poplarpitch {
 
-/// A daemon under test, started by the test and ended by pid. Its log goes to a file.
+/// A process under test. The constructor starts it, and the destructor kills it by its pid. Its standard
+/// output and error are appended to the file `log`.
 class child_process {
 public:
     child_process(const std::vector<std::string>& arguments, std::string log);
@@ -14,15 +15,17 @@
     child_process(const child_process&) = delete;
     child_process& operator=(const child_process&) = delete;
 
-    /// Sends a signal.
+    /// Sends a signal to the process while it is alive.
     void send(int signal) const;
-    /// Waits for its end and returns the exit code, or the negative signal that ended it.
+    /// Waits until the process ends. Returns its exit code, the negated signal that ended it, or -1 when it
+    /// was not running.
     int wait();
-    /// Sends SIGKILL and waits.
+    /// Sends SIGKILL and waits for the end.
     void kill();
+    /// Returns true until `wait` or `kill` has returned.
     [[nodiscard]] bool is_alive() const { return m_pid > 0; }
     [[nodiscard]] pid_t get_pid() const { return m_pid; }
-    /// Returns its log as far as it was written.
+    /// Returns what the log contains so far.
     [[nodiscard]] std::string read_log() const;
 
 private:
--- a/unit_tests/support/cluster_fixture.h
+++ b/unit_tests/support/cluster_fixture.h
@@ -16,7 +16,8 @@
     "[batch b]\ncores = 4\nmemory = 1GB\nrun_time = 500ms\nidempotent = true\n"
     "[batch once]\ncores = 4\nmemory = 1GB\nrun_time = 3s\nidempotent = false\n";
 
-/// 3 control instances, 3 entries and 4 workers in two processes, and the check of what was promised.
+/// Fixture with 3 control instances, 3 entries and 4 workers in two processes, and a check of the system's
+/// promises to callers.
 class cluster_test : public testing::Test {
 protected:
     void check_promises(const std::vector<observed_call>& calls,
--- a/unit_tests/support/memory_file_system.h
+++ b/unit_tests/support/memory_file_system.h
@@ -11,7 +11,8 @@
 
 namespace poplarpitch {
 
-/// Files in memory that forget what was not synced when the power is cut, and fail any call on demand.
+/// A file system in memory. A simulated power loss discards data that was not synced, and any call can be
+/// made to fail. Thread safety: none.
 class memory_file_system {
 public:
     result<void> lock() { return check(); }
@@ -66,7 +67,7 @@
         BOOST_OUTCOME_TRY(check());
         m_files[to] = m_files[from];
         m_files.erase(from);
-        // The bytes of the file move with it; the name counts once the folder is synced.
+        // The bytes of the file move with it. The new name is durable once the folder is synced.
         m_old_bytes[to] = m_synced_bytes.contains(to) ? m_synced_bytes[to] : std::string{};
         m_synced_bytes[to] = m_synced_bytes[from];
         m_renames[to] = from;
@@ -79,7 +80,8 @@
         return boost::outcome_v2::success();
     }
 
-    /// Cuts the power: what was not synced is lost, all of it or a part of its end.
+    /// Simulates a power loss: data that was not synced is lost, either completely or from a random offset
+    /// on.
     void cut_power(std::mt19937_64& random) {
         std::map<std::string, std::string> after;
         for (const auto& [name, old] : m_synced_names) {
@@ -102,12 +104,14 @@
         m_fail_in = -1;
     }
 
-    /// Makes the call after `calls` more calls fail with `error`, and all after it.
+    /// Lets `calls` more calls succeed and makes all later ones fail with `error`.
     void fail_after(int calls, storage_errc error) {
         m_fail_in = calls;
         m_error = error;
     }
+    /// Makes calls succeed again.
     void heal() { m_fail_in = -1; }
+    /// Returns the number of calls so far.
     [[nodiscard]] int get_calls() const { return m_calls; }
     std::map<std::string, std::string>& get_files() { return m_files; }
 
--- a/unit_tests/support/port_reservation.h
+++ b/unit_tests/support/port_reservation.h
@@ -2,13 +2,13 @@
 
 namespace poplarpitch {
 
-/// A port of loopback that is kept for a daemon that starts later, or starts again. The socket is bound with
-/// SO_REUSEADDR and never listens: a daemon, which sets SO_REUSEADDR too, may listen on the port, while the
-/// kernel gives it to no outgoing connection and to no bind to port 0. A port that is only found and given
-/// back may be taken before the daemon binds it.
+/// Reserves a loopback port for a daemon that starts or restarts later. The socket is bound with SO_REUSEADDR
+/// and never listens. A daemon, which also sets SO_REUSEADDR, can therefore listen on the port, but the
+/// kernel assigns it neither to an outgoing connection nor to a bind to port 0. Without a reservation,
+/// another process could take a free port before the daemon binds it.
 class port_reservation {
 public:
-    /// Takes a free port. A failure shows as port 0 and fails the test. Thread safety: none.
+    /// Reserves a free port. On failure the port is 0 and the test fails. Thread safety: none.
     port_reservation();
     ~port_reservation();
     port_reservation(const port_reservation&) = delete;
@@ -19,7 +19,7 @@
 
 private:
     int m_descriptor = -1; ///< the bound socket
-    int m_port = 0;        ///< in host order
+    int m_port = 0;        ///< in host byte order
 };
 
 } // namespace poplarpitch
--- a/unit_tests/support/raft_harness.h
+++ b/unit_tests/support/raft_harness.h
@@ -11,31 +11,32 @@
 
 namespace poplarpitch {
 
-/// What a run of the harness does.
+/// Settings of a run of the harness.
 struct harness_settings {
     int nodes = 3;  ///< founding voters
-    int spares = 2; ///< further nodes, to be added
+    int spares = 2; ///< further nodes that can be added as members
     int steps = 3000;
-    bool has_membership = true;   ///< members are added, promoted and removed
-    bool has_drift = true;        ///< clocks run up to 5% fast or slow
-    bool sends_all_early = false; ///< breaks on purpose what may be sent before it is on disk
+    bool has_membership = true; ///< members are added, promoted and removed
+    bool has_drift = true;      ///< clocks run up to 5% fast or slow
+    bool sends_all_early =
+        false; ///< deliberate fault: sends all messages before the state they depend on is on disk
     raft_rules rules;
 };
 
-/// A few raft nodes driven by hand from a seed: messages are lost, doubled, delayed and reordered, nodes
-/// crash before and after their disk was written, one by one or all at once, or freeze and wake, links are
-/// cut. It checks Raft's safety properties after every step and notes the first one that is broken. It models
-/// neither disks nor networks beyond that.
+/// Simulates Raft nodes with faults that are drawn from a seed. Messages are lost, duplicated, delayed and
+/// reordered. Nodes crash before or after their disk was written, one by one or all at once, or freeze and
+/// resume. Links are cut. After every step the harness checks Raft's safety properties and records the first
+/// violation. It does not model disks and networks any further. Thread safety: none.
 class raft_harness {
 public:
     raft_harness(const harness_settings& settings, std::uint64_t seed);
 
-    /// Runs all steps. Returns the first broken property, or an empty text.
+    /// Runs all steps. Returns the first violated property, or an empty text.
     std::string run();
-    /// Stops all faults and lets the nodes elect and commit. Returns what did not come about, or an empty
-    /// text.
+    /// Stops all faults and lets the nodes elect a leader and commit. Returns what they failed to do, or an
+    /// empty text.
     std::string settle();
-    /// Returns a hash over everything committed, to compare runs.
+    /// Returns a hash of all committed entries, to compare runs.
     [[nodiscard]] std::uint64_t hash_committed() const;
     [[nodiscard]] std::size_t get_committed_count() const { return m_committed.size(); }
 
@@ -49,11 +50,11 @@
     struct slot {
         std::unique_ptr<raft_node> node; ///< null while crashed
         disk stored;
-        double rate = 1.0;      ///< of its clock
-        bool is_frozen = false; ///< neither runs nor loses what is sent to it
+        double rate = 1.0;      ///< speed of its clock
+        bool is_frozen = false; ///< does not run, and receives messages sent to it later
         log_index applied = 0;
         raft_membership applied_members;
-        std::map<std::uint64_t, log_index> reads; ///< token and what was committed when it was asked
+        std::map<std::uint64_t, log_index> reads; ///< by token, the commit index when the read was requested
     };
 
     void act();
@@ -61,7 +62,7 @@
     void crash(node_id id);
     void carry_out(node_id id);
     void persist(disk& stored, const raft_output& output);
-    /// Sends what may leave a node before its disk was written.
+    /// Sends the messages that a node may send before its disk is written.
     void send_early(const raft_output& output);
     void check_committed(slot& self, const log_entry& entry);
     void check_leaders();
@@ -79,10 +80,10 @@
     std::map<node_id, slot> m_slots;
     std::vector<raft_message> m_messages;
     std::set<std::pair<node_id, node_id>> m_cuts;
-    std::map<log_index, log_entry> m_committed; ///< by any node
-    std::map<log_term, node_id> m_leaders;      ///< of each term
+    std::map<log_index, log_entry> m_committed; ///< entries that any node has committed, by index
+    std::map<log_term, node_id> m_leaders;      ///< leader of each term
     duration m_now{seconds{1000}};
-    log_index m_acknowledged = 0; ///< highest index that some leader reported as committed
+    log_index m_acknowledged = 0; ///< highest index that any leader has reported as committed
     std::uint64_t m_next_command = 1;
     std::string m_violation;
 };
--- a/unit_tests/support/silent_relay.h
+++ b/unit_tests/support/silent_relay.h
@@ -9,21 +9,21 @@
 
 namespace poplarpitch {
 
-/// A TCP relay on loopback whose connections can go silent for good: they stay open and carry nothing any
-/// more, as behind a firewall that has forgotten them. New connections work. Thread safety: any thread, for
-/// all methods.
+/// A TCP relay on loopback that can stop forwarding on its open connections. They stay open but carry no more
+/// data, like connections that a firewall has dropped from its state table. New connections work. Thread
+/// safety: any thread, for all methods.
 class silent_relay {
 public:
-    /// Relays to `target_port` of loopback.
+    /// Relays to the loopback port `target_port`.
     explicit silent_relay(int target_port);
     ~silent_relay();
     silent_relay(const silent_relay&) = delete;
     silent_relay& operator=(const silent_relay&) = delete;
 
     [[nodiscard]] int get_port() const { return m_port; }
-    /// Silences all connections that are open now.
+    /// Stops forwarding on all connections that are open now, permanently.
     void silence();
-    /// Returns how many connections were ever accepted.
+    /// Returns the total number of accepted connections.
     [[nodiscard]] int get_accepted_count() const { return m_accepted; }
 
 private:
@@ -35,7 +35,7 @@
 
     void run();
     void accept_one();
-    /// Carries what can be read from one side to the other; false when that side has ended.
+    /// Forwards the available data from one socket to the other. Returns false when the connection has ended.
     static bool carry(int from, int to);
 
     int m_target_port;
