--- a/performance_test/admission_decisions.cpp
+++ b/performance_test/admission_decisions.cpp
@@ -1,6 +1,6 @@
-// Admission: accepted requests that miss their deadline, and refused ones, around and above full load, with
-// the dispatcher as shipped on 16 fake workers of one service and a manual clock. The same seed prints the
-// same table.
+// Measures admission around and above full load: the share of accepted requests that miss their deadline and
+// the share of refused requests. Runs the production dispatcher on 16 fake workers of one service with a
+// manual clock. Prints the same table on every run.
 #include "performance_test/fake_workers.h"
 #include "poplarpitch/config/configuration_parser.h"
 #include "poplarpitch/core/manual_clock.h"
@@ -14,10 +14,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int workers_count = 16;
+constexpr int worker_count = 16;
 constexpr int slots = 8;
 constexpr double base_ms = 20;
-constexpr duration allowed = milliseconds{200};
+constexpr duration request_timeout = milliseconds{200};
 
 struct admission_outcome {
     double missed = 0;  ///< share of accepted requests that ended after their deadline
@@ -27,15 +27,15 @@
 
 class admission_run {
 public:
-    admission_run(double load, bool has_queue_only, std::uint64_t seed)
-        : m_load(load), m_has_queue_only(has_queue_only), m_random(seed), m_fleet("e"),
+    admission_run(double load, bool waits_until_deadline, std::uint64_t seed)
+        : m_load(load), m_waits_until_deadline(waits_until_deadline), m_random(seed), m_fleet("e"),
           m_dispatcher(m_fleet, 1) {
         const auto text = std::string("[tenant t]\n[service s]\nidempotent = true\nmax_queue = 100000\n");
         const auto settings = std::make_shared<const configuration>(parse_configuration(text).value);
         m_fleet.set_configuration(settings);
         m_dispatcher.set_configuration(settings);
         std::vector<wire::worker> records;
-        for (int number = 0; number < workers_count; ++number) {
+        for (int number = 0; number < worker_count; ++number) {
             wire::worker record;
             record.set_id("w" + std::to_string(number));
             record.set_epoch(1);
@@ -45,18 +45,18 @@
         }
         m_fleet.set_owned(records, m_clock.now());
         for (const auto& record : records) {
-            announcement told;
-            told.id = record.id();
-            told.capacity = {slots, 0, 0, 0};
-            told.epoch = 1;
-            told.is_complete = true;
-            m_fleet.take_announcement(told, m_clock.now());
+            announcement message;
+            message.id = record.id();
+            message.capacity = {slots, 0, 0, 0};
+            message.epoch = 1;
+            message.is_complete = true;
+            m_fleet.take_announcement(message, m_clock.now());
         }
         m_dispatcher.set_entries({});
     }
 
     admission_outcome run() {
-        const double rate = m_load * workers_count * slots / base_ms;
+        const double rate = m_load * worker_count * slots / base_ms;
         for (int number = 0; number < 12'000; ++number) {
             advance(std::exponential_distribution<double>(rate)(m_random));
             arrive(number);
@@ -64,7 +64,7 @@
         admission_outcome result;
         result.missed = static_cast<double>(m_missed) / std::max(m_accepted, 1);
         result.refused = static_cast<double>(m_refused) / std::max(m_accepted + m_refused, 1);
-        result.used = m_busy_ms / (m_now_ms * workers_count * slots);
+        result.used = m_busy_ms / (m_now_ms * worker_count * slots);
         return result;
     }
 
@@ -104,7 +104,7 @@
 
     void give_up() {
         for (auto item = m_waiting.begin(); item != m_waiting.end();) {
-            const auto end = m_has_queue_only ? item->second.ticket.deadline : item->second.give_up;
+            const auto end = m_waits_until_deadline ? item->second.ticket.deadline : item->second.give_up;
             if (m_clock.now() >= end) {
                 m_dispatcher.abandon("s", item->second.ticket);
                 item = m_waiting.erase(item);
@@ -132,7 +132,7 @@
         call.request_id = std::to_string(number);
         call.service = "s";
         call.tenant = "t";
-        call.deadline = m_clock.now() + allowed;
+        call.deadline = m_clock.now() + request_timeout;
         auto decision = m_dispatcher.admit(call, m_clock.now());
         if (auto* grant = std::get_if<request_grant>(&decision)) {
             start(*grant, call.deadline);
@@ -144,7 +144,8 @@
     }
 
     double m_load;
-    bool m_has_queue_only; ///< baseline: waits until the deadline itself
+    bool m_waits_until_deadline; ///< baseline: requests wait until their deadline instead of the earlier
+                                 ///< give-up time
     std::mt19937_64 m_random;
     manual_clock m_clock;
     owned_fleet m_fleet;
@@ -179,7 +180,7 @@
 
 int main() {
     std::printf(
-        "admission decisions: 16 workers of 8 slots, 20 ms middle time, 200 ms allowed, 10 seeds, medians\n");
+        "admission decisions: 16 workers of 8 slots, 20 ms median time, 200 ms allowed, 10 seeds, medians\n");
     for (const double load : {0.7, 0.85, 0.9, 1.0, 1.3, 2.0}) {
         poplarpitch::print_row(load, true);
         poplarpitch::print_row(load, false);
--- a/performance_test/control_slopes.cpp
+++ b/performance_test/control_slopes.cpp
@@ -1,5 +1,5 @@
-// Slopes of the control's memory and messages: replicated state and renewals at growing sizes, for
-// docs/CAPACITY.md.
+// Measures how memory use, snapshot and session renewals of control grow with the size of the replicated
+// state, for docs/CAPACITY.md.
 #include "poplarpitch/control/renew_answerer.h"
 #include "poplarpitch/control/session_registry.h"
 #include "poplarpitch/state/state_machine.h"
@@ -13,7 +13,7 @@
 namespace poplarpitch {
 namespace {
 
-/// Returns the resident bytes of this process.
+/// Returns the resident memory of this process in KB.
 double get_resident_kb() {
     std::ifstream file("/proc/self/statm");
     double pages = 0;
--- a/performance_test/crash_load.cpp
+++ b/performance_test/crash_load.cpp
@@ -1,7 +1,8 @@
-// How much other work is done while some tasks crash their workers: 20 workers of 16 cores at about half of
-// what they hold, four jobs a second for 25 s, one of 24 with such a task. Virtual time; the same seeds give
-// the same figures. Prints one line: jobs that crash nothing and were done when the traffic ended, their
-// share, workers that crashed until 30 s later, and how long done jobs took on average.
+// Measures how much other work completes while some tasks crash their workers: 20 workers of 16 cores at
+// about half of their capacity, four jobs per second for 25 s, one of 24 with a task that crashes its worker.
+// Runs in virtual time and prints the same figures on every run, in one line: the harmless jobs that were
+// submitted, those completed when the load ended, their share, the workers that crashed until 30 s later, and
+// the mean time to completion.
 #include "unit_tests/dispatch/crash_world.h"
 
 #include <cstdint>
@@ -13,38 +14,38 @@
 namespace {
 
 constexpr std::uint64_t seeds = 40;
-constexpr duration traffic_time = seconds{25};
-constexpr duration rest_time = seconds{30};
-constexpr duration arrival_pause = milliseconds{250};
-constexpr duration look_pause = milliseconds{50};
-constexpr std::uint64_t jobs_per_killer = 24;
+constexpr duration load_duration = seconds{25};
+constexpr duration settle_duration = seconds{30};
+constexpr duration arrival_interval = milliseconds{250};
+constexpr duration poll_interval = milliseconds{50};
+constexpr std::uint64_t jobs_per_crashing_job = 24;
 
-/// What one seed or all of them came to.
-struct crash_figures {
+/// Results of one seed, or the sum over all seeds.
+struct crash_totals {
     int sent = 0;
     int done = 0;
-    int crashed = 0;
-    std::int64_t took_ms = 0;
+    int crashed_workers = 0;
+    std::int64_t total_ms = 0;
 };
 
 class crash_load {
 public:
     explicit crash_load(std::uint64_t seed) : m_world(get_settings(), seed), m_random(seed) {}
 
-    crash_figures run() {
-        for (duration passed{0}; passed < traffic_time; passed += arrival_pause) {
+    crash_totals run() {
+        for (duration elapsed{0}; elapsed < load_duration; elapsed += arrival_interval) {
             submit_one();
-            for (duration waited{0}; waited < arrival_pause; waited += look_pause) {
-                m_world.run(look_pause);
-                m_passed += look_pause;
-                look();
+            for (duration waited{0}; waited < arrival_interval; waited += poll_interval) {
+                m_world.run(poll_interval);
+                m_elapsed += poll_interval;
+                collect_completed_jobs();
             }
         }
-        const auto done_in_time = m_figures.done;
-        m_world.run(rest_time);
-        m_figures.done = done_in_time;
-        m_figures.crashed = m_world.get_crashed_workers();
-        return m_figures;
+        const auto done_in_time = m_totals.done;
+        m_world.run(settle_duration);
+        m_totals.done = done_in_time;
+        m_totals.crashed_workers = m_world.get_crashed_workers();
+        return m_totals;
     }
 
 private:
@@ -66,47 +67,47 @@
         const auto length = milliseconds{pick(200, 3000)};
         step.estimate_ms = to_milliseconds(length);
         const auto id = m_world.submit({step}, length);
-        if (pick(1, jobs_per_killer) == 1) {
+        if (pick(1, jobs_per_crashing_job) == 1) {
             m_world.make_killer({{id, 0, 0}, 0});
             return;
         }
-        ++m_figures.sent;
-        m_open[id] = m_passed;
+        ++m_totals.sent;
+        m_open_jobs[id] = m_elapsed;
     }
 
-    /// Takes up which jobs are done by now.
-    void look() {
-        std::erase_if(m_open, [this](const auto& item) {
+    /// Counts the jobs that have completed since the last call, and their time to completion.
+    void collect_completed_jobs() {
+        std::erase_if(m_open_jobs, [this](const auto& item) {
             if (m_world.get_book().find_job(item.first)->phase != job_phase::completed) {
                 return false;
             }
-            ++m_figures.done;
-            m_figures.took_ms += to_milliseconds(m_passed - item.second);
+            ++m_totals.done;
+            m_totals.total_ms += to_milliseconds(m_elapsed - item.second);
             return true;
         });
     }
 
     crash_world m_world;
     std::mt19937_64 m_random;
-    duration m_passed{0};
-    std::map<job_id, duration> m_open; ///< when each was sent
-    crash_figures m_figures;
+    duration m_elapsed{0};
+    std::map<job_id, duration> m_open_jobs; ///< time of submission
+    crash_totals m_totals;
 };
 
 } // namespace
 } // namespace poplarpitch
 
 int main() {
-    poplarpitch::crash_figures sum;
+    poplarpitch::crash_totals sum;
     for (std::uint64_t seed = 1; seed <= poplarpitch::seeds; ++seed) {
-        const auto figures = poplarpitch::crash_load(seed).run();
-        sum.sent += figures.sent;
-        sum.done += figures.done;
-        sum.crashed += figures.crashed;
-        sum.took_ms += figures.took_ms;
+        const auto totals = poplarpitch::crash_load(seed).run();
+        sum.sent += totals.sent;
+        sum.done += totals.done;
+        sum.crashed_workers += totals.crashed_workers;
+        sum.total_ms += totals.total_ms;
     }
     std::printf("sent=%d done=%d share=%.3f crashed_workers=%d mean_ms=%lld\n", sum.sent, sum.done,
-                static_cast<double>(sum.done) / sum.sent, sum.crashed,
-                static_cast<long long>(sum.took_ms / sum.done));
+                static_cast<double>(sum.done) / sum.sent, sum.crashed_workers,
+                static_cast<long long>(sum.total_ms / sum.done));
     return 0;
 }
--- a/performance_test/decision_benchmark.cpp
+++ b/performance_test/decision_benchmark.cpp
@@ -1,4 +1,5 @@
-// Cost of single decisions on filled tables, up to letter 1's size, with its growth.
+// Measures the cost of single decisions on filled tables and how it grows, up to the
+// largest size that the project has to support.
 #include "poplarpitch/config/configuration_parser.h"
 #include "poplarpitch/control/job_scheduler.h"
 #include "poplarpitch/control/leader_duties.h"
@@ -65,7 +66,7 @@
 }
 BENCHMARK(place_task)->Arg(40)->Arg(160)->Arg(320)->Arg(640)->Complexity(benchmark::oN);
 
-/// An entry's fleet with `workers` workers that run `tasks` tasks each.
+/// Returns an entry's fleet of `workers` workers that run `tasks` tasks each.
 owned_fleet make_fleet(int workers, int tasks) {
     owned_fleet fleet("e");
     fleet.set_configuration(std::make_shared<const configuration>(parse_configuration(config_text).value));
@@ -81,12 +82,12 @@
     }
     fleet.set_owned(records, {});
     for (auto& [id, worker] : fleet.get_workers()) {
-        announcement told;
-        told.id = id;
-        told.capacity = {8, 64000, 0, 0};
-        told.epoch = 1;
-        told.is_complete = true;
-        fleet.take_announcement(told, {});
+        announcement message;
+        message.id = id;
+        message.capacity = {8, 64000, 0, 0};
+        message.epoch = 1;
+        message.is_complete = true;
+        fleet.take_announcement(message, {});
         for (int task = 0; task < tasks; ++task) {
             auto& item = worker.tasks["j" + std::to_string(task)];
             item.job = "j" + std::to_string(task);
@@ -136,7 +137,7 @@
 }
 BENCHMARK(queue_request)->Arg(10)->Arg(1000)->Arg(10000);
 
-/// Replicated state with workers, running tasks and queued jobs.
+/// Fills the replicated state with workers, running jobs and queued jobs.
 void fill(state_machine& machine, int workers, int running, int queued) {
     log_index index = 0;
     wire::command command;
--- a/performance_test/dispatch_benchmark.cpp
+++ b/performance_test/dispatch_benchmark.cpp
@@ -1,5 +1,5 @@
-// What a leader's decisions cost: a pass over waiting tasks, and the list of one worker, by the number of
-// workers.
+// Measures the cost of a leader's decisions by the number of workers: a pass over the waiting tasks, and the
+// placement of all tasks of an empty system.
 #include "poplarpitch/dispatch/dispatcher.h"
 #include "poplarpitch/scheduling/job_codec.h"
 #include "poplarpitch/wire/scheduling.pb.h"
@@ -12,32 +12,32 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::uint32_t tasks_each = 20;
-constexpr int serving_each = 4; // tasks on each worker that last
+constexpr std::uint32_t tasks_per_job = 20;
+constexpr int serving_tasks_per_worker = 4; // long-running tasks on each worker
 
-/// A leader with workers that all serve, and jobs of filling tasks that wait.
-class filled_leader {
+/// A leader whose workers all run serving tasks, with waiting jobs of filling tasks.
+class loaded_leader {
 public:
-    /// `unevenness` is how far the sizes of filling tasks lie apart, millicores.
-    filled_leader(int workers, int waiting_tasks, std::int64_t unevenness = 0)
+    /// `unevenness` is the range of the sizes of filling tasks, millicores.
+    loaded_leader(int workers, int waiting_tasks, std::int64_t unevenness = 0)
         : m_unevenness(unevenness), m_dispatch({}, m_book) {
         m_dispatch.lead(1, m_now, m_wall_ms);
         for (int number = 0; number < workers; ++number) {
             add_worker(number);
         }
-        const int serving_jobs = workers * serving_each / static_cast<int>(tasks_each);
+        const int serving_jobs = workers * serving_tasks_per_worker / static_cast<int>(tasks_per_job);
         for (int number = 0; number < serving_jobs; ++number) {
             submit(number + 1, true);
         }
         settle();
         m_now += seconds{3};
         settle();
-        for (int number = 0; number < waiting_tasks / static_cast<int>(tasks_each); ++number) {
+        for (int number = 0; number < waiting_tasks / static_cast<int>(tasks_per_job); ++number) {
             submit(1'000'000 + number, false);
         }
     }
 
-    /// Lets one pass over the waiting tasks run, and forgets what it decided.
+    /// Runs one pass over the waiting tasks and discards its decisions.
     void pass() {
         m_now += milliseconds{100};
         m_dispatch.tick(m_now, m_wall_ms);
@@ -76,10 +76,11 @@
         job.queue.priority = is_serving ? 0 : 2;
         job.queue.stretch = 2;
         step_spec step;
-        step.count = tasks_each;
-        const auto uneven =
-            m_unevenness == 0 ? 0 : (std::int64_t{id} * 7'919) % m_unevenness; // a prime: all sizes come
-        step.millicores = is_serving ? 13'000 : 7'000 + uneven - m_unevenness / 2;
+        step.count = tasks_per_job;
+        const auto deviation =
+            m_unevenness == 0 ? 0
+                              : (std::int64_t{id} * 7'919) % m_unevenness; // a prime, so that all sizes occur
+        step.millicores = is_serving ? 13'000 : 7'000 + deviation - m_unevenness / 2;
         step.memory_mb = is_serving ? 26'000 : 13'000;
         step.long_running = is_serving;
         step.target_ms = is_serving ? 50 : 0;
@@ -107,18 +108,18 @@
     dispatcher m_dispatch;
 };
 
-/// One pass over 10,000 waiting tasks, most of which find no room any more.
+/// Measures a pass over 10,000 waiting tasks when most of them do not fit any more.
 void run_pass(benchmark::State& state) {
-    filled_leader leader(static_cast<int>(state.range(0)), 10'000);
+    loaded_leader leader(static_cast<int>(state.range(0)), 10'000);
     leader.settle(); // places what fits
     for (auto _ : state) {
         leader.pass();
     }
 }
-/// The same where hardly two jobs ask for the same amount, as callers do.
+/// Measures the same pass when almost all jobs request different amounts, as those of real callers do.
 void run_uneven_pass(benchmark::State& state) {
     constexpr std::int64_t unevenness = 6'000; // millicores
-    filled_leader leader(static_cast<int>(state.range(0)), 10'000, unevenness);
+    loaded_leader leader(static_cast<int>(state.range(0)), 10'000, unevenness);
     leader.settle();
     for (auto _ : state) {
         leader.pass();
@@ -127,11 +128,11 @@
 BENCHMARK(run_uneven_pass)->Arg(66)->Arg(490)->Arg(640)->Unit(benchmark::kMicrosecond);
 BENCHMARK(run_pass)->Arg(66)->Arg(490)->Arg(640)->Unit(benchmark::kMicrosecond);
 
-/// Submission to placement of 10,000 tasks, from an empty queue.
+/// Measures the placement of 10,000 tasks in the first pass after their submission.
 void place_all(benchmark::State& state) {
     for (auto _ : state) {
         state.PauseTiming();
-        auto leader = std::make_unique<filled_leader>(static_cast<int>(state.range(0)), 10'000);
+        auto leader = std::make_unique<loaded_leader>(static_cast<int>(state.range(0)), 10'000);
         state.ResumeTiming();
         leader->pass();
         state.PauseTiming();
--- a/performance_test/fake_workers.h
+++ b/performance_test/fake_workers.h
@@ -19,27 +19,28 @@
 /// A batch task on a fake worker.
 struct fake_task {
     std::uint32_t batch = 0;
-    double cores = 1;    ///< that it really takes
-    double left_s = 1;   ///< work that is left, in seconds on a new worker
-    double saved_s = 0;  ///< work since the last checkpoint
-    double reserved = 0; ///< cores set aside for it; 0 for what it takes
+    double cores = 1;       ///< real processor demand
+    double remaining_s = 1; ///< remaining work, in seconds on a worker of the new generation
+    double unsaved_s = 0;   ///< work since the last checkpoint
+    double reserved = 0;    ///< reserved cores; 0 reserves the real demand
 
     [[nodiscard]] double get_reserved() const { return reserved > 0 ? reserved : cores; }
 };
 
-/// One fake worker at the policies' interface: slots, a speed, and a hidden matrix of how much each batch
-/// class slows each service. Nothing of our network or daemons is modelled.
+/// A fake worker with what the policies see of a worker: slots, a speed and its tasks. A matrix hidden from
+/// the policies determines how much each batch class slows each service. Network and daemons are not
+/// modelled.
 struct fake_worker {
     int slots = 8;
     int busy = 0;
-    double speed = 1; ///< time over a new worker's
+    double speed = 1; ///< time for a piece of work relative to a worker of the new generation
     double cores = 64;
     std::vector<fake_task> tasks;
 
-    /// Returns the true factor on a request of `service`: hidden from the policies. The growth rises with the
-    /// load, so a pairing that is harmless at night hurts at noon.
-    [[nodiscard]] double get_factor(const std::vector<std::vector<double>>& matrix,
-                                    std::uint32_t service) const {
+    /// Returns the real slowdown factor of a request to `service`, which the policies cannot see. The effect
+    /// of tasks grows with the load, so a combination that is harmless at low load is harmful at high load.
+    [[nodiscard]] double get_slowdown(const std::vector<std::vector<double>>& matrix,
+                                      std::uint32_t service) const {
         double growth = 0;
         for (const auto& task : tasks) {
             growth += matrix[service][task.batch] * task.cores / cores;
@@ -48,7 +49,7 @@
         return speed * (1 + growth * (0.5 + load)) * (1 + 0.3 * load);
     }
 
-    /// Returns what the entry knows of its tasks.
+    /// Returns the tasks as the entry knows them.
     [[nodiscard]] std::vector<co_runner> get_runners() const {
         std::vector<co_runner> runners;
         for (const auto& task : tasks) {
@@ -58,11 +59,11 @@
     }
 };
 
-/// Sorted copies' quantile. Precondition: `values` is not empty.
+/// Returns the quantile `q` of `values`. Precondition: `values` is not empty.
 inline double get_quantile(std::vector<double> values, double q) {
-    const auto place = static_cast<std::ptrdiff_t>(q * static_cast<double>(values.size() - 1));
-    std::nth_element(values.begin(), values.begin() + place, values.end());
-    return values[static_cast<std::size_t>(place)];
+    const auto index = static_cast<std::ptrdiff_t>(q * static_cast<double>(values.size() - 1));
+    std::nth_element(values.begin(), values.begin() + index, values.end());
+    return values[static_cast<std::size_t>(index)];
 }
 
 } // namespace poplarpitch
--- a/performance_test/load_plan.h
+++ b/performance_test/load_plan.h
@@ -6,32 +6,32 @@
 
 namespace poplarpitch {
 
-/// A service to call: `name:share:idempotent`.
+/// A service to call, on the command line `name:share:idempotent`.
 struct load_service {
     std::string name;
     double share = 1;
     bool is_idempotent = false;
 };
 
-/// What one run of the tool does.
+/// Settings of one run of the load tool.
 struct load_plan {
     std::vector<std::string> entries;
     std::vector<std::string> tenants;
     std::vector<load_service> services;
-    std::vector<std::string> batches; ///< job classes, submitted in turn
+    std::vector<std::string> batches; ///< job classes; jobs are assigned to them in turn
     std::string path_prefix = "/v1/call/";
     int callers = 8;
-    /// Requests a second over all callers, one rate after the other in equal parts of the time; none sends as
-    /// fast as answers come.
+    /// Requests per second over all callers. Each rate applies for an equal part of the run. Without rates,
+    /// each caller sends its next request as soon as it has an answer.
     std::vector<double> rates;
     double seconds = 5;
     int jobs = 0;
-    int job_waves = 0;       ///< jobs come in so many bursts; 0 spreads them evenly
-    double cancel_share = 0; ///< share of each burst that is cancelled a moment later, in one wave
+    int job_waves = 0;       ///< number of bursts in which the jobs are submitted; 0 spreads them evenly
+    double cancel_share = 0; ///< share of each burst that is cancelled shortly afterwards by one request
     std::string payload;     ///< of each job
-    int resends = 0;         ///< a caller that is told not-run sends again at once, so many times
+    int resends = 0;         ///< number of immediate retries after the outcome not-run
     std::size_t body = 512;  ///< bytes
-    bool is_checked = false; ///< remember every call for the promise check
+    bool is_checked = false; ///< records every call for the check of promises
     std::string run_id;
 };
 
--- a/performance_test/load_result.h
+++ b/performance_test/load_result.h
@@ -11,9 +11,9 @@
 
 /// Latencies and outcomes of one service.
 struct load_result {
-    std::vector<double> latency_us; ///< of answers that were done
+    std::vector<double> latency_us; ///< of requests with the outcome done
     std::map<std::string, std::int64_t> outcomes;
-    std::map<std::string, std::int64_t> reasons; ///< of answers that were not done, by the error's code
+    std::map<std::string, std::int64_t> reasons; ///< number of requests with another outcome, by error code
     std::int64_t sent = 0;
 
     void merge(const load_result& other) {
--- a/performance_test/load_runner.cpp
+++ b/performance_test/load_runner.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr const char* entry_prefix = "/v1/call/";
-constexpr double submit_share = 0.8; // of the run's time, so that the last jobs have some of it left
-constexpr duration answer_wait = seconds{20};
-constexpr duration cancel_after = milliseconds{700};
+constexpr double submit_share = 0.8; // of the run's duration, so that the last jobs also run under load
+constexpr duration answer_timeout = seconds{20};
+constexpr duration cancel_delay = milliseconds{700};
 
 http_client_settings make_settings() {
     http_client_settings settings;
@@ -25,12 +25,12 @@
     return settings;
 }
 
-bool is_ended_state(const std::string& state) {
+bool is_terminal_state(const std::string& state) {
     return !state.empty() && state != "queued" && state != "assigned" && state != "running";
 }
 
-/// Returns the code of an error answer.
-std::string read_reason(const http_response& response) {
+/// Returns the error code of an answer, or its HTTP status when it contains no code.
+std::string parse_error_code(const http_response& response) {
     const auto body = nlohmann::json::parse(response.body, nullptr, false);
     const bool has_code = body.is_object() && body.contains("error") && body["error"].is_object();
     return has_code ? body["error"].value("code", "") : absl::StrCat("status_", response.status);
@@ -69,8 +69,8 @@
     const auto end = m_clock.now() + limit;
     for (auto& [id, job] : m_jobs) {
         while (m_clock.now() < end) {
-            job = nlohmann::json::parse(ask("GET", "/v1/jobs/" + id, ""), nullptr, false);
-            if (job.is_object() && is_ended_state(job.value("state", ""))) {
+            job = nlohmann::json::parse(send_to_any_entry("GET", "/v1/jobs/" + id, ""), nullptr, false);
+            if (job.is_object() && is_terminal_state(job.value("state", ""))) {
                 break;
             }
             sleep_for(milliseconds{100});
@@ -115,9 +115,9 @@
     if (m_plan.rates.empty()) {
         return duration{0};
     }
-    const double passed = to_seconds(now - m_begin) / m_plan.seconds;
+    const double elapsed = to_seconds(now - m_begin) / m_plan.seconds;
     const auto steps = m_plan.rates.size();
-    const auto step = std::min(static_cast<std::size_t>(passed * static_cast<double>(steps)), steps - 1);
+    const auto step = std::min(static_cast<std::size_t>(elapsed * static_cast<double>(steps)), steps - 1);
     return from_seconds(m_plan.callers / m_plan.rates[step]);
 }
 
@@ -126,11 +126,12 @@
     const std::string body(m_plan.body, 'x');
     std::map<std::string, load_result> results;
     std::vector<observed_call> calls;
-    std::exponential_distribution<double> gap(1.0);
-    const auto draw_gap = [&](time_point now) {
-        return duration{static_cast<std::int64_t>(static_cast<double>(get_pause(now).count()) * gap(random))};
+    std::exponential_distribution<double> interval(1.0);
+    const auto draw_interval = [&](time_point now) {
+        return duration{
+            static_cast<std::int64_t>(static_cast<double>(get_pause(now).count()) * interval(random))};
     };
-    auto due = m_clock.now() + draw_gap(m_begin);
+    auto due = m_clock.now() + draw_interval(m_begin);
     for (std::int64_t number = 0; m_clock.now() < m_end; ++number) {
         const bool is_paced = !m_plan.rates.empty();
         if (is_paced) {
@@ -141,7 +142,8 @@
         call.check_id = absl::StrCat(m_plan.run_id, "-", caller, "-", number);
         call.service = service.name;
         call.is_idempotent = service.is_idempotent;
-        // With a rate, time counts from when the request was due: a late start is the system's delay too.
+        // With a rate, latency counts from when the request was due, because a late start is also a delay of
+        // the system.
         const auto begin = is_paced ? due : m_clock.now();
         const auto reason = send(call, body, random);
         auto& result = results[service.name];
@@ -156,7 +158,7 @@
         if (m_plan.is_checked) {
             calls.push_back(std::move(call));
         }
-        due += draw_gap(due);
+        due += draw_interval(due);
     }
     const absl::MutexLock lock(&m_mutex);
     for (const auto& [name, result] : results) {
@@ -170,11 +172,11 @@
     for (const auto& service : m_plan.services) {
         total += service.share;
     }
-    std::uniform_real_distribution<double> any(0, total);
-    double left = any(random);
+    std::uniform_real_distribution<double> draw(0, total);
+    double remaining = draw(random);
     for (const auto& service : m_plan.services) {
-        left -= service.share;
-        if (left <= 0) {
+        remaining -= service.share;
+        if (remaining <= 0) {
             return service;
         }
     }
@@ -183,7 +185,7 @@
 
 std::string load_runner::send(observed_call& call, const std::string& body, std::mt19937_64& random) {
     auto reason = send_once(call, body, random);
-    for (int again = 0; again < m_plan.resends && call.outcome == outcome_not_run; ++again) {
+    for (int resend = 0; resend < m_plan.resends && call.outcome == outcome_not_run; ++resend) {
         reason = send_once(call, body, random);
     }
     return reason;
@@ -198,18 +200,18 @@
     request.headers.add("X-Check-Id", call.check_id);
     request.headers.add(header_idempotent, call.is_idempotent ? "true" : "false");
     if (m_plan.path_prefix != entry_prefix) {
-        // Straight to a target, as an entry would speak to it.
+        // Sends directly to a target, as an entry would.
         request.headers.add(header_request_id, call.check_id);
         request.headers.add(header_epoch, "999999999");
     } else if (!m_plan.tenants.empty()) {
         request.headers.add(header_tenant, m_plan.tenants[random() % m_plan.tenants.size()]);
     }
-    // A balancer would go on to the next entry when one cannot be reached.
+    // Tries the next entry when one cannot be reached, as a load balancer would.
     auto place = random() % m_plan.entries.size();
     http_exchange exchange;
     for (std::size_t attempt = 0; attempt < m_plan.entries.size(); ++attempt, ++place) {
         exchange = m_pool.send(m_plan.entries[place % m_plan.entries.size()], request,
-                               m_clock.now() + answer_wait, connection_choice::pooled);
+                               m_clock.now() + answer_timeout, connection_choice::pooled);
         const bool is_stopping = exchange.progress == exchange_progress::answered &&
                                  exchange.response.status == 503 && m_plan.entries.size() > 1 &&
                                  exchange.response.body.find("no_control") != std::string::npos;
@@ -222,14 +224,14 @@
         if (call.outcome.empty()) {
             call.outcome = exchange.response.status == 200 ? outcome_done : outcome_not_run;
         }
-        // A target echoes; its error answers are whole too, but their bodies are its own.
+        // A target returns the body of the request, except in error answers, which cannot be compared.
         const bool is_echo = call.outcome == outcome_done && exchange.response.status == 200;
         call.is_body_intact = !is_echo || exchange.response.body == body;
     } else {
         call.outcome = exchange.progress == exchange_progress::not_sent ? outcome_not_run : "cut";
         return call.outcome == outcome_not_run ? "not_sent" : "cut";
     }
-    return call.outcome == outcome_done ? "" : read_reason(exchange.response);
+    return call.outcome == outcome_done ? "" : parse_error_code(exchange.response);
 }
 
 // ---- jobs
@@ -251,36 +253,36 @@
         return;
     }
     const int count = m_plan.jobs / m_plan.job_waves;
-    const auto gap = from_seconds(submit_share * m_plan.seconds / m_plan.job_waves);
+    const auto interval = from_seconds(submit_share * m_plan.seconds / m_plan.job_waves);
     for (int wave = 0; wave < m_plan.job_waves; ++wave) {
         const auto begin = m_clock.now();
         submit_wave(wave * count, count);
         if (m_plan.cancel_share > 0) {
-            sleep_for(cancel_after);
+            sleep_for(cancel_delay);
             cancel_some(wave * count, count);
         }
-        sleep_for(begin + gap - m_clock.now());
+        sleep_for(begin + interval - m_clock.now());
     }
 }
 
 void load_runner::submit_evenly() {
     for (int number = 0; number < m_plan.jobs; ++number) {
         const auto job = make_job(number);
-        const auto body = ask("POST", "/v1/jobs", job.dump());
+        const auto body = send_to_any_entry("POST", "/v1/jobs", job.dump());
         m_jobs[job["id"]] = nlohmann::json::parse(body, nullptr, false);
         sleep_for(from_seconds(submit_share * m_plan.seconds / m_plan.jobs));
     }
 }
 
 void load_runner::submit_wave(int first, int count) {
-    constexpr int most_in_a_call = 256;
+    constexpr int max_jobs_per_call = 256;
     for (int number = first; number < first + count;) {
         nlohmann::json jobs = nlohmann::json::array();
-        for (; number < first + count && jobs.size() < most_in_a_call; ++number) {
+        for (; number < first + count && jobs.size() < max_jobs_per_call; ++number) {
             jobs.push_back(make_job(number));
             m_jobs[jobs.back()["id"]] = nlohmann::json();
         }
-        ask("POST", "/v1/jobs/submit", nlohmann::json{{"jobs", jobs}}.dump());
+        send_to_any_entry("POST", "/v1/jobs/submit", nlohmann::json{{"jobs", jobs}}.dump());
     }
 }
 
@@ -291,17 +293,18 @@
         ids.push_back(make_job(number)["id"]);
     }
     if (!ids.empty()) {
-        ask("POST", "/v1/jobs/cancel", nlohmann::json{{"ids", ids}}.dump());
+        send_to_any_entry("POST", "/v1/jobs/cancel", nlohmann::json{{"ids", ids}}.dump());
     }
 }
 
-std::string load_runner::ask(const std::string& method, const std::string& target, const std::string& body) {
-    constexpr int tries = 20;
+std::string load_runner::send_to_any_entry(const std::string& method, const std::string& target,
+                                           const std::string& body) {
+    constexpr int max_attempts = 20;
     http_request request;
     request.method = method;
     request.target = target;
     request.body = body;
-    for (int attempt = 0; attempt < tries; ++attempt) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         for (const auto& entry : m_plan.entries) {
             const auto exchange =
                 m_pool.send(entry, request, m_clock.now() + seconds{5}, connection_choice::fresh);
--- a/performance_test/load_runner.h
+++ b/performance_test/load_runner.h
@@ -17,26 +17,27 @@
 
 namespace poplarpitch {
 
-/// Sends load and gathers what came of it. Thread safety: none; it starts threads of its own.
+/// Generates load and collects the results. Starts its own threads. Thread safety: none.
 class load_runner {
 public:
     explicit load_runner(load_plan plan);
 
-    /// Sends requests and jobs as planned; returns when the time is over.
+    /// Sends requests and jobs according to the plan. Returns when its time is over.
     void run();
-    /// Waits until every submitted job has ended, at most `limit`.
+    /// Waits until every submitted job has ended, but at most for `limit`.
     void wait_for_jobs(duration limit);
-    /// Prints the tables and checks the workers' records; returns the exit code: 1 for a broken promise.
-    /// `killed` names workers that were killed on purpose.
+    /// Prints the results and checks the workers' records, if there are any. Returns the exit code: 0 for
+    /// success, 1 for a broken promise, 2 for a record that cannot be read. `killed` names workers that were
+    /// killed on purpose.
     int report(const std::vector<std::string>& records, const std::set<std::string>& killed);
 
 private:
     void call_until_end(int caller);
-    /// Returns the pause between two calls of one caller at this time; 0 for none.
+    /// Returns the mean interval between two calls of one caller at time `now`; 0 for no pacing.
     [[nodiscard]] duration get_pause(time_point now) const;
     [[nodiscard]] const load_service& pick_service(std::mt19937_64& random) const;
-    /// Sends one request, and again as a hasty caller does while it is told not-run. Returns why it was not
-    /// done.
+    /// Sends one request and retries at once while the outcome is not-run, as an impatient caller does.
+    /// Returns the error code, or an empty text when the request was done.
     std::string send(observed_call& call, const std::string& body, std::mt19937_64& random);
     std::string send_once(observed_call& call, const std::string& body, std::mt19937_64& random);
     void submit_jobs();
@@ -44,8 +45,10 @@
     void submit_wave(int first, int count);
     void cancel_some(int first, int count);
     [[nodiscard]] nlohmann::json make_job(int number) const;
-    /// Asks entries in turn until one answers.
-    std::string ask(const std::string& method, const std::string& target, const std::string& body);
+    /// Sends a request to the entries in turn until one answers, with a limited number of attempts. Returns
+    /// the body of the answer, or an empty text.
+    std::string send_to_any_entry(const std::string& method, const std::string& target,
+                                  const std::string& body);
     void print_services();
     void print_batches();
 
@@ -57,7 +60,8 @@
     absl::Mutex m_mutex;
     std::map<std::string, load_result> m_results ABSL_GUARDED_BY(m_mutex);
     std::vector<observed_call> m_calls ABSL_GUARDED_BY(m_mutex);
-    std::map<std::string, nlohmann::json> m_jobs; ///< of the submitting thread, then of the reporting one
+    std::map<std::string, nlohmann::json>
+        m_jobs; ///< used by the submitting thread first, then by the reporting one
 };
 
 } // namespace poplarpitch
--- a/performance_test/load_test.cpp
+++ b/performance_test/load_test.cpp
@@ -1,5 +1,5 @@
-// Load tool: sends requests and jobs to entries (or to anything that speaks HTTP), prints a table, and checks
-// the workers' records against what was promised.
+// Load tool: sends requests and jobs to entries (or to any other HTTP server), prints a table, and checks the
+// workers' records against the promises to callers.
 #include "performance_test/load_runner.h"
 #include "poplarpitch/core/process_settings.h"
 
@@ -45,21 +45,22 @@
 }
 
 cxxopts::Options make_options() {
-    cxxopts::Options options("load_test", "Sends load to entries and checks what was promised.");
+    cxxopts::Options options("load_test", "Sends load to entries and checks the promises to callers.");
     const auto text = [](const char* value) {
         return cxxopts::value<std::string>()->default_value(value);
     };
     options.add_options()("entries", "host:port, comma-separated", text("127.0.0.1:8080"))(
         "services", "name:share[:idempotent], comma-separated", text("fast:1:idempotent"))(
         "tenants", "comma-separated", text(""))("batches", "job classes, comma-separated", text(""))(
-        "jobs", "jobs to submit", text("0"))("job-waves", "bursts they come in; 0 evenly", text("0"))(
-        "cancel-share", "share of each burst to cancel",
-        text("0"))("payload", "of each job", text(""))("callers", "threads", text("8"))(
-        "rate", "requests a second, one or several after another; 0 unbounded",
-        text("0"))("resends", "at once, when told not-run", text("0"))("seconds", "", text("5"))(
+        "jobs", "jobs to submit", text("0"))("job-waves", "number of bursts; 0 spreads the jobs evenly",
+                                             text("0"))("cancel-share", "share of each burst to cancel",
+                                                        text("0"))("payload", "of each job",
+                                                                   text(""))("callers", "threads", text("8"))(
+        "rate", "requests per second, comma-separated for several in turn; 0 unbounded", text("0"))(
+        "resends", "number of immediate retries after not-run", text("0"))("seconds", "", text("5"))(
         "body", "bytes", text("512"))("prefix", "path before the service", text("/v1/call/"))(
         "records", "workers' record files, comma-separated",
-        text(""))("killed", "ids of workers that are killed, comma-separated",
+        text(""))("killed", "ids of workers that were killed on purpose, comma-separated",
                   text(""))("run", "id of this run", text("run"))("job-wait", "seconds to wait for jobs",
                                                                   text("60"))("help", "print this help");
     return options;
--- a/performance_test/log_benchmark.cpp
+++ b/performance_test/log_benchmark.cpp
@@ -1,6 +1,6 @@
-// The replicated log over real files and sockets-free links: commits a second with sync, log bytes a change,
-// recovery. Nodes are joined in one process, message by message, so that only log, codec and disk are
-// measured.
+// Measures the replicated log on real files without sockets: synced commits per second, log bytes per entry
+// and recovery time. The nodes run in one process and exchange messages directly, so that only log, codec and
+// disk are measured.
 #include "poplarpitch/consensus/raft_node.h"
 #include "poplarpitch/core/system_clock.h"
 #include "poplarpitch/state/state_machine.h"
@@ -19,7 +19,7 @@
 namespace poplarpitch {
 namespace {
 
-/// One voter with its files.
+/// A voter and its files.
 struct voter {
     explicit voter(const std::string& folder, node_id id) : files(folder), storage(files, {"bench", id}) {}
     posix_file_system files;
@@ -28,7 +28,7 @@
     std::size_t committed = 0;
 };
 
-/// Voters on real files whose messages are handed over at once.
+/// Voters on real files. Their messages are delivered immediately.
 class bench_cluster {
 public:
     bench_cluster(const std::string& folder, int voters) {
@@ -38,26 +38,26 @@
         }
         for (int id = 1; id <= voters; ++id) {
             const auto number = static_cast<node_id>(id);
-            auto self = std::make_unique<voter>(folder + "/" + std::to_string(id), number);
-            static_cast<void>(self->storage.open());
-            static_cast<void>(self->storage.form(members));
+            auto voter_state = std::make_unique<voter>(folder + "/" + std::to_string(id), number);
+            static_cast<void>(voter_state->storage.open());
+            static_cast<void>(voter_state->storage.form(members));
             raft_start start;
             start.id = number;
             start.initial = members;
             start.seed = 5;
-            self->node = std::make_unique<raft_node>(raft_settings{}, start, m_now);
-            m_voters[number] = std::move(self);
+            voter_state->node = std::make_unique<raft_node>(raft_settings{}, start, m_now);
+            m_voters[number] = std::move(voter_state);
         }
         while (get_leader() == nullptr || !get_leader()->node->has_own_commit()) {
             m_now += milliseconds{20};
-            for (auto& [id, self] : m_voters) {
-                self->node->tick(m_now);
+            for (auto& [id, voter_state] : m_voters) {
+                voter_state->node->tick(m_now);
             }
             exchange();
         }
     }
 
-    /// Commits `batch` commands together.
+    /// Proposes `batch` commands together and runs the voters until they are committed.
     void commit(int batch, const std::string& payload) {
         auto& leader = *get_leader();
         for (int number = 0; number < batch; ++number) {
@@ -71,9 +71,9 @@
     }
 
     voter* get_leader() {
-        for (auto& [id, self] : m_voters) {
-            if (self->node->get_role() == raft_role::leader) {
-                return self.get();
+        for (auto& [id, voter_state] : m_voters) {
+            if (voter_state->node->get_role() == raft_role::leader) {
+                return voter_state.get();
             }
         }
         return nullptr;
@@ -82,12 +82,12 @@
 private:
     void exchange() {
         std::vector<raft_message> messages;
-        for (auto& [id, self] : m_voters) {
-            auto output = self->node->take_output();
+        for (auto& [id, voter_state] : m_voters) {
+            auto output = voter_state->node->take_output();
             if (output.needs_sync()) {
-                static_cast<void>(self->storage.save(output));
+                static_cast<void>(voter_state->storage.save(output));
             }
-            self->committed += output.committed.size();
+            voter_state->committed += output.committed.size();
             std::move(output.messages.begin(), output.messages.end(), std::back_inserter(messages));
         }
         for (const auto& message : messages) {
--- a/performance_test/placement_decisions.cpp
+++ b/performance_test/placement_decisions.cpp
@@ -1,6 +1,6 @@
-// Placement and relief: the shipped placer, ladder and eviction choice against first fit, least loaded and no
-// eviction, on 16 fake workers. Requests are represented by the slowdown they would see. The same seed prints
-// the same table.
+// Compares the production placer, relief ladder and choice of evictions with first fit and least loaded, with
+// and without eviction, on 16 fake workers. Requests are represented by the slowdown that they would see.
+// Prints the same table on every run.
 #include "performance_test/fake_workers.h"
 #include "poplarpitch/policy/baseline_placers.h"
 #include "poplarpitch/policy/cost_placer.h"
@@ -17,24 +17,25 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int workers_count = 16;
-constexpr int ticks = 6000; // of 100 ms: ten minutes
+constexpr int worker_count = 16;
+constexpr int ticks = 6000; // 100 ms each: ten minutes
 constexpr double tick_s = 0.1;
-constexpr int usage_lag_ticks = 50; // workers report what a task took five seconds after its end
+constexpr int usage_delay_ticks =
+    50; // workers report the resource usage of a task five seconds after its end
 
-/// How one policy places and relieves.
-struct policy_shape {
+/// Settings of a policy for placement and relief.
+struct policy_settings {
     std::string name;
-    bool is_own = false;       ///< cost placer with learned interference
-    bool is_first_fit = false; ///< else least loaded
-    double evict_above = 0;    ///< baseline eviction at this slowdown, 0 for none
+    bool is_production = false; ///< the production policy: cost placer with learned interference
+    bool is_first_fit = false;  ///< first fit if true, least loaded if false; unused by the production policy
+    double evict_above = 0;     ///< a baseline evicts above this slowdown; 0 for never
     objective_settings objective;
 };
 
 struct scenario {
     std::string name;
-    bool is_waving = false;     ///< jobs come in waves
-    double declared_factor = 1; ///< declared size over the real one
+    bool has_job_waves = false; ///< jobs arrive in waves
+    double declared_factor = 1; ///< declared size of a task relative to its real size
 };
 
 struct outcome {
@@ -43,7 +44,7 @@
     double evictions = 0;
 };
 
-/// A worker's report of what a task took, under way.
+/// A worker's report of a task's resource usage that has not arrived yet.
 struct usage_report {
     int due_tick = 0;
     std::uint32_t batch = 0;
@@ -51,15 +52,15 @@
 
 class placement_run {
 public:
-    placement_run(const policy_shape& policy, const scenario& shape, std::uint64_t seed)
-        : m_policy(policy), m_shape(shape), m_random(seed), m_placer(policy.objective),
-          m_workers(workers_count),
-          m_ladders(workers_count, relief_ladder(make_relief_settings(policy.objective))),
-          m_seen(workers_count, 1.0) {
-        for (int index = 0; index < workers_count; ++index) {
+    placement_run(const policy_settings& policy, const scenario& shape, std::uint64_t seed)
+        : m_policy(policy), m_scenario(shape), m_random(seed), m_placer(policy.objective),
+          m_workers(worker_count),
+          m_ladders(worker_count, relief_ladder(make_relief_settings(policy.objective))),
+          m_observed_slowdowns(worker_count, 1.0) {
+        for (int index = 0; index < worker_count; ++index) {
             m_workers[index].speed = index % 2 == 0 ? 1.8 : 1.0;
             // Half of the workers carry most of the requests.
-            m_workers[index].busy = index < workers_count / 2 ? 6 : 1;
+            m_workers[index].busy = index < worker_count / 2 ? 6 : 1;
         }
         m_probes.set_objective(policy.objective);
     }
@@ -78,15 +79,16 @@
 
 private:
     void arrive() {
-        const bool is_wave = !m_shape.is_waving || (m_tick / 300) % 2 == 0;
-        if (is_wave && m_tick % (m_shape.is_waving ? 4 : 8) == 0) {
+        const bool is_wave = !m_scenario.has_job_waves || (m_tick / 300) % 2 == 0;
+        if (is_wave && m_tick % (m_scenario.has_job_waves ? 4 : 8) == 0) {
             const auto batch = static_cast<std::uint32_t>(m_random() % 3);
             m_queue.push_back(
                 {batch, batch == 0 ? 24.0 : 8.0, 20.0 + static_cast<double>(m_random() % 30), 0});
         }
     }
 
-    /// Returns what the system takes for free: it knows what it set aside, not what tasks take.
+    /// Returns the cores that the system considers free. It knows the reservations, not the real demand of
+    /// tasks.
     [[nodiscard]] static double get_free_cores(const fake_worker& worker) {
         double reserved = 0;
         for (const auto& task : worker.tasks) {
@@ -95,8 +97,8 @@
         return worker.cores - reserved;
     }
 
-    /// Returns the share of the cores that its tasks want which the worker has.
-    [[nodiscard]] static double get_supply(const fake_worker& worker) {
+    /// Returns the share of their real demand for cores that the worker's tasks get.
+    [[nodiscard]] static double get_core_share(const fake_worker& worker) {
         double wanted = 0;
         for (const auto& task : worker.tasks) {
             wanted += task.cores;
@@ -104,12 +106,12 @@
         return wanted > worker.cores ? worker.cores / wanted : 1;
     }
 
-    /// Returns the cores to set aside for a task.
+    /// Returns the cores to reserve for a task.
     [[nodiscard]] double get_reservation(const fake_task& task) const {
-        const auto declared = static_cast<std::int64_t>(task.cores * 1000 * m_shape.declared_factor);
+        const auto declared = static_cast<std::int64_t>(task.cores * 1000 * m_scenario.declared_factor);
         const resources need{0, declared, 0, 0};
         const auto reserved =
-            m_policy.is_own ? m_usage.get_reservation("t", std::to_string(task.batch), need) : need;
+            m_policy.is_production ? m_usage.get_reservation("t", std::to_string(task.batch), need) : need;
         return std::min(static_cast<double>(reserved.millicores) / 1000, 64.0);
     }
 
@@ -117,34 +119,35 @@
         return time_point{seconds{1000} + milliseconds{100} * m_tick};
     }
 
-    /// Takes the usage reports that are due: they come with a lag.
+    /// Processes the usage reports that are due. They arrive with a delay.
     void learn_usage() {
         while (!m_reports.empty() && m_reports.front().due_tick <= m_tick) {
-            m_usage.add("t", std::to_string(m_reports.front().batch), 1 / m_shape.declared_factor, 1, 1);
+            m_usage.add("t", std::to_string(m_reports.front().batch), 1 / m_scenario.declared_factor, 1, 1);
             m_reports.pop_front();
         }
     }
 
     void place() {
-        std::vector<placement_candidate> candidates(workers_count);
+        std::vector<placement_candidate> candidates(worker_count);
         for (int tries = 0; tries < 4 && !m_queue.empty(); ++tries) {
-            for (int index = 0; index < workers_count; ++index) {
+            for (int index = 0; index < worker_count; ++index) {
                 auto& candidate = candidates[index];
                 const auto& worker = m_workers[index];
                 candidate.capacity = {8, 64000, 64000, 0};
                 const auto free = static_cast<std::int64_t>(get_free_cores(worker) * 1000);
                 candidate.free = {8, free, free, 0};
                 candidate.speed = static_cast<float>(worker.speed);
-                candidate.slowdown = static_cast<float>(m_seen[index]);
+                candidate.slowdown = static_cast<float>(m_observed_slowdowns[index]);
                 candidate.services = {{0, static_cast<float>(worker.busy)}};
-                candidate.is_open = !m_policy.is_own || m_ladders[index].get_step() == relief_step::none;
+                candidate.is_open =
+                    !m_policy.is_production || m_ladders[index].get_step() == relief_step::none;
             }
             auto task = m_queue.front();
             task.reserved = get_reservation(task);
             const auto millicores = static_cast<std::int64_t>(task.reserved * 1000);
             const placement_request request{{0, millicores, 0, 0}, task.batch, 30, false};
             std::optional<std::size_t> picked;
-            if (m_policy.is_own) {
+            if (m_policy.is_production) {
                 picked = pick_or_probe(m_placer, candidates, request, m_interference, m_probes, get_now());
             } else if (m_policy.is_first_fit) {
                 picked = first_fit_placer{}.pick(candidates, request, m_interference);
@@ -152,7 +155,7 @@
                 picked = least_loaded_placer{}.pick(candidates, request, m_interference);
             }
             if (!picked.has_value()) {
-                // Like the scheduler's misses: the next in the queue has its try.
+                // A task that does not fit moves to the end of the queue, as in the scheduler.
                 m_queue.push_back(task);
                 m_queue.pop_front();
                 continue;
@@ -163,56 +166,58 @@
     }
 
     void work() {
-        for (int index = 0; index < workers_count; ++index) {
+        for (int index = 0; index < worker_count; ++index) {
             auto& worker = m_workers[index];
-            const bool is_throttled = m_policy.is_own && m_ladders[index].get_step() >= relief_step::throttle;
-            const double supply = get_supply(worker);
+            const bool is_throttled =
+                m_policy.is_production && m_ladders[index].get_step() >= relief_step::throttle;
+            const double core_share = get_core_share(worker);
             for (auto& task : worker.tasks) {
-                const double done = tick_s / worker.speed * supply * (is_throttled ? 0.5 : 1.0);
-                task.left_s -= done;
-                task.saved_s = task.saved_s > 10 ? 0 : task.saved_s + done; // a checkpoint every 10 s
+                const double done = tick_s / worker.speed * core_share * (is_throttled ? 0.5 : 1.0);
+                task.remaining_s -= done;
+                task.unsaved_s = task.unsaved_s > 10 ? 0 : task.unsaved_s + done; // checkpoint every 10 s
                 m_done += done;
             }
             std::erase_if(worker.tasks, [this](const fake_task& task) {
-                if (task.left_s <= 0) {
-                    m_reports.push_back({m_tick + usage_lag_ticks, task.batch});
+                if (task.remaining_s <= 0) {
+                    m_reports.push_back({m_tick + usage_delay_ticks, task.batch});
                 }
-                return task.left_s <= 0;
+                return task.remaining_s <= 0;
             });
         }
     }
 
     void observe() {
-        for (int index = 0; index < workers_count; ++index) {
+        for (int index = 0; index < worker_count; ++index) {
             const auto& worker = m_workers[index];
-            const bool is_throttled = m_policy.is_own && m_ladders[index].get_step() >= relief_step::throttle;
-            // An entry learns a service's ordinary time under its ordinary load, so the load alone is no
-            // slowdown.
+            const bool is_throttled =
+                m_policy.is_production && m_ladders[index].get_step() >= relief_step::throttle;
+            // An entry learns the base time of a service under its normal load, so the load alone does not
+            // count as a slowdown.
             const double load = 1 + 0.3 * static_cast<double>(worker.busy) / worker.slots;
-            const double growth = worker.get_factor(m_matrix, 0) / (worker.speed * load) - 1;
+            const double growth = worker.get_slowdown(m_matrix, 0) / (worker.speed * load) - 1;
             const double factor = 1 + growth * (is_throttled ? 0.6 : 1.0);
             std::lognormal_distribution<double> noise(0, 0.1);
             for (int request = 0; request < worker.busy; ++request) {
                 const double sample = factor * noise(m_random);
                 m_slowdowns.push_back(sample);
                 m_interference.add(0, worker.get_runners(), sample);
-                m_seen[index] += (sample - m_seen[index]) / 40;
+                m_observed_slowdowns[index] += (sample - m_observed_slowdowns[index]) / 40;
             }
         }
     }
 
     void relieve() {
         const auto now = get_now();
-        for (int index = 0; index < workers_count; ++index) {
+        for (int index = 0; index < worker_count; ++index) {
             auto& worker = m_workers[index];
-            if (!m_policy.is_own) {
-                if (m_policy.evict_above > 0 && m_seen[index] > m_policy.evict_above &&
+            if (!m_policy.is_production) {
+                if (m_policy.evict_above > 0 && m_observed_slowdowns[index] > m_policy.evict_above &&
                     !worker.tasks.empty()) {
                     evict(worker, 0);
                 }
                 continue;
             }
-            m_ladders[index].update(m_seen[index], now);
+            m_ladders[index].update(m_observed_slowdowns[index], now);
             if (!m_ladders[index].is_eviction_due(now)) {
                 continue;
             }
@@ -221,7 +226,7 @@
                 const double growth =
                     m_interference.get_coefficient(0, task.batch) * task.get_reserved() / worker.cores;
                 candidates.push_back(
-                    {growth, duration{static_cast<std::int64_t>(task.saved_s * 1e9)}, 0, true});
+                    {growth, duration{static_cast<std::int64_t>(task.unsaved_s * 1e9)}, 0, true});
             }
             const auto picked = pick_eviction(candidates);
             if (picked.has_value() && m_budget.try_take(now)) {
@@ -233,19 +238,19 @@
 
     void evict(fake_worker& worker, std::size_t place) {
         auto task = worker.tasks[place];
-        // The baseline has no checkpoint call: work since the last one is lost.
-        const double lost = m_policy.is_own ? 0 : task.saved_s;
+        // The baseline cannot request a checkpoint, so work since the last one is lost.
+        const double lost = m_policy.is_production ? 0 : task.unsaved_s;
         m_done -= lost;
-        task.left_s += lost;
-        task.saved_s = 0;
+        task.remaining_s += lost;
+        task.unsaved_s = 0;
         worker.tasks.erase(worker.tasks.begin() + static_cast<std::ptrdiff_t>(place));
         m_queue.push_back(task);
         ++m_evictions;
     }
 
     const std::vector<std::vector<double>> m_matrix = {{2.5, 0.1, 0.6}};
-    policy_shape m_policy;
-    scenario m_shape;
+    policy_settings m_policy;
+    scenario m_scenario;
     std::mt19937_64 m_random;
     cost_placer m_placer;
     interference_model m_interference;
@@ -254,7 +259,7 @@
     std::deque<usage_report> m_reports; ///< by due tick
     std::vector<fake_worker> m_workers;
     std::vector<relief_ladder> m_ladders;
-    std::vector<double> m_seen;
+    std::vector<double> m_observed_slowdowns;
     eviction_budget m_budget;
     std::deque<fake_task> m_queue;
     std::vector<double> m_slowdowns;
@@ -263,7 +268,7 @@
     int m_tick = 0;
 };
 
-void print_scenario(const scenario& shape, const std::vector<policy_shape>& policies) {
+void print_scenario(const scenario& shape, const std::vector<policy_settings>& policies) {
     std::printf("%s\n", shape.name.c_str());
     for (const auto& policy : policies) {
         std::vector<double> slowdown;
@@ -288,7 +293,7 @@
 
 int main() {
     using namespace poplarpitch;
-    const std::vector<policy_shape> policies = {
+    const std::vector<policy_settings> policies = {
         {"first fit, no eviction", false, true, 0, {}},
         {"first fit, evict at 1.8", false, true, 1.8, {}},
         {"least loaded, no eviction", false, false, 0, {}},
--- a/performance_test/relay_baseline.cpp
+++ b/performance_test/relay_baseline.cpp
@@ -1,4 +1,5 @@
-// A bare one-hop relay of cpp-httplib alone: the ceiling that an entry made of it is measured against.
+// A minimal one-hop relay built on cpp-httplib only. Its throughput is the upper limit for an entry built on
+// the same library.
 #include "poplarpitch/core/process_settings.h"
 #include "poplarpitch/core/stop_signal.h"
 #include "poplarpitch/core/system_clock.h"
--- a/performance_test/routing_decisions.cpp
+++ b/performance_test/routing_decisions.cpp
@@ -1,5 +1,5 @@
-// Routing: the shipped router with its models against the baselines, on 16 fake workers. The same seed, the
-// same table.
+// Compares the production router and its models with baseline routers on 16 fake workers. Prints the same
+// table on every run.
 #include "performance_test/fake_workers.h"
 #include "poplarpitch/policy/baseline_routers.h"
 #include "poplarpitch/policy/best_fit_router.h"
@@ -13,18 +13,18 @@
 namespace poplarpitch {
 namespace {
 
-constexpr int workers_count = 16;
-constexpr int requests_count = 40'000;
+constexpr int worker_count = 16;
+constexpr int request_count = 40'000;
 constexpr double base_ms = 5;
 
-/// What a scenario changes.
+/// Settings of a scenario.
 struct scenario {
     std::string name;
-    bool is_noisy = false;    ///< batch tasks on some workers
-    bool is_waving = false;   ///< they come and go every few seconds
-    bool is_mixed = false;    ///< half of the workers are old
-    bool is_shifting = false; ///< the load doubles in the middle
-    double load = 0.6;        ///< of all slots at the calm speed
+    bool has_noisy_tasks = false; ///< some workers run batch tasks all the time
+    bool has_task_waves = false;  ///< batch tasks come and go every few seconds
+    bool has_old_workers = false; ///< half of the workers are of the old generation
+    bool has_load_shift = false;  ///< the load rises by half in the middle of the run
+    double load = 0.6;            ///< share of all slots in use at undisturbed speed
 };
 
 struct outcome {
@@ -38,18 +38,18 @@
 outcome run(const scenario& shape, Router router, bool is_learning, std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const std::vector<std::vector<double>> matrix = {{3.0, 0.1}, {0.2, 1.5}};
-    std::vector<fake_worker> workers(workers_count);
-    for (int index = 0; index < workers_count; ++index) {
-        workers[index].speed = shape.is_mixed && index % 2 == 0 ? 1.8 : 1.0;
-        if (shape.is_noisy && index % 3 == 0) {
+    std::vector<fake_worker> workers(worker_count);
+    for (int index = 0; index < worker_count; ++index) {
+        workers[index].speed = shape.has_old_workers && index % 2 == 0 ? 1.8 : 1.0;
+        if (shape.has_noisy_tasks && index % 3 == 0) {
             workers[index].tasks = {{0, 24, 1e9, 0}};
-        } else if (shape.is_noisy && index % 3 == 1) {
+        } else if (shape.has_noisy_tasks && index % 3 == 1) {
             workers[index].tasks = {{1, 24, 1e9, 0}};
         }
     }
     interference_model interference;
     speed_model speed;
-    std::vector<routing_candidate> rows(workers_count);
+    std::vector<routing_candidate> rows(worker_count);
     routing_random choice(static_cast<std::uint32_t>(seed) | 1U);
     const auto later = [](const fake_request& left, const fake_request& right) {
         return left.end_ms > right.end_ms;
@@ -58,12 +58,12 @@
     std::vector<double> times;
     int refused = 0;
     double now = 0;
-    const double calm_rate = shape.load * workers_count * 8 / base_ms; // requests a millisecond
-    for (int number = 0; number < requests_count; ++number) {
-        const bool is_second_half = number > requests_count / 2;
-        const double rate = shape.is_shifting && is_second_half ? calm_rate * 1.5 : calm_rate;
+    const double base_rate = shape.load * worker_count * 8 / base_ms; // requests a millisecond
+    for (int number = 0; number < request_count; ++number) {
+        const bool is_second_half = number > request_count / 2;
+        const double rate = shape.has_load_shift && is_second_half ? base_rate * 1.5 : base_rate;
         now += std::exponential_distribution<double>(rate)(random);
-        if (shape.is_waving && number % 8000 == 0) {
+        if (shape.has_task_waves && number % 8000 == 0) {
             for (auto& worker : workers) {
                 worker.tasks =
                     random() % 3 == 0 ? std::vector<fake_task>{{0, 24, 1e9, 0}} : std::vector<fake_task>{};
@@ -89,26 +89,26 @@
         }
         auto& worker = workers[*picked];
         const double jitter = std::exp(std::normal_distribution<double>(0, 0.25)(random));
-        const double time = base_ms * jitter * worker.get_factor(matrix, service);
+        const double time = base_ms * jitter * worker.get_slowdown(matrix, service);
         const auto runners = worker.get_runners();
         ++worker.busy;
         running.push({now + time, *picked});
         times.push_back(time);
         if (is_learning) {
             const double predicted = interference.predict(service, runners);
-            const auto number_of = static_cast<std::uint32_t>(*picked);
-            const double alone = speed.get_base_us(service) * speed.get_factor(number_of);
-            speed.add(service, number_of, time * 1000, predicted);
+            const auto worker_number = static_cast<std::uint32_t>(*picked);
+            const double alone = speed.get_base_us(service) * speed.get_factor(worker_number);
+            speed.add(service, worker_number, time * 1000, predicted);
             if (alone > 0) {
                 interference.add(service, runners, time * 1000 / alone);
             }
         }
     }
     return {get_quantile(times, 0.99), get_quantile(times, 0.5),
-            static_cast<double>(refused) / requests_count};
+            static_cast<double>(refused) / request_count};
 }
 
-/// Median and spread over the seeds.
+/// Median and range over the seeds.
 struct summary {
     double p99 = 0;
     double low = 0;
@@ -151,21 +151,21 @@
     for (const auto& shape : scenarios) {
         const auto random =
             summarize([&](std::uint64_t seed) { return run(shape, random_router{}, false, seed); });
-        const auto robin =
+        const auto round_robin =
             summarize([&](std::uint64_t seed) { return run(shape, round_robin_router{}, false, seed); });
-        const auto least = summarize(
+        const auto least_outstanding = summarize(
             [&](std::uint64_t seed) { return run(shape, least_outstanding_router{}, false, seed); });
-        const auto two =
+        const auto two_choices =
             summarize([&](std::uint64_t seed) { return run(shape, two_choices_router{}, false, seed); });
-        const auto own =
+        const auto production =
             summarize([&](std::uint64_t seed) { return run(shape, best_fit_router{}, true, seed); });
-        const double best = std::min({random.p99, robin.p99, least.p99, two.p99});
+        const double best = std::min({random.p99, round_robin.p99, least_outstanding.p99, two_choices.p99});
         std::printf("%s\n", shape.name.c_str());
         print_row("random", random, best);
-        print_row("round robin", robin, best);
-        print_row("least outstanding", least, best);
-        print_row("two choices", two, best);
-        print_row("poplarpitch", own, best);
+        print_row("round robin", round_robin, best);
+        print_row("least outstanding", least_outstanding, best);
+        print_row("two choices", two_choices, best);
+        print_row("poplarpitch", production, best);
     }
     return 0;
 }
--- a/performance_test/scheduler_failover.cpp
+++ b/performance_test/scheduler_failover.cpp
@@ -1,5 +1,5 @@
-// How long a system of real scheduler processes is without a leader's work: the leader is killed, and the
-// time is taken until a job is accepted again and until it has run, on pretended workers.
+// Measures the failover time of real scheduler processes with simulated workers: kills the leader and
+// measures the time until a new job is accepted and until it has run.
 #include "poplarpitch/core/system_clock.h"
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
@@ -16,37 +16,38 @@
 using namespace poplarpitch;
 
 constexpr duration run_time = milliseconds{100};
-constexpr duration settle_time = seconds{4}; // until all workers are known and the voters are complete
+constexpr duration settle_time = seconds{4}; // until all workers are registered and the voters are complete
 constexpr duration limit = seconds{30};
 constexpr int instances = 5;
-constexpr int tasks_of_a_job = 8;
+constexpr int tasks_per_job = 8;
 
-struct failover_shape {
+struct failover_options {
     int workers = 0;
     int rounds = 0;
 };
 
-failover_shape read_arguments(int count, char** values) {
-    cxxopts::Options options("scheduler_failover",
-                             "Time without a leader's work after the leader was killed");
-    options.add_options()("workers", "pretended workers", cxxopts::value<int>()->default_value("1800"))(
-        "rounds", "leaders killed", cxxopts::value<int>()->default_value("3"));
+failover_options read_arguments(int count, char** values) {
+    cxxopts::Options options("scheduler_failover", "Time without a leader after the leader was killed");
+    options.add_options()("workers", "number of simulated workers",
+                          cxxopts::value<int>()->default_value("1800"))(
+        "rounds", "number of leaders to kill", cxxopts::value<int>()->default_value("3"));
     const auto parsed = options.parse(count, values);
     return {parsed["workers"].as<int>(), parsed["rounds"].as<int>()};
 }
 
-void pause(duration length) {
+void sleep_for(duration length) {
     absl::SleepFor(absl::Nanoseconds(std::chrono::nanoseconds(length).count()));
 }
 
-/// Kills the leader and prints how long a new job waits. Returns false when it never ran.
+/// Kills the leader and prints how long a new job waits. Returns false when the job did not complete within
+/// the limit.
 bool measure_round(scheduler_cluster& cluster, int round) {
     const system_clock clock;
     const int leader = cluster.find_leader();
     const auto id = absl::StrFormat("%016x", round);
     const auto began = clock.now();
     cluster.get_scheduler(leader).kill();
-    const bool is_accepted = cluster.submit(id, tasks_of_a_job, limit);
+    const bool is_accepted = cluster.submit(id, tasks_per_job, limit);
     const auto accepted = clock.now();
     const bool is_done = is_accepted && cluster.wait_for_state(id, "completed", limit);
     const auto done = clock.now();
@@ -60,15 +61,15 @@
 } // namespace
 
 int main(int count, char** values) {
-    const auto shape = read_arguments(count, values);
+    const auto options = read_arguments(count, values);
     scheduler_cluster cluster(instances);
-    const stand_in_workers workers(shape.workers, cluster.get_controls(), run_time);
+    const stand_in_workers workers(options.workers, cluster.get_controls(), run_time);
     cluster.put_config(1);
-    bool is_good = true;
-    for (int round = 1; round <= shape.rounds && is_good; ++round) {
-        pause(settle_time);
-        is_good = measure_round(cluster, round);
+    bool is_successful = true;
+    for (int round = 1; round <= options.rounds && is_successful; ++round) {
+        sleep_for(settle_time);
+        is_successful = measure_round(cluster, round);
     }
-    std::cout << absl::StrFormat("workers=%d twice at once=%d\n", shape.workers, workers.get_overlaps());
-    return is_good && workers.get_overlaps() == 0 ? 0 : 1;
+    std::cout << absl::StrFormat("workers=%d overlapping runs=%d\n", options.workers, workers.get_overlaps());
+    return is_successful && workers.get_overlaps() == 0 ? 0 : 1;
 }
