--- a/performance_test/load_test.cpp
+++ b/performance_test/load_test.cpp
@@ -45,7 +45,7 @@
 }
 
 cxxopts::Options make_options() {
-    cxxopts::Options options("load_test", "Sends load to entries and checks the promises to callers.");
+    cxxopts::Options options("load_test", "Sends load to entries and checks what was promised to callers.");
     const auto text = [](const char* value) {
         return cxxopts::value<std::string>()->default_value(value);
     };
@@ -56,8 +56,8 @@
                                              text("0"))("cancel-share", "share of each burst to cancel",
                                                         text("0"))("payload", "of each job",
                                                                    text(""))("callers", "threads", text("8"))(
-        "rate", "requests per second, comma-separated for several in turn; 0 unbounded", text("0"))(
-        "resends", "number of immediate retries after not-run", text("0"))("seconds", "", text("5"))(
+        "rate", "requests per second, one or several in turn, comma-separated; 0 unbounded", text("0"))(
+        "resends", "number of immediate retries when told not-run", text("0"))("seconds", "", text("5"))(
         "body", "bytes", text("512"))("prefix", "path before the service", text("/v1/call/"))(
         "records", "workers' record files, comma-separated",
         text(""))("killed", "ids of workers that were killed on purpose, comma-separated",
--- a/performance_test/scheduler_failover.cpp
+++ b/performance_test/scheduler_failover.cpp
@@ -27,7 +27,8 @@
 };
 
 failover_options read_arguments(int count, char** values) {
-    cxxopts::Options options("scheduler_failover", "Time without a leader after the leader was killed");
+    cxxopts::Options options("scheduler_failover",
+                             "Time until a new leader's work starts after the leader was killed");
     options.add_options()("workers", "number of simulated workers",
                           cxxopts::value<int>()->default_value("1800"))(
         "rounds", "number of leaders to kill", cxxopts::value<int>()->default_value("3"));
--- a/performance_test/scheduler_load.cpp
+++ b/performance_test/scheduler_load.cpp
@@ -37,8 +37,9 @@
     cxxopts::Options options("scheduler_load", "Processor time of schedulers under a steady load");
     options.add_options()("workers", "number of simulated workers",
                           cxxopts::value<int>()->default_value("490"))(
-        "lasting", "number of long-running tasks", cxxopts::value<int>()->default_value("2000"))(
-        "starts", "short tasks per second", cxxopts::value<int>()->default_value("400"))(
+        "lasting", "number of long-running tasks, which last the whole run",
+        cxxopts::value<int>()->default_value("2000"))("starts", "short tasks per second",
+                                                      cxxopts::value<int>()->default_value("400"))(
         "seconds", "length of the measurement",
         cxxopts::value<int>()->default_value("10"))("pids", "print the ids of the processes, for a profiler");
     const auto parsed = options.parse(count, values);
--- a/poplarpitch/tools/control_commands.cpp
+++ b/poplarpitch/tools/control_commands.cpp
@@ -379,7 +379,7 @@
     const auto bytes = read_text_file(file);
     wire::state_snapshot snapshot;
     if (!bytes.has_value() || !snapshot.ParseFromString(*bytes)) {
-        return fail_usage(file + " is not a snapshot");
+        return fail_usage(file + " is no valid snapshot");
     }
     const auto version =
         snapshot.history_size() == 0 ? 0 : snapshot.history(snapshot.history_size() - 1).version();
--- a/programs/poplarctl.cpp
+++ b/programs/poplarctl.cpp
@@ -36,13 +36,13 @@
 } // namespace
 
 int main(int count, char** arguments) {
-    cxxopts::Options options("poplarctl", "Command-line tool for operators and batch users.");
+    cxxopts::Options options("poplarctl", "Command line tool for operators and batch users.");
     options.positional_help("COMMAND ...");
     options.add_options()("entry", "entries to contact, host:port, comma-separated",
                           cxxopts::value<std::string>())(
         "output", "text or json", cxxopts::value<std::string>()->default_value("text"))(
-        "wait", "wait until the change is complete")("timeout", "longest time to wait, seconds",
-                                                     cxxopts::value<int>()->default_value("30"))(
+        "wait", "wait until the condition of the command is true")(
+        "timeout", "longest time to wait, seconds", cxxopts::value<int>()->default_value("30"))(
         "change-id", "id of a configuration change, which makes a retry safe",
         cxxopts::value<std::string>()->default_value(""))("base", "version that the change is based on",
                                                           cxxopts::value<std::string>()->default_value(""))(
