--- a/performance_test/admission_decisions.cpp
+++ b/performance_test/admission_decisions.cpp
@@ -121,8 +121,8 @@
     }
 
     void start(const request_grant& grant, time_point deadline) {
-        std::lognormal_distribution<double> shape(0, 0.35);
-        const double time = base_ms * shape(m_random);
+        std::lognormal_distribution<double> time_factor(0, 0.35);
+        const double time = base_ms * time_factor(m_random);
         m_running.push({m_now_ms + time, time, grant, deadline});
         ++m_accepted;
     }
--- a/performance_test/placement_decisions.cpp
+++ b/performance_test/placement_decisions.cpp
@@ -20,8 +20,8 @@
 constexpr int worker_count = 16;
 constexpr int ticks = 6000; // 100 ms each: ten minutes
 constexpr double tick_s = 0.1;
-constexpr int usage_delay_ticks =
-    50; // workers report the resource usage of a task five seconds after its end
+// Workers report the resource usage of a task five seconds after its end.
+constexpr int usage_delay_ticks = 50;
 
 /// Settings of a policy for placement and relief.
 struct policy_settings {
@@ -52,8 +52,8 @@
 
 class placement_run {
 public:
-    placement_run(const policy_settings& policy, const scenario& shape, std::uint64_t seed)
-        : m_policy(policy), m_scenario(shape), m_random(seed), m_placer(policy.objective),
+    placement_run(const policy_settings& policy, const scenario& setup, std::uint64_t seed)
+        : m_policy(policy), m_scenario(setup), m_random(seed), m_placer(policy.objective),
           m_workers(worker_count),
           m_ladders(worker_count, relief_ladder(make_relief_settings(policy.objective))),
           m_observed_slowdowns(worker_count, 1.0) {
@@ -268,14 +268,14 @@
     int m_tick = 0;
 };
 
-void print_scenario(const scenario& shape, const std::vector<policy_settings>& policies) {
-    std::printf("%s\n", shape.name.c_str());
+void print_scenario(const scenario& setup, const std::vector<policy_settings>& policies) {
+    std::printf("%s\n", setup.name.c_str());
     for (const auto& policy : policies) {
         std::vector<double> slowdown;
         std::vector<double> done;
         std::vector<double> evictions;
         for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-            const auto result = placement_run(policy, shape, seed).run();
+            const auto result = placement_run(policy, setup, seed).run();
             slowdown.push_back(result.slowdown_p99);
             done.push_back(result.done);
             evictions.push_back(result.evictions);
--- a/performance_test/routing_decisions.cpp
+++ b/performance_test/routing_decisions.cpp
@@ -35,15 +35,15 @@
 
 /// Sends the same requests through one router and returns their times.
 template <request_router Router>
-outcome run(const scenario& shape, Router router, bool is_learning, std::uint64_t seed) {
+outcome run(const scenario& setup, Router router, bool is_learning, std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const std::vector<std::vector<double>> matrix = {{3.0, 0.1}, {0.2, 1.5}};
     std::vector<fake_worker> workers(worker_count);
     for (int index = 0; index < worker_count; ++index) {
-        workers[index].speed = shape.has_old_workers && index % 2 == 0 ? 1.8 : 1.0;
-        if (shape.has_noisy_tasks && index % 3 == 0) {
+        workers[index].speed = setup.has_old_workers && index % 2 == 0 ? 1.8 : 1.0;
+        if (setup.has_noisy_tasks && index % 3 == 0) {
             workers[index].tasks = {{0, 24, 1e9, 0}};
-        } else if (shape.has_noisy_tasks && index % 3 == 1) {
+        } else if (setup.has_noisy_tasks && index % 3 == 1) {
             workers[index].tasks = {{1, 24, 1e9, 0}};
         }
     }
@@ -58,12 +58,12 @@
     std::vector<double> times;
     int refused = 0;
     double now = 0;
-    const double base_rate = shape.load * worker_count * 8 / base_ms; // requests a millisecond
+    const double base_rate = setup.load * worker_count * 8 / base_ms; // requests a millisecond
     for (int number = 0; number < request_count; ++number) {
         const bool is_second_half = number > request_count / 2;
-        const double rate = shape.has_load_shift && is_second_half ? base_rate * 1.5 : base_rate;
+        const double rate = setup.has_load_shift && is_second_half ? base_rate * 1.5 : base_rate;
         now += std::exponential_distribution<double>(rate)(random);
-        if (shape.has_task_waves && number % 8000 == 0) {
+        if (setup.has_task_waves && number % 8000 == 0) {
             for (auto& worker : workers) {
                 worker.tasks =
                     random() % 3 == 0 ? std::vector<fake_task>{{0, 24, 1e9, 0}} : std::vector<fake_task>{};
@@ -148,19 +148,19 @@
     };
     std::printf(
         "routing decisions: 16 workers, 8 slots, 40,000 requests, 10 seeds, medians (lowest to highest)\n");
-    for (const auto& shape : scenarios) {
+    for (const auto& setup : scenarios) {
         const auto random =
-            summarize([&](std::uint64_t seed) { return run(shape, random_router{}, false, seed); });
+            summarize([&](std::uint64_t seed) { return run(setup, random_router{}, false, seed); });
         const auto round_robin =
-            summarize([&](std::uint64_t seed) { return run(shape, round_robin_router{}, false, seed); });
+            summarize([&](std::uint64_t seed) { return run(setup, round_robin_router{}, false, seed); });
         const auto least_outstanding = summarize(
-            [&](std::uint64_t seed) { return run(shape, least_outstanding_router{}, false, seed); });
+            [&](std::uint64_t seed) { return run(setup, least_outstanding_router{}, false, seed); });
         const auto two_choices =
-            summarize([&](std::uint64_t seed) { return run(shape, two_choices_router{}, false, seed); });
+            summarize([&](std::uint64_t seed) { return run(setup, two_choices_router{}, false, seed); });
         const auto production =
-            summarize([&](std::uint64_t seed) { return run(shape, best_fit_router{}, true, seed); });
+            summarize([&](std::uint64_t seed) { return run(setup, best_fit_router{}, true, seed); });
         const double best = std::min({random.p99, round_robin.p99, least_outstanding.p99, two_choices.p99});
-        std::printf("%s\n", shape.name.c_str());
+        std::printf("%s\n", setup.name.c_str());
         print_row("random", random, best);
         print_row("round robin", round_robin, best);
         print_row("least outstanding", least_outstanding, best);
--- a/performance_test/scheduler_load.cpp
+++ b/performance_test/scheduler_load.cpp
@@ -20,8 +20,8 @@
 using namespace poplarpitch;
 
 constexpr duration run_time = milliseconds{900};
-constexpr duration settle_time =
-    seconds{3}; // until the long-running tasks have started and the first short ones have ended
+// Until the long-running tasks have started and the first short ones have ended.
+constexpr duration settle_time = seconds{3};
 constexpr int tasks_per_job = 20;
 constexpr int schedulers = 3;
 
@@ -53,11 +53,11 @@
     std::string text;
     std::getline(file, text);
     std::istringstream fields(text.substr(text.rfind(')') + 2));
-    std::string word;
+    std::string field;
     double ticks = 0;
     constexpr int user_field = 11; // index after the process name; stime follows utime
-    for (int index = 0; index <= user_field + 1 && fields >> word; ++index) {
-        ticks += index >= user_field ? std::stod(word) : 0;
+    for (int index = 0; index <= user_field + 1 && fields >> field; ++index) {
+        ticks += index >= user_field ? std::stod(field) : 0;
     }
     return ticks / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
--- a/poplarpitch/stand_in/record_checker.cpp
+++ b/poplarpitch/stand_in/record_checker.cpp
@@ -135,8 +135,8 @@
                   [](const run_span& left, const run_span& right) { return left.start_us < right.start_us; });
         for (std::size_t index = 1; index < sorted.size(); ++index) {
             const auto& before = sorted[index - 1];
-            // A run without a recorded end was on a worker that was killed: it lasted at most until the last
-            // line of that worker.
+            // A run without a recorded end was on a worker that was killed. It counts as running until the
+            // last line of that worker.
             const auto end = before.end_us != 0 ? before.end_us : m_last_seen.at(before.worker);
             check(sorted[index].start_us >= end, absl::StrCat("job ", job, " ran in two places"));
             check(sorted[index].attempt_id != before.attempt_id,
--- a/poplarpitch/stand_in/record_checker.h
+++ b/poplarpitch/stand_in/record_checker.h
@@ -15,8 +15,8 @@
     std::string check_id; ///< identifies the request in the workers' records; chosen by the caller
     std::string service;
     bool is_idempotent = false;
-    std::string
-        outcome; ///< done, not-run or unknown; empty when the entry failed while it handled the request
+    /// done, not-run or unknown; empty when the entry failed while it handled the request
+    std::string outcome;
     bool is_body_intact = true; ///< the answer's body was that of the request
 
     friend auto operator<=>(const observed_call&, const observed_call&) = default;
@@ -44,9 +44,9 @@
     /// not run, requests with the outcome done ran, and their answers are intact.
     [[nodiscard]] promise_report check_calls(const std::vector<observed_call>& calls) const;
     /// Checks tasks: no job ran on two workers at once, no attempt ran twice, no worker was overcommitted,
-    /// and each job in `done` finished exactly once. A finish that a killed worker could not report is not
-    /// counted: the system cannot know of it and runs an idempotent job again. `killed` names the killed
-    /// workers.
+    /// and each job in `done` finished exactly once. An additional finish on a killed worker is allowed when
+    /// it was not acknowledged: the system cannot know of it, so an idempotent job runs again. `killed` names
+    /// the killed workers.
     [[nodiscard]] promise_report check_tasks(const std::vector<std::string>& done,
                                              const std::set<std::string>& killed = {}) const;
 
@@ -60,7 +60,8 @@
         bool is_acknowledged = false; ///< its end was acknowledged to the worker
     };
 
-    /// Returns true when the runs contain exactly one finish that counts.
+    /// Returns true when the runs contain a finish, and at most one besides unacknowledged ones on killed
+    /// workers.
     static bool is_finished_once(const std::vector<run_span>& runs, const std::set<std::string>& killed);
     run_span* find_span(const std::string& attempt_id, const std::string& worker);
 
--- a/poplarpitch/stand_in/stand_in_worker.cpp
+++ b/poplarpitch/stand_in/stand_in_worker.cpp
@@ -23,12 +23,12 @@
 
 using json = nlohmann::json;
 
-constexpr const char* check_id_header =
-    "X-Check-Id"; ///< identifies a request in the run record; chosen by the caller
+// Identifies a request in the run record; chosen by the caller.
+constexpr const char* check_id_header = "X-Check-Id";
 constexpr duration announce_timeout = seconds{2};
 constexpr duration first_interval = milliseconds{200};
-constexpr duration leave_grace_period =
-    milliseconds{300}; // for requests sent before the owner knew that the worker leaves
+// For requests sent before the owner knew that the worker leaves.
+constexpr duration leave_grace_period = milliseconds{300};
 constexpr duration task_step = milliseconds{50};
 constexpr int server_threads = 256;
 
--- a/poplarpitch/stand_in/stand_in_worker.h
+++ b/poplarpitch/stand_in/stand_in_worker.h
@@ -87,13 +87,13 @@
     task_simulator m_tasks ABSL_GUARDED_BY(m_mutex);
     bool m_wants_complete ABSL_GUARDED_BY(m_mutex) = true;
     bool m_is_leaving ABSL_GUARDED_BY(m_mutex) = false;
-    time_point m_leaving_acknowledged_time
-        ABSL_GUARDED_BY(m_mutex){}; ///< when the owner first answered an announcement that it leaves
+    /// When the owner first answered an announcement that the worker leaves.
+    time_point m_leaving_acknowledged_time ABSL_GUARDED_BY(m_mutex){};
     bool m_is_stopped ABSL_GUARDED_BY(m_mutex) = false;
     bool m_is_failing ABSL_GUARDED_BY(m_mutex) = false; ///< injected fault: every request and task fails
     bool m_is_mute ABSL_GUARDED_BY(m_mutex) = false;    ///< injected fault: no announcements
-    std::map<std::string, double>
-        m_service_slowdown ABSL_GUARDED_BY(m_mutex); ///< injected fault: slowdown factor by service
+    /// Injected fault: slowdown factor by service.
+    std::map<std::string, double> m_service_slowdown ABSL_GUARDED_BY(m_mutex);
     std::string m_owner_address ABSL_GUARDED_BY(m_mutex);
     std::size_t m_next_entry ABSL_GUARDED_BY(m_mutex) = 0;
     duration m_interval ABSL_GUARDED_BY(m_mutex) = milliseconds{200};
--- a/poplarpitch/stand_in/task_simulator.cpp
+++ b/poplarpitch/stand_in/task_simulator.cpp
@@ -39,7 +39,7 @@
     const auto found = m_tasks.find(attempt_id);
     if (found == m_tasks.end()) {
         if (!m_ended.contains(attempt_id) && verb == "stop") {
-            m_ended[attempt_id] = 0; // never started on this worker, and refused from now on
+            m_ended[attempt_id] = 0; // never started on this worker; a start that arrives later is ignored
         }
         return true;
     }
--- a/poplarpitch/stand_in/task_simulator.h
+++ b/poplarpitch/stand_in/task_simulator.h
@@ -62,8 +62,8 @@
     const double m_time_factor;
     run_record& m_record;
     std::map<std::string, simulated_task> m_tasks; ///< by attempt id
-    std::map<std::string, std::uint64_t>
-        m_ended;                        ///< ended attempts, with the number of their report; 0 for none
+    /// Ended attempts, with the number of their report; 0 for none.
+    std::map<std::string, std::uint64_t> m_ended;
     std::vector<task_report> m_reports; ///< not acknowledged yet
     std::uint64_t m_last_report = 0;
 };
--- a/unit_tests/process/child_process.cpp
+++ b/unit_tests/process/child_process.cpp
@@ -22,8 +22,8 @@
     if (m_pid == 0) {
         ::dup2(file, STDOUT_FILENO);
         ::dup2(file, STDERR_FILENO);
-        ::close_range(STDERR_FILENO + 1, ~0U,
-                      0); // otherwise the daemon would keep the test's own sockets open
+        // Otherwise the daemon would keep the test's own sockets open.
+        ::close_range(STDERR_FILENO + 1, ~0U, 0);
         ::execv(argv[0], argv.data());
         ::_exit(127);
     }
--- a/unit_tests/process/cluster_control_test.cpp
+++ b/unit_tests/process/cluster_control_test.cpp
@@ -117,7 +117,7 @@
     EXPECT_EQ(submit("j"), 202); // the other instances continue to work
 }
 
-TEST_F(cluster_test, whole_control_restarts_with_everything) {
+TEST_F(cluster_test, control_restarts_with_its_whole_state) {
     m_cluster.make_ready(config_text);
     EXPECT_EQ(submit("j"), 202);
     for (int number = 1; number <= 3; ++number) {
@@ -138,7 +138,7 @@
     check_promises({}, {"j"});
 }
 
-TEST_F(cluster_test, backup_founds_the_cluster_anew) {
+TEST_F(cluster_test, cluster_is_restored_from_a_backup) {
     m_cluster.make_ready(config_text);
     EXPECT_EQ(submit("once", "once"), 202);
     EXPECT_TRUE(test_cluster::wait_until([&] { return m_cluster.get_job_state(1, "once") == "running"; }));
--- a/unit_tests/process/cluster_job_test.cpp
+++ b/unit_tests/process/cluster_job_test.cpp
@@ -110,7 +110,7 @@
     check_promises(calls, {"j"});
 }
 
-TEST_F(cluster_test, many_jobs_with_a_call_are_answered_one_by_one) {
+TEST_F(cluster_test, batch_of_jobs_is_answered_job_by_job) {
     m_cluster.make_ready(config_text);
     nlohmann::json jobs = nlohmann::json::array();
     nlohmann::json ids = nlohmann::json::array();
--- a/unit_tests/process/cluster_request_test.cpp
+++ b/unit_tests/process/cluster_request_test.cpp
@@ -13,7 +13,7 @@
 namespace poplarpitch {
 namespace {
 
-TEST_F(cluster_test, answers_a_request_runs_a_job_and_shows_itself) {
+TEST_F(cluster_test, answers_a_request_runs_a_job_and_reports_metrics) {
     m_cluster.make_ready(config_text);
     const auto exchange = m_cluster.send(1, "POST", "/v1/call/fast", "hello", {{header_tenant, "t"}});
     EXPECT_EQ(exchange.response.status, 200);
@@ -177,7 +177,7 @@
     check_promises(calls);
 }
 
-TEST_F(cluster_test, drained_entry_serves_by_others_until_it_is_resumed) {
+TEST_F(cluster_test, drained_entry_serves_through_others_until_it_is_resumed) {
     m_cluster.make_ready(config_text);
     caller_load traffic(m_cluster, {1, 2, 3}, 4);
     EXPECT_EQ(m_cluster.send(2, "POST", "/v1/members/entry-1/drain").response.status, 200);
--- a/unit_tests/process/port_reservation_test.cpp
+++ b/unit_tests/process/port_reservation_test.cpp
@@ -23,8 +23,7 @@
     return outcome == 0;
 }
 
-// Guards against a failure in CI: an entry did not start because a connection of another test had taken its
-// port.
+// Guards against a CI failure: an entry could not start because another test's connection had its port.
 TEST(port_reservation_test, keeps_the_port_from_others_and_lets_the_daemon_listen) {
     const port_reservation reservation;
     EXPECT_FALSE(can_bind(reservation.get_port()));
