--- a/performance_test/log_benchmark.cpp
+++ b/performance_test/log_benchmark.cpp
@@ -41,14 +41,14 @@
             auto voter_state = std::make_unique<voter>(folder + "/" + std::to_string(id), number);
             static_cast<void>(voter_state->storage.open());
             static_cast<void>(voter_state->storage.form(members));
-            raft_start start;
+            raft_initial_state start;
             start.id = number;
             start.initial = members;
             start.seed = 5;
             voter_state->node = std::make_unique<raft_node>(raft_settings{}, start, m_now);
             m_voters[number] = std::move(voter_state);
         }
-        while (get_leader() == nullptr || !get_leader()->node->has_own_commit()) {
+        while (get_leader() == nullptr || !get_leader()->node->has_committed_in_term()) {
             m_now += milliseconds{20};
             for (auto& [id, voter_state] : m_voters) {
                 voter_state->node->tick(m_now);
--- a/poplarpitch/consensus/raft_node.cpp
+++ b/poplarpitch/consensus/raft_node.cpp
@@ -7,7 +7,8 @@
 
 namespace poplarpitch {
 
-raft_node::raft_node(const raft_settings& settings, raft_start start, time_point now, const raft_rules& rules)
+raft_node::raft_node(const raft_settings& settings, raft_initial_state start, time_point now,
+                     const raft_rules& rules)
     : m_settings(settings), m_rules(rules), m_id(start.id),
       m_random(start.seed ^ (start.id * 0x9e3779b97f4a7c15ULL)), m_state(start.state),
       m_snapshot(std::move(start.snapshot)), m_initial(std::move(start.initial)) {
@@ -136,12 +137,12 @@
     m_reads.clear();
 }
 
-bool raft_node::has_own_commit() const {
+bool raft_node::has_committed_in_term() const {
     return m_role == raft_role::leader && m_commit >= m_term_first_index;
 }
 
 bool raft_node::has_lease(time_point now) const {
-    return has_own_commit() && m_transfer_target == 0 &&
+    return has_committed_in_term() && m_transfer_target == 0 &&
            now < m_quorum_contact + m_settings.election_timeout_min - m_settings.drift_margin;
 }
 
--- a/poplarpitch/consensus/raft_node.h
+++ b/poplarpitch/consensus/raft_node.h
@@ -16,7 +16,7 @@
 namespace poplarpitch {
 
 /// Initial state of a node, read from its disk.
-struct raft_start {
+struct raft_initial_state {
     node_id id = 0;
     hard_state state;
     raft_snapshot snapshot;
@@ -39,7 +39,8 @@
 class raft_node {
 public:
     /// Starts as a follower with the state in `start`. Precondition: `start.id` is not 0.
-    raft_node(const raft_settings& settings, raft_start start, time_point now, const raft_rules& rules = {});
+    raft_node(const raft_settings& settings, raft_initial_state start, time_point now,
+              const raft_rules& rules = {});
 
     /// Advances time. Starts elections, sends heartbeats and runs check-quorum as they become due.
     void tick(time_point now);
@@ -89,7 +90,7 @@
     /// elected in a newer term.
     [[nodiscard]] bool has_lease(time_point now) const;
     /// Returns true if this node leads and has committed an entry of its own term.
-    [[nodiscard]] bool has_own_commit() const;
+    [[nodiscard]] bool has_committed_in_term() const;
     /// Returns the time at which `tick` next has work to do.
     [[nodiscard]] time_point get_next_deadline() const;
 
--- a/poplarpitch/consensus/raft_node_leader.cpp
+++ b/poplarpitch/consensus/raft_node_leader.cpp
@@ -102,7 +102,7 @@
     if (m_role != raft_role::leader || message.term != m_state.term || found == m_progress.end()) {
         return nullptr;
     }
-    found->second.last_answer = now;
+    found->second.last_response = now;
     found->second.acked_round = std::max(found->second.acked_round, message.round);
     confirm_rounds();
     return &found->second;
@@ -223,7 +223,7 @@
         }
         m_round_times.erase(m_round_times.begin(), m_round_times.upper_bound(confirmed));
     }
-    if (!has_own_commit()) {
+    if (!has_committed_in_term()) {
         return;
     }
     std::erase_if(m_reads, [&](const pending_read& read) {
--- a/poplarpitch/consensus/raft_node_membership.cpp
+++ b/poplarpitch/consensus/raft_node_membership.cpp
@@ -47,7 +47,7 @@
     if (m_transfer_target != 0) {
         return make_error_code(consensus_errc::transfer_in_progress);
     }
-    if (m_rules.membership_needs_own_term && !has_own_commit()) {
+    if (m_rules.membership_needs_own_term && !has_committed_in_term()) {
         return make_error_code(consensus_errc::no_commit_in_term);
     }
     if (m_rules.one_membership_change && m_members_index > m_commit) {
--- a/poplarpitch/consensus/raft_progress.h
+++ b/poplarpitch/consensus/raft_progress.h
@@ -14,7 +14,7 @@
     log_index last_round_match = 0; ///< `match` at the last heartbeat; if unchanged, messages were lost
     std::size_t inflight = 0;       ///< append messages without a response
     std::uint64_t acked_round = 0;  ///< newest heartbeat round it acknowledged
-    time_point last_answer{};       ///< time of its last response
+    time_point last_response{};     ///< time of its last response
     bool is_sending_snapshot = false;
     log_index snapshot_index = 0;      ///< index of the snapshot being sent
     std::uint64_t snapshot_offset = 0; ///< bytes of it that the follower has received
--- a/poplarpitch/control/control_daemon.cpp
+++ b/poplarpitch/control/control_daemon.cpp
@@ -139,7 +139,7 @@
     if (!opened) {
         log_event(log_level::error, "storage_failed")
             .add("error", opened.error())
-            .add("place", node.get_error_place());
+            .add("place", node.get_error_location());
         return start_failed_code;
     }
     std::atomic<bool> is_running{false};
--- a/poplarpitch/control/control_node.cpp
+++ b/poplarpitch/control/control_node.cpp
@@ -23,8 +23,8 @@
 result<void> control_node::open() {
     BOOST_OUTCOME_TRY(stored, m_storage.open());
     m_stored = std::move(stored);
-    if (m_stored.cut_bytes > 0) {
-        log_event(log_level::warn, "log_tail_cut").add("bytes", m_stored.cut_bytes);
+    if (m_stored.truncated_bytes > 0) {
+        log_event(log_level::warn, "log_tail_cut").add("bytes", m_stored.truncated_bytes);
     }
     return boost::outcome_v2::success();
 }
@@ -32,7 +32,7 @@
 result<void> control_node::bootstrap(const raft_membership& members) {
     BOOST_OUTCOME_TRY(m_storage.form(members));
     m_stored.initial = members;
-    m_stored.is_blank = false;
+    m_stored.is_empty = false;
     return boost::outcome_v2::success();
 }
 
@@ -40,13 +40,13 @@
     const auto now = m_clock.now();
     m_hard_state = m_stored.state;
     const auto snapshot = m_stored.snapshot;
-    raft_start start{m_daemon.node_id,
-                     m_stored.state,
-                     snapshot,
-                     std::move(m_stored.entries),
-                     m_stored.initial,
-                     static_cast<std::uint64_t>(now.time_since_epoch().count()) ^
-                         static_cast<std::uint64_t>(::getpid())};
+    raft_initial_state start{m_daemon.node_id,
+                             m_stored.state,
+                             snapshot,
+                             std::move(m_stored.entries),
+                             m_stored.initial,
+                             static_cast<std::uint64_t>(now.time_since_epoch().count()) ^
+                                 static_cast<std::uint64_t>(::getpid())};
     m_applied_members = snapshot.index != 0 ? snapshot.members : m_stored.initial;
     if (snapshot.index != 0) {
         m_machine.load(*snapshot.data);
@@ -123,7 +123,7 @@
 }
 
 void control_node::end_process(const std::error_code& error) {
-    end_on_storage_failure(error, m_storage.get_error_place());
+    end_on_storage_failure(error, m_storage.get_error_location());
 }
 
 void control_node::apply(const log_entry& entry) {
@@ -183,7 +183,7 @@
         }
     }
     // An entry of this term is committed, so all entries of earlier terms are committed and applied here too.
-    if (!m_are_duties_started && m_node->has_own_commit()) {
+    if (!m_are_duties_started && m_node->has_committed_in_term()) {
         m_duties.start(m_machine, now);
         m_voter_replacer.start(now);
         m_last_duty_index = 0;
--- a/poplarpitch/control/control_node.h
+++ b/poplarpitch/control/control_node.h
@@ -36,10 +36,10 @@
     /// Opens the data folder. Thread safety: none; called before `run`.
     result<void> open();
     /// Returns where storage found an error: file and offset.
-    [[nodiscard]] const std::string& get_error_place() const { return m_storage.get_error_place(); }
+    [[nodiscard]] const std::string& get_error_location() const { return m_storage.get_error_location(); }
     /// Returns true while the data folder is blank: this instance neither created nor joined a cluster.
     /// Thread safety: as `open`.
-    [[nodiscard]] bool is_blank() const { return m_stored.is_blank; }
+    [[nodiscard]] bool is_blank() const { return m_stored.is_empty; }
     /// Writes the initial membership. With empty `members` the instance joins a cluster as a spare. Thread
     /// safety: as `open`.
     result<void> bootstrap(const raft_membership& members);
--- a/poplarpitch/control/data_folder_restorer.cpp
+++ b/poplarpitch/control/data_folder_restorer.cpp
@@ -20,7 +20,7 @@
     posix_file_system files(settings.data_folder);
     raft_storage<posix_file_system> storage(files, {settings.cluster, settings.node_id});
     BOOST_OUTCOME_TRY(stored, storage.open());
-    if (!stored.is_blank) {
+    if (!stored.is_empty) {
         return false;
     }
     const auto members = get_initial_voters(settings.control);
@@ -58,7 +58,7 @@
         .add("index", restored->index)
         .add("jobs_queued", restored->queued)
         .add("jobs_lost", restored->lost)
-        .add("jobs_uncertain", restored->uncertain);
+        .add("jobs_uncertain", restored->unknown_outcome);
     return 0;
 }
 
--- a/poplarpitch/control/job_scheduler.cpp
+++ b/poplarpitch/control/job_scheduler.cpp
@@ -225,7 +225,7 @@
         if (!candidate.is_open || !candidate.capacity.holds(need)) {
             continue;
         }
-        state.get_jobs().for_each_on(m_candidate_ids[index], 0, [&](const wire::job& job) {
+        state.get_jobs().for_each_active_on(m_candidate_ids[index], 0, [&](const wire::job& job) {
             const bool is_ending = job.evict_requested() || job.cancel_requested();
             const bool is_enough = (candidate.free + decode(job.reserved())).holds(need);
             if (job.urgent() || is_ending || !is_enough || job.state() != wire::job_running) {
--- a/poplarpitch/control/owner_assigner.cpp
+++ b/poplarpitch/control/owner_assigner.cpp
@@ -62,7 +62,7 @@
         ++counts[owner];
         commands.push_back(make_assign_command(worker, owner));
     };
-    for (const auto& id : fleet.get_free()) {
+    for (const auto& id : fleet.get_unowned()) {
         if (commands.size() >= max_assignments) {
             return commands;
         }
--- a/poplarpitch/control/renew_answerer.cpp
+++ b/poplarpitch/control/renew_answerer.cpp
@@ -18,17 +18,19 @@
     const auto* own = fleet.find_session(request.entry());
     answer.set_draining(own != nullptr && own->draining());
     const auto known = request.known_revision();
-    const bool is_owned_changed = known == 0 || fleet.get_owned_change(request.entry()) > known;
+    const bool is_owned_changed = known == 0 || fleet.get_owned_change_index(request.entry()) > known;
     answer.set_owned_changed(is_owned_changed);
     for (const auto& id : fleet.get_owned(request.entry())) {
         if (is_owned_changed) {
             *answer.add_owned() = *fleet.find_worker(id);
         }
         if (is_owned_changed) {
-            state.get_jobs().for_each_id_on(id, [&](const std::string& job) { answer.add_job_ids(job); });
+            state.get_jobs().for_each_active_id_on(id,
+                                                   [&](const std::string& job) { answer.add_job_ids(job); });
         }
         const log_index since = is_owned_changed ? 0 : known;
-        state.get_jobs().for_each_on(id, since, [&](const wire::job& job) { *answer.add_jobs() = job; });
+        state.get_jobs().for_each_active_on(id, since,
+                                            [&](const wire::job& job) { *answer.add_jobs() = job; });
     }
     for (const auto& [entry, report] : sessions.get_reports()) {
         const auto* session = fleet.find_session(entry);
--- a/poplarpitch/control/voter_replacer.cpp
+++ b/poplarpitch/control/voter_replacer.cpp
@@ -19,7 +19,7 @@
         if (found == progress.end()) {
             continue;
         }
-        const auto last = std::max(found->second.last_answer, m_leading_since);
+        const auto last = std::max(found->second.last_response, m_leading_since);
         if (now - last > m_voter_loss_timeout) {
             lost = voter;
         }
@@ -29,7 +29,7 @@
     }
     for (const auto learner : members.learners) {
         const auto found = progress.find(learner);
-        const bool is_alive = found != progress.end() && now - found->second.last_answer < seconds{2};
+        const bool is_alive = found != progress.end() && now - found->second.last_response < seconds{2};
         if (is_alive && found->second.match == node.get_log().get_last_index()) {
             m_voter_to_remove = lost;
             return member_change{member_change::kind::promote, learner};
--- a/poplarpitch/replica/member_planner.cpp
+++ b/poplarpitch/replica/member_planner.cpp
@@ -13,7 +13,7 @@
 
 bool is_caught_up(const membership_view& view, node_id node, time_point now) {
     const auto found = view.progress.find(node);
-    return found != view.progress.end() && now - found->second.last_answer < answer_timeout &&
+    return found != view.progress.end() && now - found->second.last_response < answer_timeout &&
            found->second.match + catch_up_gap >= view.last_index;
 }
 
@@ -66,7 +66,7 @@
         if (voter == view.self || found == view.progress.end()) {
             continue;
         }
-        const auto last_contact = std::max(found->second.last_answer, view.leading_since);
+        const auto last_contact = std::max(found->second.last_response, view.leading_since);
         if (now - last_contact > m_voter_loss) {
             return voter;
         }
--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -59,7 +59,7 @@
     if (!stored) {
         log_event(log_level::error, "storage_failed")
             .add("error", stored.error())
-            .add("place", m_storage->get_error_place());
+            .add("place", m_storage->get_error_location());
         return stored.error();
     }
     m_stored = stored.value();
@@ -80,7 +80,7 @@
         }
     }
     m_loop.on_turn_end([this] { take_turn(); });
-    if (!m_stored.is_blank) {
+    if (!m_stored.is_empty) {
         start_node(m_stored.initial);
     } else {
         const bool is_seed = m_known_addresses.contains(m_ip);
@@ -94,7 +94,7 @@
     const auto& snapshot = m_stored.snapshot;
     log_event(log_level::info, "replica_started")
         .add("node", m_id)
-        .add("blank", m_stored.is_blank ? "yes" : "no")
+        .add("blank", m_stored.is_empty ? "yes" : "no")
         .add("term", m_stored.state.term)
         .add("last_index", m_stored.entries.empty() ? snapshot.index : m_stored.entries.back().index)
         .add("applied", snapshot.index);
@@ -111,7 +111,7 @@
     }
     const auto now = m_loop.now();
     std::random_device device;
-    raft_start start{m_id, m_stored.state, snapshot, std::move(m_stored.entries), initial, device()};
+    raft_initial_state start{m_id, m_stored.state, snapshot, std::move(m_stored.entries), initial, device()};
     m_node = std::make_unique<raft_node>(m_settings.raft, std::move(start), now);
 }
 
@@ -315,7 +315,7 @@
 }
 
 void replica::end_process(const std::error_code& error) {
-    end_on_storage_failure(error, m_storage->get_error_place());
+    end_on_storage_failure(error, m_storage->get_error_location());
 }
 
 void replica::update_role() {
@@ -335,7 +335,7 @@
             fail_pending_proposals();
         }
     }
-    if (!m_is_leading && m_node->has_own_commit()) {
+    if (!m_is_leading && m_node->has_committed_in_term()) {
         m_is_leading = true;
         m_leading_since = m_loop.now();
         m_planner.clear();
--- a/poplarpitch/state/fleet_table.cpp
+++ b/poplarpitch/state/fleet_table.cpp
@@ -166,7 +166,7 @@
     return found == m_owned.end() ? none : found->second;
 }
 
-log_index fleet_table::get_owned_change(const std::string& entry) const {
+log_index fleet_table::get_owned_change_index(const std::string& entry) const {
     const auto found = m_owned_change.find(entry);
     return found == m_owned_change.end() ? 0 : found->second;
 }
--- a/poplarpitch/state/fleet_table.h
+++ b/poplarpitch/state/fleet_table.h
@@ -51,9 +51,9 @@
     /// Returns the ids of the workers owned by `entry`.
     [[nodiscard]] const absl::btree_set<std::string>& get_owned(const std::string& entry) const;
     /// Returns the ids of the workers without an owner.
-    [[nodiscard]] const absl::btree_set<std::string>& get_free() const { return get_owned(""); }
+    [[nodiscard]] const absl::btree_set<std::string>& get_unowned() const { return get_owned(""); }
     /// Returns the log index at which the workers of `entry` last changed.
-    [[nodiscard]] log_index get_owned_change(const std::string& entry) const;
+    [[nodiscard]] log_index get_owned_change_index(const std::string& entry) const;
     /// Returns true if the total capacity of some registered worker is enough for `need`.
     [[nodiscard]] bool can_ever_hold(const resources& need) const;
 
--- a/poplarpitch/state/job_table.h
+++ b/poplarpitch/state/job_table.h
@@ -81,11 +81,11 @@
     [[nodiscard]] std::vector<const packed_job*> get_queued(const std::string& tenant,
                                                             std::size_t limit) const;
     /// Calls `visit` for the assigned and running jobs of `worker` that changed after `since`, ordered by id.
-    void for_each_on(const std::string& worker, log_index since,
-                     const std::function<void(const wire::job&)>& visit) const;
+    void for_each_active_on(const std::string& worker, log_index since,
+                            const std::function<void(const wire::job&)>& visit) const;
     /// Calls `visit` for the id of every assigned or running job of `worker`, in order.
-    void for_each_id_on(const std::string& worker,
-                        const std::function<void(const std::string&)>& visit) const;
+    void for_each_active_id_on(const std::string& worker,
+                               const std::function<void(const std::string&)>& visit) const;
     /// Returns the claims of the assigned and running jobs of `worker`, or null when it has none.
     [[nodiscard]] const job_claims* find_claims(const std::string& worker) const;
     /// Calls `visit` for every lost job.
--- a/poplarpitch/state/job_table_queries.cpp
+++ b/poplarpitch/state/job_table_queries.cpp
@@ -56,8 +56,8 @@
     return jobs;
 }
 
-void job_table::for_each_on(const std::string& worker, log_index since,
-                            const std::function<void(const wire::job&)>& visit) const {
+void job_table::for_each_active_on(const std::string& worker, log_index since,
+                                   const std::function<void(const wire::job&)>& visit) const {
     const auto found = m_by_worker.find(worker);
     if (found == m_by_worker.end()) {
         return;
@@ -69,8 +69,8 @@
     }
 }
 
-void job_table::for_each_id_on(const std::string& worker,
-                               const std::function<void(const std::string&)>& visit) const {
+void job_table::for_each_active_id_on(const std::string& worker,
+                                      const std::function<void(const std::string&)>& visit) const {
     const auto found = m_by_worker.find(worker);
     if (found == m_by_worker.end()) {
         return;
--- a/poplarpitch/state/snapshot_restorer.cpp
+++ b/poplarpitch/state/snapshot_restorer.cpp
@@ -27,7 +27,7 @@
         job.clear_worker();
         job.set_ended_ms(wall_ms);
         job.set_reason("restored from a backup; it may have run since");
-        ++restored.uncertain;
+        ++restored.unknown_outcome;
     } else if (is_active(job.state())) {
         // Marks an assigned job as running and lost too, so that its lease expires before it restarts.
         job.set_state(wire::job_running);
--- a/poplarpitch/state/snapshot_restorer.h
+++ b/poplarpitch/state/snapshot_restorer.h
@@ -9,11 +9,11 @@
 
 /// State built from a backup, for founding a new cluster.
 struct restored_state {
-    std::string data;            ///< serialized snapshot
-    std::uint64_t index = 0;     ///< index after which the new log starts
-    std::uint64_t queued = 0;    ///< number of queued jobs, which will run
-    std::uint64_t lost = 0;      ///< number of jobs that run again once their leases expire
-    std::uint64_t uncertain = 0; ///< number of jobs that wait for an operator
+    std::string data;                  ///< serialized snapshot
+    std::uint64_t index = 0;           ///< index after which the new log starts
+    std::uint64_t queued = 0;          ///< number of queued jobs, which will run
+    std::uint64_t lost = 0;            ///< number of jobs that run again once their leases expire
+    std::uint64_t unknown_outcome = 0; ///< number of jobs that wait for an operator
 
     friend bool operator==(const restored_state&, const restored_state&) = default;
 };
--- a/poplarpitch/storage/raft_storage.h
+++ b/poplarpitch/storage/raft_storage.h
@@ -37,7 +37,7 @@
                                const std::vector<log_entry>& tail);
 
     /// Returns the file and offset of the last error, for logs.
-    [[nodiscard]] const std::string& get_error_place() const { return m_error_place; }
+    [[nodiscard]] const std::string& get_error_location() const { return m_error_location; }
     /// Returns the size of the current segment in bytes.
     [[nodiscard]] std::uint64_t get_segment_bytes() const { return m_segment_bytes; }
     /// Returns the number of bytes written since `open`.
@@ -64,7 +64,7 @@
     std::uint64_t m_written_bytes = 0;
     log_index m_base_index = 0; ///< while reading: index before the first entry
     log_term m_base_term = 0;
-    std::string m_error_place;
+    std::string m_error_location;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/storage/raft_storage_impl.h
+++ b/poplarpitch/storage/raft_storage_impl.h
@@ -59,11 +59,11 @@
         } else if (absl::StartsWith(name, segment_prefix)) {
             segments.push_back(name);
         } else if (name == snapshot_name || name == members_name) {
-            state.is_blank = false;
+            state.is_empty = false;
         }
     }
-    state.is_blank = state.is_blank && segments.empty();
-    if (state.is_blank) {
+    state.is_empty = state.is_empty && segments.empty();
+    if (state.is_empty) {
         return state;
     }
     BOOST_OUTCOME_TRY(read_snapshot(state));
@@ -126,10 +126,10 @@
         wire::snapshot_file file;
         if (!frame.is_valid ||
             !file.ParseFromArray(frame.payload.data(), static_cast<int>(frame.payload.size()))) {
-            m_error_place = absl::StrCat(name, " at offset 0");
+            m_error_location = absl::StrCat(name, " at offset 0");
             return make_error_code(storage_errc::corrupt);
         }
-        m_error_place = name;
+        m_error_location = name;
         BOOST_OUTCOME_TRY(check_identity(file.identity(), m_settings));
         if (name == members_name) {
             state.initial = decode(file.members());
@@ -150,10 +150,10 @@
         const auto frame = decode_frame(bytes, offset);
         if (!frame.is_valid) {
             if (!is_last || has_frame_after(bytes, offset)) {
-                m_error_place = absl::StrCat(name, " at offset ", offset);
+                m_error_location = absl::StrCat(name, " at offset ", offset);
                 return make_error_code(storage_errc::corrupt);
             }
-            state.cut_bytes = bytes.size() - offset;
+            state.truncated_bytes = bytes.size() - offset;
             BOOST_OUTCOME_TRY(m_files.truncate(name, offset));
             BOOST_OUTCOME_TRY(m_files.sync(name));
             break;
@@ -168,7 +168,7 @@
 template <file_system FileSystem>
 result<void> raft_storage<FileSystem>::apply_frame(const std::string& name, std::uint64_t offset,
                                                    std::string_view payload, stored_state& state) {
-    m_error_place = absl::StrCat(name, " at offset ", offset);
+    m_error_location = absl::StrCat(name, " at offset ", offset);
     wire::wal_frame frame;
     if (!frame.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) {
         return make_error_code(storage_errc::corrupt);
@@ -197,7 +197,7 @@
         }
         state.entries.push_back(std::move(entry));
     }
-    m_error_place.clear();
+    m_error_location.clear();
     return boost::outcome_v2::success();
 }
 
--- a/unit_tests/consensus/raft_harness.cpp
+++ b/unit_tests/consensus/raft_harness.cpp
@@ -30,22 +30,22 @@
     }
 }
 
-time_point raft_harness::now_of(const slot& self) const {
+time_point raft_harness::get_local_time(const slot& self) const {
     return time_point{duration{static_cast<std::int64_t>(static_cast<double>(m_now.count()) * self.rate)}};
 }
 
-node_id raft_harness::any_node() {
+node_id raft_harness::pick_node() {
     return 1 + static_cast<node_id>(pick(static_cast<int>(m_slots.size())));
 }
 
 void raft_harness::start(node_id id) {
     auto& self = m_slots[id];
-    raft_start from{
+    raft_initial_state from{
         id, self.stored.state, self.stored.snapshot, self.stored.entries, self.stored.initial, m_random()};
     self.applied = self.stored.snapshot.index;
     self.applied_members =
         self.stored.snapshot.index != 0 ? self.stored.snapshot.members : self.stored.initial;
-    self.node = std::make_unique<raft_node>(m_raft, std::move(from), now_of(self), m_settings.rules);
+    self.node = std::make_unique<raft_node>(m_raft, std::move(from), get_local_time(self), m_settings.rules);
 }
 
 void raft_harness::crash(node_id id) {
@@ -84,13 +84,13 @@
 
 void raft_harness::send_early(const raft_output& output) {
     for (const auto& message : output.messages) {
-        if (m_settings.sends_all_early || may_send_before_sync(output, message)) {
+        if (m_settings.sends_all_before_sync || may_send_before_sync(output, message)) {
             m_messages.push_back(message);
         }
     }
 }
 
-void raft_harness::carry_out(node_id id) {
+void raft_harness::process_output(node_id id) {
     auto& self = m_slots[id];
     const auto output = self.node->take_output();
     persist(self.stored, output);
@@ -137,7 +137,7 @@
         if (!is_new && known->second != id) {
             fail("two leaders in term " + std::to_string(self.node->get_term()));
         }
-        if (!self.node->has_lease(now_of(self))) {
+        if (!self.node->has_lease(get_local_time(self))) {
             continue;
         }
         for (auto& [other_id, other] : m_slots) {
@@ -169,18 +169,18 @@
     if (is_lost || self.node == nullptr) {
         return;
     }
-    self.node->step(message, now_of(self));
+    self.node->step(message, get_local_time(self));
     if (pick(200) == 0) {
         crash(message.to);
         return;
     }
-    carry_out(message.to);
+    process_output(message.to);
 }
 
 void raft_harness::change_members(node_id leader) {
     auto& self = m_slots[leader];
-    const auto target = any_node();
-    const auto now = now_of(self);
+    const auto target = pick_node();
+    const auto now = get_local_time(self);
     switch (pick(4)) {
     case 0:
         static_cast<void>(self.node->add_learner(target, now));
@@ -211,20 +211,20 @@
     self.node->compact(snapshot, static_cast<std::uint64_t>(pick(5)));
 }
 
-void raft_harness::act() {
+void raft_harness::run_random_step() {
     const int choice = pick(100);
     if (choice < 70) {
         deliver_one();
         return;
     }
-    const auto id = any_node();
+    const auto id = pick_node();
     auto& self = m_slots[id];
     if (choice < 82) {
         m_now += milliseconds{pick(60)};
         for (auto& [other_id, other] : m_slots) {
             if (other.node != nullptr && !other.is_frozen) {
-                other.node->tick(now_of(other));
-                carry_out(other_id);
+                other.node->tick(get_local_time(other));
+                process_output(other_id);
             }
         }
     } else if (pick(100) == 0) {
@@ -238,7 +238,7 @@
     } else if (choice == 82) {
         m_cuts.clear();
         for (int cut = pick(4); cut > 0; --cut) {
-            m_cuts.insert({any_node(), any_node()}); // cuts one direction only
+            m_cuts.insert({pick_node(), pick_node()}); // cuts one direction only
         }
     } else if (self.node == nullptr) {
         start(id);
@@ -249,34 +249,35 @@
             compact(id);
         }
     } else if (choice < 92) {
-        static_cast<void>(self.node->propose("command " + std::to_string(m_next_command++), now_of(self)));
-        carry_out(id);
+        static_cast<void>(
+            self.node->propose("command " + std::to_string(m_next_command++), get_local_time(self)));
+        process_output(id);
     } else if (choice < 95) {
-        const auto token = self.node->request_read(now_of(self));
+        const auto token = self.node->request_read(get_local_time(self));
         if (token) {
             self.reads[token.value()] = m_acknowledged;
         }
-        carry_out(id);
+        process_output(id);
     } else if (choice == 95) {
-        static_cast<void>(self.node->transfer_leadership(0, now_of(self)));
-        carry_out(id);
+        static_cast<void>(self.node->transfer_leadership(0, get_local_time(self)));
+        process_output(id);
     } else if (choice == 96) {
         compact(id);
     } else if (m_settings.has_membership) {
         change_members(id);
-        carry_out(id);
+        process_output(id);
     }
 }
 
 std::string raft_harness::run() {
     for (int step = 0; step < m_settings.steps && m_violation.empty(); ++step) {
-        act();
+        run_random_step();
         check_leaders();
     }
     return m_violation;
 }
 
-std::string raft_harness::settle() {
+std::string raft_harness::heal_and_commit() {
     m_cuts.clear();
     for (auto& [id, self] : m_slots) {
         self.is_frozen = false;
@@ -289,19 +290,19 @@
     for (int round = 0; round < rounds && m_violation.empty(); ++round) {
         m_now += milliseconds{10};
         for (auto& [id, self] : m_slots) {
-            self.node->tick(now_of(self));
-            carry_out(id);
+            self.node->tick(get_local_time(self));
+            process_output(id);
         }
         for (auto& message : std::exchange(m_messages, {})) {
             auto& self = m_slots[message.to];
-            self.node->step(message, now_of(self));
-            carry_out(message.to);
+            self.node->step(message, get_local_time(self));
+            process_output(message.to);
         }
         for (auto& [id, self] : m_slots) {
-            if (self.node->has_own_commit() && proposed == 0) {
-                const auto index = self.node->propose("last", now_of(self));
+            if (self.node->has_committed_in_term() && proposed == 0) {
+                const auto index = self.node->propose("last", get_local_time(self));
                 proposed = index ? index.value() : 0;
-                carry_out(id);
+                process_output(id);
             }
         }
         const auto last = m_committed.find(proposed);
--- a/unit_tests/consensus/raft_node_test.cpp
+++ b/unit_tests/consensus/raft_node_test.cpp
@@ -14,7 +14,7 @@
 protected:
     raft_trio() {
         for (node_id id = 1; id <= 3; ++id) {
-            raft_start start;
+            raft_initial_state start;
             start.id = id;
             start.initial = {{1, 2, 3}, {}};
             start.seed = 9;
--- a/unit_tests/consensus/raft_safety_test.cpp
+++ b/unit_tests/consensus/raft_safety_test.cpp
@@ -32,7 +32,7 @@
     raft_harness harness(settings, seed);
     RC_LOG() << "seed " << seed;
     RC_ASSERT(harness.run() == "");
-    RC_ASSERT(harness.settle() == "");
+    RC_ASSERT(harness.heal_and_commit() == "");
 }
 
 TEST(raft_safety, is_deterministic) {
@@ -93,7 +93,7 @@
 
 TEST(raft_mutation, anything_sent_before_it_is_on_disk_is_found) {
     harness_settings settings;
-    settings.sends_all_early = true;
+    settings.sends_all_before_sync = true;
     EXPECT_GT(find_violation(settings), 0);
 }
 
--- a/unit_tests/consensus/split_cluster.cpp
+++ b/unit_tests/consensus/split_cluster.cpp
@@ -18,7 +18,7 @@
     }
     for (int number = 1; number <= nodes; ++number) {
         const auto id = static_cast<node_id>(number);
-        raft_start start;
+        raft_initial_state start;
         start.id = id;
         start.seed = 3;
         if (members.is_voter(id)) {
@@ -28,7 +28,7 @@
     }
 }
 
-void split_cluster::note(const raft_output& output) {
+void split_cluster::record_committed(const raft_output& output) {
     for (const auto& entry : output.committed) {
         const auto [known, is_new] = m_committed.emplace(entry.index, entry);
         m_is_split = m_is_split || (!is_new && known->second != entry);
@@ -36,18 +36,18 @@
 }
 
 void split_cluster::step(const std::vector<side>& sides) {
-    for (const auto& those : sides) {
+    for (const auto& nodes : sides) {
         std::vector<raft_message> messages;
-        for (const auto id : those) {
+        for (const auto id : nodes) {
             get(id).tick(m_now);
         }
-        for (const auto id : those) {
+        for (const auto id : nodes) {
             auto output = get(id).take_output();
             std::copy(output.messages.begin(), output.messages.end(), std::back_inserter(messages));
-            note(output);
+            record_committed(output);
         }
         for (const auto& message : messages) {
-            if (those.contains(message.to)) {
+            if (nodes.contains(message.to)) {
                 get(message.to).step(message, m_now);
             }
         }
@@ -61,10 +61,10 @@
     }
 }
 
-bool split_cluster::run_until(const side& those, const std::function<bool()>& is_enough) {
+bool split_cluster::run_until(const side& nodes, const std::function<bool()>& is_enough) {
     const auto end = m_now + seconds{10};
     while (m_now < end) {
-        step({those});
+        step({nodes});
         if (is_enough()) {
             return true;
         }
@@ -73,12 +73,12 @@
 }
 
 void split_cluster::cut_off(node_id id) {
-    note(get(id).take_output());
+    record_committed(get(id).take_output());
 }
 
-raft_node* split_cluster::find_leader(const side& those) {
+raft_node* split_cluster::find_leader(const side& nodes) {
     raft_node* leader = nullptr;
-    for (const auto id : those) {
+    for (const auto id : nodes) {
         auto& node = get(id);
         const bool is_newer = leader == nullptr || node.get_term() > leader->get_term();
         if (node.get_role() == raft_role::leader && is_newer) {
--- a/unit_tests/replica/membership_test.cpp
+++ b/unit_tests/replica/membership_test.cpp
@@ -26,7 +26,7 @@
         view.members = view.members.with_voter(make_node(ip));
         if (ip != 1) {
             view.progress[make_node(ip)].match = 1000;
-            view.progress[make_node(ip)].last_answer = now;
+            view.progress[make_node(ip)].last_response = now;
         }
     }
     return view;
@@ -74,7 +74,7 @@
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, fresh}));
     view.members = view.members.with_learner(fresh);
     view.progress[fresh].match = 100;
-    view.progress[fresh].last_answer = now;
+    view.progress[fresh].last_response = now;
     EXPECT_FALSE(planner.plan(view, now).has_value()); // not caught up yet
     view.progress[fresh].match = 990;
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::promote, fresh}));
@@ -94,14 +94,14 @@
     member_planner planner(5, voter_loss);
     const auto now = start + seconds{60};
     auto view = make_view(now);
-    view.progress[make_node(4)].last_answer = start;
+    view.progress[make_node(4)].last_response = start;
     EXPECT_FALSE(planner.plan(view, now).has_value());
     const auto spare = make_node(6);
     planner.on_join(spare, now);
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, spare}));
     view.members = view.members.with_learner(spare);
     view.progress[spare].match = 1000;
-    view.progress[spare].last_answer = now;
+    view.progress[spare].last_response = now;
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::remove, make_node(4)}));
 }
 
@@ -112,7 +112,7 @@
     member_planner planner(settings.voters, settings.voter_loss);
     const auto now = start + seconds{3};
     auto view = make_view(now);
-    view.progress[make_node(4)].last_answer = start;
+    view.progress[make_node(4)].last_response = start;
     planner.on_join(make_node(6), now);
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, make_node(6)}));
 }
--- a/unit_tests/replica/replaced_disks_test.cpp
+++ b/unit_tests/replica/replaced_disks_test.cpp
@@ -115,7 +115,7 @@
     /// Returns true when an instance leads with all entries applied and five voters.
     [[nodiscard]] bool is_recovered() const {
         for (const auto& self : m_instances) {
-            if (self.node != nullptr && self.node->has_own_commit() &&
+            if (self.node != nullptr && self.node->has_committed_in_term() &&
                 self.node->get_membership().voters.size() == instances) {
                 return true;
             }
@@ -132,7 +132,7 @@
         auto opened = self.storage->open();
         ASSERT_TRUE(opened.has_value()) << opened.error().message();
         auto stored = std::move(opened).value();
-        if (stored.is_blank) {
+        if (stored.is_empty) {
             ASSERT_TRUE(self.storage->form(initial).has_value());
             stored.initial = initial;
         }
@@ -140,8 +140,8 @@
         self.members = stored.snapshot.index != 0 ? stored.snapshot.members : stored.initial;
         self.state = stored.state;
         self.bytes_at_snapshot = 0;
-        raft_start from{self.get_id(),  stored.state, stored.snapshot, std::move(stored.entries),
-                        stored.initial, m_random()};
+        raft_initial_state from{self.get_id(),  stored.state, stored.snapshot, std::move(stored.entries),
+                                stored.initial, m_random()};
         self.node = std::make_unique<raft_node>(raft_settings{}, std::move(from), m_now);
     }
 
@@ -162,7 +162,7 @@
 
     void take_turn(instance& self) {
         self.node->tick(m_now);
-        if (self.node->has_own_commit()) {
+        if (self.node->has_committed_in_term()) {
             static_cast<void>(self.node->propose("command " + std::to_string(m_next_command++), m_now));
             update_membership(self);
         }
--- a/unit_tests/state/state_machine_test.cpp
+++ b/unit_tests/state/state_machine_test.cpp
@@ -144,7 +144,7 @@
     add_worker("w");
     assign_owner("w", "e1", 1);
     open("e1", 2); // a restarted process of the same entry
-    EXPECT_EQ(m_machine.get_fleet().get_free().size(), 1U);
+    EXPECT_EQ(m_machine.get_fleet().get_unowned().size(), 1U);
     EXPECT_EQ(m_machine.get_fleet().find_worker("w")->epoch(), 3U);
     wire::command close;
     close.mutable_close()->set_entry("e1");
--- a/unit_tests/storage/raft_storage_test.cpp
+++ b/unit_tests/storage/raft_storage_test.cpp
@@ -28,7 +28,7 @@
 TEST(raft_storage, keeps_what_was_saved) {
     memory_file_system files;
     memory_storage storage(files, own_settings);
-    ASSERT_TRUE(storage.open().value().is_blank);
+    ASSERT_TRUE(storage.open().value().is_empty);
     ASSERT_TRUE(storage.form({{1, 2, 3}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 3, 1)));
     raft_output truncation;
@@ -37,7 +37,7 @@
     ASSERT_TRUE(storage.save(truncation));
     memory_storage reopened(files, own_settings);
     const auto state = reopened.open().value();
-    EXPECT_FALSE(state.is_blank);
+    EXPECT_FALSE(state.is_empty);
     EXPECT_EQ(state.initial.voters, (std::vector<node_id>{1, 2, 3}));
     ASSERT_EQ(state.entries.size(), 3U);
     EXPECT_EQ(state.entries[2].payload, "other");
@@ -56,7 +56,7 @@
     memory_storage reopened(files, own_settings);
     const auto state = reopened.open().value();
     EXPECT_EQ(state.entries.size(), 2U);
-    EXPECT_EQ(state.cut_bytes, 11U);
+    EXPECT_EQ(state.truncated_bytes, 11U);
     ASSERT_TRUE(reopened.save(make_entries(3, 1, 1)));
     memory_storage third(files, own_settings);
     EXPECT_EQ(third.open().value().entries.size(), 3U);
@@ -73,7 +73,7 @@
     files.get_files()["log-000000000001"][first_end + 20] ^= 1;
     memory_storage reopened(files, own_settings);
     EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt));
-    EXPECT_EQ(reopened.get_error_place(), "log-000000000001 at offset " + std::to_string(first_end));
+    EXPECT_EQ(reopened.get_error_location(), "log-000000000001 at offset " + std::to_string(first_end));
 }
 
 TEST(raft_storage, refuses_a_corrupt_snapshot_and_reports_its_offset) {
@@ -90,7 +90,7 @@
         files.get_files()["snapshot"][offset] ^= 0x10;
         memory_storage reopened(files, own_settings);
         EXPECT_EQ(reopened.open().error(), make_error_code(storage_errc::corrupt)) << "byte " << offset;
-        EXPECT_EQ(reopened.get_error_place(), "snapshot at offset 0");
+        EXPECT_EQ(reopened.get_error_location(), "snapshot at offset 0");
     }
     // A truncated snapshot is refused too: the log that it replaced is gone and cannot be rebuilt.
     files.get_files()["snapshot"] = intact.substr(0, intact.size() / 2);
--- a/unit_tests/support/raft_harness.h
+++ b/unit_tests/support/raft_harness.h
@@ -18,7 +18,7 @@
     int steps = 3000;
     bool has_membership = true; ///< members are added, promoted and removed
     bool has_drift = true;      ///< clocks run up to 5% fast or slow
-    bool sends_all_early =
+    bool sends_all_before_sync =
         false; ///< deliberate fault: sends all messages before the state they depend on is on disk
     raft_rules rules;
 };
@@ -35,7 +35,7 @@
     std::string run();
     /// Stops all faults and lets the nodes elect a leader and commit. Returns what they failed to do, or an
     /// empty text.
-    std::string settle();
+    std::string heal_and_commit();
     /// Returns a hash of all committed entries, to compare runs.
     [[nodiscard]] std::uint64_t hash_committed() const;
     [[nodiscard]] std::size_t get_committed_count() const { return m_committed.size(); }
@@ -57,10 +57,10 @@
         std::map<std::uint64_t, log_index> reads; ///< by token, the commit index when the read was requested
     };
 
-    void act();
+    void run_random_step();
     void start(node_id id);
     void crash(node_id id);
-    void carry_out(node_id id);
+    void process_output(node_id id);
     void persist(disk& stored, const raft_output& output);
     /// Sends the messages that a node may send before its disk is written.
     void send_early(const raft_output& output);
@@ -69,8 +69,8 @@
     void change_members(node_id leader);
     void compact(node_id id);
     void deliver_one();
-    [[nodiscard]] time_point now_of(const slot& self) const;
-    [[nodiscard]] node_id any_node();
+    [[nodiscard]] time_point get_local_time(const slot& self) const;
+    [[nodiscard]] node_id pick_node();
     int pick(int bound) { return static_cast<int>(m_random() % static_cast<std::uint64_t>(bound)); }
     void fail(const std::string& text);
 
