--- a/performance_test/placement_decisions.cpp
+++ b/performance_test/placement_decisions.cpp
@@ -1,13 +1,13 @@
-// Compares the production placer, relief ladder and choice of evictions with first fit and least loaded, with
-// and without eviction, on 16 fake workers. Requests are represented by the slowdown that they would see.
-// Prints the same table on every run.
+// Compares the production placer, relief escalation and choice of evictions with first fit and least loaded,
+// with and without eviction, on 16 fake workers. Requests are represented by the slowdown that they would
+// see. Prints the same table on every run.
 #include "performance_test/fake_workers.h"
 #include "poplarpitch/policy/baseline_placers.h"
 #include "poplarpitch/policy/cost_placer.h"
 #include "poplarpitch/policy/eviction_budget.h"
 #include "poplarpitch/policy/eviction_candidate.h"
-#include "poplarpitch/policy/probing_pick.h"
-#include "poplarpitch/policy/relief_ladder.h"
+#include "poplarpitch/policy/pick_or_probe.h"
+#include "poplarpitch/policy/relief_escalation.h"
 #include "poplarpitch/policy/usage_model.h"
 
 #include <cstdio>
@@ -55,7 +55,7 @@
     placement_run(const policy_settings& policy, const scenario& setup, std::uint64_t seed)
         : m_policy(policy), m_scenario(setup), m_random(seed), m_placer(policy.objective),
           m_workers(worker_count),
-          m_ladders(worker_count, relief_ladder(make_relief_settings(policy.objective))),
+          m_reliefs(worker_count, relief_escalation(make_relief_settings(policy.objective))),
           m_observed_slowdowns(worker_count, 1.0) {
         for (int index = 0; index < worker_count; ++index) {
             m_workers[index].speed = index % 2 == 0 ? 1.8 : 1.0;
@@ -140,7 +140,7 @@
                 candidate.slowdown = static_cast<float>(m_observed_slowdowns[index]);
                 candidate.services = {{0, static_cast<float>(worker.busy)}};
                 candidate.is_open =
-                    !m_policy.is_production || m_ladders[index].get_step() == relief_step::none;
+                    !m_policy.is_production || m_reliefs[index].get_level() == relief_level::none;
             }
             auto task = m_queue.front();
             task.reserved = get_reservation(task);
@@ -169,7 +169,7 @@
         for (int index = 0; index < worker_count; ++index) {
             auto& worker = m_workers[index];
             const bool is_throttled =
-                m_policy.is_production && m_ladders[index].get_step() >= relief_step::throttle;
+                m_policy.is_production && m_reliefs[index].get_level() >= relief_level::throttle;
             const double core_share = get_core_share(worker);
             for (auto& task : worker.tasks) {
                 const double done = tick_s / worker.speed * core_share * (is_throttled ? 0.5 : 1.0);
@@ -190,7 +190,7 @@
         for (int index = 0; index < worker_count; ++index) {
             const auto& worker = m_workers[index];
             const bool is_throttled =
-                m_policy.is_production && m_ladders[index].get_step() >= relief_step::throttle;
+                m_policy.is_production && m_reliefs[index].get_level() >= relief_level::throttle;
             // An entry learns the base time of a service under its normal load, so the load alone does not
             // count as a slowdown.
             const double load = 1 + 0.3 * static_cast<double>(worker.busy) / worker.slots;
@@ -217,8 +217,8 @@
                 }
                 continue;
             }
-            m_ladders[index].update(m_observed_slowdowns[index], now);
-            if (!m_ladders[index].is_eviction_due(now)) {
+            m_reliefs[index].update(m_observed_slowdowns[index], now);
+            if (!m_reliefs[index].is_eviction_due(now)) {
                 continue;
             }
             std::vector<eviction_candidate> candidates;
@@ -231,7 +231,7 @@
             const auto picked = pick_eviction(candidates);
             if (picked.has_value() && m_budget.try_take(now)) {
                 evict(worker, *picked);
-                m_ladders[index].on_evicted(now);
+                m_reliefs[index].on_evicted(now);
             }
         }
     }
@@ -258,7 +258,7 @@
     probe_timer m_probes;
     std::deque<usage_report> m_reports; ///< by due tick
     std::vector<fake_worker> m_workers;
-    std::vector<relief_ladder> m_ladders;
+    std::vector<relief_escalation> m_reliefs;
     std::vector<double> m_observed_slowdowns;
     eviction_budget m_budget;
     std::deque<fake_task> m_queue;
--- a/poplarpitch/control/job_scheduler.cpp
+++ b/poplarpitch/control/job_scheduler.cpp
@@ -2,7 +2,7 @@
 
 #include "poplarpitch/control/session_registry.h"
 #include "poplarpitch/policy/cost_placer.h"
-#include "poplarpitch/policy/probing_pick.h"
+#include "poplarpitch/policy/pick_or_probe.h"
 #include "poplarpitch/state/amounts_codec.h"
 #include "poplarpitch/state/state_machine.h"
 
@@ -166,13 +166,13 @@
     const auto* by_rack = tenant < m_spread.size() ? &m_spread[tenant] : nullptr;
     for (auto& candidate : m_candidates) {
         const bool has_tasks = by_rack != nullptr && candidate.rack < by_rack->size();
-        candidate.same_job_tenant = has_tasks ? (*by_rack)[candidate.rack] : std::uint16_t{0};
-        candidate.is_failed_before = false;
+        candidate.tenant_tasks_in_rack = has_tasks ? (*by_rack)[candidate.rack] : std::uint16_t{0};
+        candidate.has_failed_before = false;
     }
     for (const auto& failed : job.failed_workers()) {
         const auto found = std::lower_bound(m_candidate_ids.begin(), m_candidate_ids.end(), failed);
         if (found != m_candidate_ids.end() && *found == failed) {
-            m_candidates[static_cast<std::size_t>(found - m_candidate_ids.begin())].is_failed_before = true;
+            m_candidates[static_cast<std::size_t>(found - m_candidate_ids.begin())].has_failed_before = true;
         }
     }
 }
--- a/poplarpitch/entry/entry_state.cpp
+++ b/poplarpitch/entry/entry_state.cpp
@@ -29,13 +29,13 @@
     return entries;
 }
 
-const char* get_trust_name(worker_trust trust) {
-    switch (trust) {
-    case worker_trust::trusted:
+const char* get_eligibility_name(worker_eligibility eligibility) {
+    switch (eligibility) {
+    case worker_eligibility::trusted:
         return "trusted";
-    case worker_trust::probation:
+    case worker_eligibility::probation:
         return "probation";
-    case worker_trust::quarantined:
+    case worker_eligibility::quarantined:
         return "quarantined";
     }
     return "unknown";
@@ -101,7 +101,7 @@
         load.set_speed(models.speed.get_factor(worker.number));
         load.set_leaving(worker.is_leaving);
         load.set_ready(worker.is_usable());
-        load.set_relieved(worker.ladder.get_step() != relief_step::none);
+        load.set_relieved(worker.relief.get_level() != relief_level::none);
         for (auto& [service, count] : m_request_counts[id]) {
             (*load.mutable_rates())[service] = static_cast<double>(count) / elapsed;
             count = 0;
@@ -308,13 +308,13 @@
     auto list = nlohmann::json::array();
     for (const auto& [id, worker] : m_fleet.get_workers()) {
         const auto free = worker.ledger.get_free();
-        auto health = worker.health; // get_trust may end a quarantine, so it is called on a copy
+        auto health = worker.health; // get_eligibility may end a quarantine, so it is called on a copy
         list.push_back({{"id", id},
                         {"epoch", worker.epoch},
                         {"ready", worker.is_usable()},
                         {"leaving", worker.is_leaving},
                         {"silent", worker.is_silent},
-                        {"trust", get_trust_name(health.get_trust(m_clock.now()))},
+                        {"trust", get_eligibility_name(health.get_eligibility(m_clock.now()))},
                         {"outstanding", worker.outstanding},
                         {"doubtful", worker.doubtful.size()},
                         {"tasks", worker.tasks.size()},
--- a/poplarpitch/entry/owned_fleet.cpp
+++ b/poplarpitch/entry/owned_fleet.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double slowdown_window_requests = 40; // number of requests over which an old slowdown decays
-constexpr double max_slowdown_sample = 10;      // one stuck request must not raise the relief step alone
+constexpr double max_slowdown_sample = 10;      // one stuck request must not raise the relief level alone
 constexpr double peak_decay_factor = 0.9;       // applied at each tick
 
 /// Returns how many times `need` fits into `free`.
@@ -41,7 +41,7 @@
         m_models.interference.set_prior(m_models.batches.get(batch.name), batch.noise);
     }
     for (auto& [id, worker] : m_workers) {
-        worker.ladder.set_settings(make_relief_settings(m_settings->objective));
+        worker.relief.set_settings(make_relief_settings(m_settings->objective));
     }
     rebuild_tables({});
 }
@@ -68,7 +68,7 @@
         worker.services.assign(record.services().begin(), record.services().end());
         worker.logged_incarnation = record.incarnation();
         worker.ledger.set_capacity(decode(record.capacity()));
-        worker.ladder.set_settings(make_relief_settings(m_settings->objective));
+        worker.relief.set_settings(make_relief_settings(m_settings->objective));
     }
     std::erase_if(m_workers, [&](const auto& item) { return !names.contains(item.first); });
     rebuild_tables(now);
@@ -124,9 +124,9 @@
 }
 
 void owned_fleet::refresh_counts(owned_worker& worker, time_point now) {
-    const auto trust = worker.health.get_trust(now);
-    const bool is_blocked =
-        trust == worker_trust::quarantined || (trust == worker_trust::probation && worker.outstanding > 0);
+    const auto eligibility = worker.health.get_eligibility(now);
+    const bool is_blocked = eligibility == worker_eligibility::quarantined ||
+                            (eligibility == worker_eligibility::probation && worker.outstanding > 0);
     for (const auto& row : worker.rows) {
         auto& table = m_tables[row.service];
         auto& candidate = table.candidates[row.row];
@@ -161,7 +161,7 @@
     worker->is_leaving = message.is_leaving;
     if (message.epoch == worker->epoch) {
         worker->ledger.set_capacity(message.capacity);
-        worker->ledger.set_foreign(message.old_work);
+        worker->ledger.set_old_epoch_usage(message.old_work);
         release_ended_requests(*worker, message);
         // The complete list under this epoch proves that nothing unknown runs on the worker. Control must
         // know the process first, because an assignment names its incarnation.
--- a/poplarpitch/entry/owned_worker.h
+++ b/poplarpitch/entry/owned_worker.h
@@ -3,7 +3,7 @@
 #include "poplarpitch/core/resources.h"
 #include "poplarpitch/core/time.h"
 #include "poplarpitch/entry/owned_task.h"
-#include "poplarpitch/policy/relief_ladder.h"
+#include "poplarpitch/policy/relief_escalation.h"
 #include "poplarpitch/policy/worker_health.h"
 #include "poplarpitch/policy/worker_ledger.h"
 
@@ -43,7 +43,7 @@
     std::vector<std::string> services;
     worker_ledger ledger{};
     worker_health health{};
-    relief_ladder ladder{};
+    relief_escalation relief{};
     time_point last_heard{};
     bool is_leaving = false;
     bool is_silent = false; ///< while silent, its task leases are not renewed and nothing is started on it
--- a/poplarpitch/entry/task_agent.cpp
+++ b/poplarpitch/entry/task_agent.cpp
@@ -94,7 +94,7 @@
             continue;
         }
         relieve(worker, now);
-        const bool is_pressed = worker.ladder.get_step() >= relief_step::throttle;
+        const bool is_pressed = worker.relief.get_level() >= relief_level::throttle;
         for (auto& [job, task] : worker.tasks) {
             task_action action;
             action.worker = id;
@@ -142,9 +142,9 @@
 }
 
 void task_agent::relieve(owned_worker& worker, time_point now) {
-    worker.ladder.update(worker.slowdown, now);
+    worker.relief.update(worker.slowdown, now);
     const bool is_leaving = worker.is_leaving; // its idempotent tasks move regardless of load
-    if (!worker.ladder.is_eviction_due(now) && !is_leaving) {
+    if (!worker.relief.is_eviction_due(now) && !is_leaving) {
         return;
     }
     std::vector<eviction_candidate> candidates;
@@ -173,7 +173,7 @@
     const auto picked = pick_eviction(candidates);
     if (picked.has_value() && m_budget.try_take(now)) {
         evict(*tasks[*picked]);
-        worker.ladder.on_evicted(now);
+        worker.relief.on_evicted(now);
     }
 }
 
--- a/poplarpitch/entry/task_agent.h
+++ b/poplarpitch/entry/task_agent.h
@@ -24,7 +24,7 @@
     /// Applies the jobs of a renewal's answer. With `owned_changed` its job ids are all jobs on owned
     /// workers, and tasks of other jobs are dropped.
     void apply_jobs(const wire::renew_answer& answer, time_point now);
-    /// Returns the calls to workers that are due. Also updates the relief ladders for `now`.
+    /// Returns the calls to workers that are due. Also updates the relief of workers for `now`.
     std::vector<task_action> get_actions(time_point now);
     /// Returns the events for the log that are due: refused and lost tasks, and marks of workers that have
     /// been silent for longer than `silence`. Events of tasks stay due until control confirms them.
--- a/poplarpitch/policy/cost_placer.cpp
+++ b/poplarpitch/policy/cost_placer.cpp
@@ -70,7 +70,7 @@
     if (request.need.accelerators == 0 && candidate.free.accelerators > 0) {
         waste += m_settings.accelerator_weight;
     }
-    const float spread = m_settings.spread_weight * static_cast<float>(candidate.same_job_tenant);
+    const float spread = m_settings.spread_weight * static_cast<float>(candidate.tenant_tasks_in_rack);
     return tail + time + waste * m_throughput_weight + spread;
 }
 
@@ -81,7 +81,7 @@
     float best_cost = 0;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         const auto& candidate = candidates[index];
-        if (!candidate.is_open || candidate.is_failed_before || !candidate.free.holds(request.need)) {
+        if (!candidate.is_open || candidate.has_failed_before || !candidate.free.holds(request.need)) {
             continue;
         }
         const float growth = get_growth(candidate, request, interference);
--- a/poplarpitch/policy/placement_candidate.h
+++ b/poplarpitch/policy/placement_candidate.h
@@ -21,12 +21,12 @@
 struct placement_candidate {
     resources capacity;
     resources free;
-    float speed = 1;                   ///< run time relative to that on a typical worker
-    float slowdown = 1;                ///< measured latency of its services divided by the expected one
-    std::uint32_t rack = 0;            ///< dense index of the rack
-    std::uint16_t same_job_tenant = 0; ///< tasks of this tenant in the same rack, for spreading
-    bool is_open = true;           ///< accepts new tasks: not silent, leaving, quarantined or under relief
-    bool is_failed_before = false; ///< the job has already failed on this worker
+    float speed = 1;                        ///< run time relative to that on a typical worker
+    float slowdown = 1;                     ///< measured latency of its services divided by the expected one
+    std::uint32_t rack = 0;                 ///< dense index of the rack
+    std::uint16_t tenant_tasks_in_rack = 0; ///< tasks of this tenant in the same rack, for spreading
+    bool is_open = true;            ///< accepts new tasks: not silent, leaving, quarantined or under relief
+    bool has_failed_before = false; ///< the job has already failed on this worker
     std::vector<service_load> services;
 
     friend bool operator==(const placement_candidate&, const placement_candidate&) = default;
--- a/poplarpitch/policy/relief_ladder.cpp
+++ b/poplarpitch/policy/relief_escalation.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/policy/relief_ladder.h"
+#include "poplarpitch/policy/relief_escalation.h"
 
 #include <algorithm>
 
@@ -15,35 +15,35 @@
     return settings;
 }
 
-relief_ladder::relief_ladder(const relief_settings& settings) : m_settings(settings) {}
+relief_escalation::relief_escalation(const relief_settings& settings) : m_settings(settings) {}
 
-relief_step relief_ladder::update(double slowdown, time_point now) {
+relief_level relief_escalation::update(double slowdown, time_point now) {
     const bool is_under_pressure = slowdown >= m_settings.enter_slowdown;
     const bool has_recovered = slowdown <= m_settings.exit_slowdown;
     if (is_under_pressure != m_is_under_pressure || has_recovered != m_has_recovered) {
         m_is_under_pressure = is_under_pressure;
         m_has_recovered = has_recovered;
         m_state_since = now;
-        return m_step;
+        return m_level;
     }
     if (is_under_pressure && now - m_state_since >= m_settings.escalate_after &&
-        m_step != relief_step::evict) {
-        m_step = static_cast<relief_step>(static_cast<int>(m_step) + 1);
+        m_level != relief_level::evict) {
+        m_level = static_cast<relief_level>(static_cast<int>(m_level) + 1);
         m_state_since = now;
     } else if (has_recovered && now - m_state_since >= m_settings.deescalate_after &&
-               m_step != relief_step::none) {
-        m_step = static_cast<relief_step>(static_cast<int>(m_step) - 1);
+               m_level != relief_level::none) {
+        m_level = static_cast<relief_level>(static_cast<int>(m_level) - 1);
         m_state_since = now;
     }
-    return m_step;
+    return m_level;
 }
 
-bool relief_ladder::is_eviction_due(time_point now) const {
-    return m_step == relief_step::evict && m_is_under_pressure &&
+bool relief_escalation::is_eviction_due(time_point now) const {
+    return m_level == relief_level::evict && m_is_under_pressure &&
            (m_last_eviction == time_point{} || now - m_last_eviction >= m_settings.min_eviction_interval);
 }
 
-void relief_ladder::on_evicted(time_point now) {
+void relief_escalation::on_evicted(time_point now) {
     m_last_eviction = now;
 }
 
--- a/poplarpitch/policy/worker_health.h
+++ b/poplarpitch/policy/worker_health.h
@@ -18,7 +18,7 @@
 };
 
 /// Whether a worker may be given work.
-enum class worker_trust : std::uint8_t {
+enum class worker_eligibility : std::uint8_t {
     trusted,
     probation,   ///< one request or task at a time
     quarantined, ///< gets no work
@@ -36,11 +36,11 @@
     /// Records a failure that the worker caused.
     void on_failure(time_point now);
     /// Returns whether the worker may be given work now. A quarantine that is over becomes probation.
-    worker_trust get_trust(time_point now);
+    worker_eligibility get_eligibility(time_point now);
 
 private:
     worker_health_settings m_settings;
-    worker_trust m_trust = worker_trust::trusted;
+    worker_eligibility m_eligibility = worker_eligibility::trusted;
     int m_failures = 0;  ///< consecutive
     int m_successes = 0; ///< consecutive, on probation
     duration m_quarantine;
--- a/poplarpitch/policy/worker_ledger.h
+++ b/poplarpitch/policy/worker_ledger.h
@@ -13,9 +13,10 @@
 
 /// Accounts for the resources of one worker, on behalf of its only owner: the capacity and what is granted to
 /// requests and tasks together. This class alone ensures that a worker is not given more than it can hold, so
-/// entries need no agreement on it. The invariant: `try_acquire` and `resize` never let granted + foreign
-/// exceed the capacity. When the capacity shrinks, or the worker reports more foreign work than is free,
-/// nothing new is granted until enough has been released. Thread safety: none, as for all methods.
+/// entries need no agreement on it. The invariant: `try_acquire` and `resize` never let the grants plus
+/// the usage of older epochs exceed the capacity. When the capacity shrinks, or the worker reports more usage
+/// of older epochs than is free, nothing new is granted until enough has been released. Thread safety: none,
+/// as for all methods.
 class worker_ledger {
 public:
     /// Starts closed: nothing is granted before the worker has reported everything it runs.
@@ -35,7 +36,7 @@
     /// Sets the worker's current capacity. Precondition: it is valid.
     void set_capacity(const resources& capacity) { m_capacity = capacity; }
     /// Sets the resources of what the worker runs for earlier owners. Precondition: they are valid.
-    void set_foreign(const resources& foreign) { m_foreign = foreign; }
+    void set_old_epoch_usage(const resources& usage) { m_old_epoch_usage = usage; }
     /// Opens or closes the ledger for new grants.
     void set_open(bool is_open) { m_is_open = is_open; }
 
@@ -44,15 +45,15 @@
     [[nodiscard]] bool has(grant_id id) const { return m_grants.contains(id); }
     [[nodiscard]] const resources& get_capacity() const { return m_capacity; }
     /// Returns the sum of the grants.
-    [[nodiscard]] const resources& get_given() const { return m_granted; }
+    [[nodiscard]] const resources& get_granted() const { return m_granted; }
     /// Returns what may still be granted; negative where the worker is overcommitted.
-    [[nodiscard]] resources get_free() const { return m_capacity - m_granted - m_foreign; }
+    [[nodiscard]] resources get_free() const { return m_capacity - m_granted - m_old_epoch_usage; }
     [[nodiscard]] std::size_t get_grant_count() const { return m_grants.size(); }
 
 private:
     resources m_capacity;
-    resources m_granted; ///< sum of the grants
-    resources m_foreign; ///< reported by the worker as started under older epochs
+    resources m_granted;         ///< sum of the grants
+    resources m_old_epoch_usage; ///< reported by the worker as started under older epochs
     absl::flat_hash_map<grant_id, resources> m_grants;
     bool m_is_open = false;
 };
--- a/unit_tests/entry/task_agent_test.cpp
+++ b/unit_tests/entry/task_agent_test.cpp
@@ -60,7 +60,7 @@
     const auto actions = m_tasks.get_actions(m_now);
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_EQ(actions[0].verb, task_verb::start);
-    EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000);
+    EXPECT_EQ(m_fleet.find("w")->ledger.get_granted().millicores, 1000);
     const auto events = answer_start(start_result::started);
     ASSERT_EQ(events.size(), 1U);
     EXPECT_EQ(events[0].event().kind(), wire::event_started);
@@ -73,7 +73,7 @@
     EXPECT_TRUE(m_tasks.get_actions(m_now).empty());
     m_now += seconds{1};
     EXPECT_EQ(m_tasks.get_actions(m_now).size(), 1U);
-    EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000);
+    EXPECT_EQ(m_fleet.find("w")->ledger.get_granted().millicores, 1000);
 }
 
 TEST_F(task_agent_test, refusal_by_a_newer_epoch_after_a_lost_answer_raises_no_event) {
@@ -97,7 +97,7 @@
     refuse_after_lost_answer();
     announce(make_announcement(2, true));
     EXPECT_TRUE(m_events.empty()); // the first start may still arrive
-    EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000);
+    EXPECT_EQ(m_fleet.find("w")->ledger.get_granted().millicores, 1000);
 }
 
 TEST_F(task_agent_test, refusal_of_a_repeated_start_does_not_end_an_unanswered_one) {
@@ -118,7 +118,7 @@
     EXPECT_EQ(only_event_kind(), wire::event_refused);
     commit(wire::event_refused);
     EXPECT_TRUE(m_fleet.find("w")->tasks.empty());
-    EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 0);
+    EXPECT_EQ(m_fleet.find("w")->ledger.get_granted().millicores, 0);
 }
 
 TEST_F(task_agent_test, repeats_the_stop_of_a_refused_repeat_until_it_is_answered) {
@@ -227,12 +227,12 @@
     const auto events = answer_start(start_result::refused);
     ASSERT_EQ(events.size(), 1U);
     EXPECT_EQ(events[0].event().kind(), wire::event_refused);
-    EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 0);
+    EXPECT_EQ(m_fleet.find("w")->ledger.get_granted().millicores, 0);
 }
 
 TEST_F(task_agent_test, adopts_a_running_task_of_the_last_owner) {
     m_tasks.apply_jobs(make_jobs(wire::job_running, 1), m_now);
-    EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 1000); // charged to the ledger at once
+    EXPECT_EQ(m_fleet.find("w")->ledger.get_granted().millicores, 1000); // charged to the ledger at once
     EXPECT_FALSE(m_tasks.may_renew_leases(*m_fleet.find("w")));
     announce(make_running_announcement());
     EXPECT_EQ(only_event_kind(), wire::event_started);
@@ -312,7 +312,7 @@
     EXPECT_EQ(only_event_kind(), wire::event_finished);
     commit(wire::event_finished);
     EXPECT_TRUE(m_fleet.find("w")->tasks.empty());
-    EXPECT_EQ(m_fleet.find("w")->ledger.get_given().millicores, 0);
+    EXPECT_EQ(m_fleet.find("w")->ledger.get_granted().millicores, 0);
 }
 
 TEST_F(task_agent_test, throttles_then_evicts_under_lasting_pressure) {
--- a/unit_tests/policy/limits_test.cpp
+++ b/unit_tests/policy/limits_test.cpp
@@ -4,7 +4,7 @@
 #include "poplarpitch/policy/eviction_budget.h"
 #include "poplarpitch/policy/eviction_candidate.h"
 #include "poplarpitch/policy/probe_timer.h"
-#include "poplarpitch/policy/relief_ladder.h"
+#include "poplarpitch/policy/relief_escalation.h"
 #include "poplarpitch/policy/retry_budget.h"
 #include "poplarpitch/policy/worker_health.h"
 
@@ -55,38 +55,38 @@
     EXPECT_EQ(limit.get_limit(), before);
 }
 
-TEST(relief_ladder, escalates_only_under_lasting_pressure) {
-    relief_ladder ladder;
+TEST(relief_escalation, escalates_only_under_lasting_pressure) {
+    relief_escalation relief;
     // Waves shorter than `escalate_after` never escalate.
     for (int wave = 0; wave < 20; ++wave) {
-        ladder.update(3.0, at(wave * 2));
-        ladder.update(1.0, at(wave * 2 + 1));
+        relief.update(3.0, at(wave * 2));
+        relief.update(1.0, at(wave * 2 + 1));
     }
-    EXPECT_EQ(ladder.get_step(), relief_step::none);
-    ladder.update(3.0, at(100));
-    EXPECT_EQ(ladder.update(3.0, at(101.6)), relief_step::stop_placing);
-    EXPECT_EQ(ladder.update(3.0, at(103.2)), relief_step::throttle);
-    EXPECT_EQ(ladder.update(3.0, at(104.8)), relief_step::evict);
-    EXPECT_TRUE(ladder.is_eviction_due(at(104.8)));
-    ladder.on_evicted(at(104.8));
-    EXPECT_FALSE(ladder.is_eviction_due(at(106)));
-    EXPECT_TRUE(ladder.is_eviction_due(at(115)));
+    EXPECT_EQ(relief.get_level(), relief_level::none);
+    relief.update(3.0, at(100));
+    EXPECT_EQ(relief.update(3.0, at(101.6)), relief_level::stop_placing);
+    EXPECT_EQ(relief.update(3.0, at(103.2)), relief_level::throttle);
+    EXPECT_EQ(relief.update(3.0, at(104.8)), relief_level::evict);
+    EXPECT_TRUE(relief.is_eviction_due(at(104.8)));
+    relief.on_evicted(at(104.8));
+    EXPECT_FALSE(relief.is_eviction_due(at(106)));
+    EXPECT_TRUE(relief.is_eviction_due(at(115)));
 }
 
-TEST(relief_ladder, tolerates_more_slowdown_where_throughput_weighs_more) {
+TEST(relief_escalation, tolerates_more_slowdown_where_throughput_weighs_more) {
     EXPECT_EQ(make_relief_settings({3, 1, 1}).enter_slowdown, relief_settings{}.enter_slowdown);
     EXPECT_GT(make_relief_settings({1, 3, 3}).enter_slowdown, 2.5);
     EXPECT_LT(make_relief_settings({1, 3, 3}).exit_slowdown, make_relief_settings({1, 3, 3}).enter_slowdown);
 }
 
-TEST(relief_ladder, stays_between_its_thresholds) {
-    relief_ladder ladder;
-    ladder.update(3.0, at(0));
-    ladder.update(3.0, at(2));
-    ladder.update(1.4, at(3));
-    EXPECT_EQ(ladder.update(1.4, at(60)), relief_step::stop_placing);
-    ladder.update(1.0, at(61));
-    EXPECT_EQ(ladder.update(1.0, at(67)), relief_step::none);
+TEST(relief_escalation, stays_between_its_thresholds) {
+    relief_escalation relief;
+    relief.update(3.0, at(0));
+    relief.update(3.0, at(2));
+    relief.update(1.4, at(3));
+    EXPECT_EQ(relief.update(1.4, at(60)), relief_level::stop_placing);
+    relief.update(1.0, at(61));
+    EXPECT_EQ(relief.update(1.0, at(67)), relief_level::none);
 }
 
 TEST(eviction_budget, bounds_evictions_over_all_workers) {
@@ -117,19 +117,20 @@
         health.on_failure(at(0));
         health.on_success();
     }
-    EXPECT_EQ(health.get_trust(at(0)), worker_trust::trusted);
+    EXPECT_EQ(health.get_eligibility(at(0)), worker_eligibility::trusted);
     for (int index = 0; index < 5; ++index) {
         health.on_failure(at(1));
     }
-    EXPECT_EQ(health.get_trust(at(2)), worker_trust::quarantined);
-    EXPECT_EQ(health.get_trust(at(7)), worker_trust::probation);
+    EXPECT_EQ(health.get_eligibility(at(2)), worker_eligibility::quarantined);
+    EXPECT_EQ(health.get_eligibility(at(7)), worker_eligibility::probation);
     health.on_failure(at(7));
-    EXPECT_EQ(health.get_trust(at(13)), worker_trust::quarantined); // the second quarantine is twice as long
-    EXPECT_EQ(health.get_trust(at(18)), worker_trust::probation);
+    EXPECT_EQ(health.get_eligibility(at(13)),
+              worker_eligibility::quarantined); // the second quarantine is twice as long
+    EXPECT_EQ(health.get_eligibility(at(18)), worker_eligibility::probation);
     for (int index = 0; index < 3; ++index) {
         health.on_success();
     }
-    EXPECT_EQ(health.get_trust(at(18)), worker_trust::trusted);
+    EXPECT_EQ(health.get_eligibility(at(18)), worker_eligibility::trusted);
 }
 
 TEST(dependency_graph, finds_unavailable_direct_and_indirect_dependencies) {
--- a/unit_tests/policy/worker_ledger_test.cpp
+++ b/unit_tests/policy/worker_ledger_test.cpp
@@ -41,22 +41,22 @@
     ASSERT_TRUE(ledger.try_acquire(1, {6, 0, 0, 0}));
     ledger.set_capacity({4, 64000, 1000, 2});
     EXPECT_FALSE(ledger.try_acquire(2, {1, 0, 0, 0}));
-    ledger.set_foreign({4, 0, 0, 0});
+    ledger.set_old_epoch_usage({4, 0, 0, 0});
     ASSERT_TRUE(ledger.release(1));
     EXPECT_FALSE(ledger.try_acquire(2, {1, 0, 0, 0}));
-    ledger.set_foreign({});
+    ledger.set_old_epoch_usage({});
     EXPECT_TRUE(ledger.try_acquire(2, {1, 0, 0, 0}));
 }
 
 RC_GTEST_PROP(worker_ledger, never_grants_more_than_the_capacity, ()) {
     auto ledger = make_open_ledger();
     std::map<grant_id, resources> model;
-    resources foreign;
+    resources old_usage;
     const int steps = *rc::gen::inRange(1, 300);
     for (int step = 0; step < steps; ++step) {
         const auto id = static_cast<grant_id>(*rc::gen::inRange(1, 12));
         const auto need = generate_need();
-        resources sum = foreign;
+        resources sum = old_usage;
         for (const auto& [key, held] : model) {
             sum += held;
         }
@@ -85,13 +85,13 @@
             break;
         }
         default:
-            if (capacity.holds(sum - foreign + need)) {
-                foreign = need;
-                ledger.set_foreign(foreign);
+            if (capacity.holds(sum - old_usage + need)) {
+                old_usage = need;
+                ledger.set_old_epoch_usage(old_usage);
             }
             break;
         }
-        RC_ASSERT(capacity.holds(ledger.get_given() + foreign));
+        RC_ASSERT(capacity.holds(ledger.get_granted() + old_usage));
     }
 }
 
