--- a/performance_test/admission_decisions.cpp
+++ b/performance_test/admission_decisions.cpp
@@ -43,14 +43,14 @@
             record.mutable_capacity()->set_slots(slots);
             records.push_back(record);
         }
-        m_fleet.set_owned(records, m_clock.now());
+        m_fleet.set_owned_workers(records, m_clock.now());
         for (const auto& record : records) {
             announcement message;
             message.id = record.id();
             message.capacity = {slots, 0, 0, 0};
             message.epoch = 1;
             message.is_complete = true;
-            m_fleet.take_announcement(message, m_clock.now());
+            m_fleet.apply_announcement(message, m_clock.now());
         }
         m_dispatcher.set_entries({});
     }
@@ -78,7 +78,7 @@
     };
     struct waiting_item {
         admission_ticket ticket;
-        time_point give_up{};
+        time_point give_up_at{};
     };
 
     void advance(double step_ms) {
@@ -92,7 +92,7 @@
             m_dispatcher.finish(item.grant, attempt_result::answered,
                                 duration{static_cast<std::int64_t>(item.time_ms * 1e6)}, m_clock.now());
             give_up();
-            for (auto& served : m_dispatcher.serve_waiting(m_clock.now())) {
+            for (auto& served : m_dispatcher.grant_waiting(m_clock.now())) {
                 const auto found = m_waiting.find(served.ticket);
                 start(served.grant, found->second.ticket.deadline);
                 m_waiting.erase(found);
@@ -104,9 +104,9 @@
 
     void give_up() {
         for (auto item = m_waiting.begin(); item != m_waiting.end();) {
-            const auto end = m_waits_until_deadline ? item->second.ticket.deadline : item->second.give_up;
+            const auto end = m_waits_until_deadline ? item->second.ticket.deadline : item->second.give_up_at;
             if (m_clock.now() >= end) {
-                m_dispatcher.abandon("s", item->second.ticket);
+                m_dispatcher.cancel_wait("s", item->second.ticket);
                 item = m_waiting.erase(item);
                 ++m_refused;
             } else {
@@ -137,7 +137,7 @@
         if (auto* grant = std::get_if<request_grant>(&decision)) {
             start(*grant, call.deadline);
         } else if (auto* wait = std::get_if<wait_decision>(&decision)) {
-            m_waiting[wait->ticket.id] = {wait->ticket, wait->give_up};
+            m_waiting[wait->ticket.id] = {wait->ticket, wait->give_up_at};
         } else {
             ++m_refused;
         }
--- a/performance_test/decision_benchmark.cpp
+++ b/performance_test/decision_benchmark.cpp
@@ -80,14 +80,14 @@
         record.mutable_capacity()->set_millicores(64000);
         records.push_back(record);
     }
-    fleet.set_owned(records, {});
+    fleet.set_owned_workers(records, {});
     for (auto& [id, worker] : fleet.get_workers()) {
         announcement message;
         message.id = id;
         message.capacity = {8, 64000, 0, 0};
         message.epoch = 1;
         message.is_complete = true;
-        fleet.take_announcement(message, {});
+        fleet.apply_announcement(message, {});
         for (int task = 0; task < tasks; ++task) {
             auto& item = worker.tasks["j" + std::to_string(task)];
             item.job = "j" + std::to_string(task);
--- a/poplarpitch/control/control_node_calls.cpp
+++ b/poplarpitch/control/control_node_calls.cpp
@@ -172,7 +172,7 @@
 Answer control_node::call_on_control_thread(std::function<void(std::function<void(const Answer&)>)> work) {
     const auto slot = std::make_shared<answer_slot<Answer>>();
     const bool is_posted = m_task_queue.post(
-        [work = std::move(work), slot] { work([slot](const Answer& answer) { slot->give(answer); }); });
+        [work = std::move(work), slot] { work([slot](const Answer& answer) { slot->set_value(answer); }); });
     constexpr duration max_wait = seconds{10}; // longer than the callers' own deadlines
     return is_posted ? slot->wait_for(max_wait).value_or(Answer{}) : Answer{};
 }
--- a/poplarpitch/core/answer_slot.h
+++ b/poplarpitch/core/answer_slot.h
@@ -16,7 +16,7 @@
 class answer_slot {
 public:
     /// Sets the result and wakes the waiting thread. Precondition: called once.
-    void give(const Answer& answer) {
+    void set_value(const Answer& answer) {
         m_answer = answer;
         m_ready.Notify();
     }
--- a/poplarpitch/entry/announce_handler.cpp
+++ b/poplarpitch/entry/announce_handler.cpp
@@ -84,7 +84,7 @@
 }
 
 void announce_handler::commit_events(const announcement& message, announce_answer& answer) {
-    const auto events = m_state.take_announcement(message, get_wall_ms());
+    const auto events = m_state.apply_announcement(message, get_wall_ms());
     if (events.empty()) {
         return;
     }
--- a/poplarpitch/entry/announcement.h
+++ b/poplarpitch/entry/announcement.h
@@ -13,7 +13,7 @@
 struct running_task {
     std::string job;
     std::uint64_t attempt = 0;
-    duration unsaved{}; ///< work since its last checkpoint
+    duration uncheckpointed_work{}; ///< work since its last checkpoint
 
     friend auto operator<=>(const running_task&, const running_task&) = default;
 };
@@ -49,7 +49,7 @@
     bool is_leaving = false;
     bool is_complete = false;
     std::vector<std::string> requests; ///< ids of the requests that it runs
-    resources old_work;                ///< used by requests that were started under older epochs
+    resources old_epoch_usage;         ///< used by requests that were started under older epochs
     std::vector<running_task> tasks;
     std::vector<task_report> reports;
 
--- a/poplarpitch/entry/announcement_codec.cpp
+++ b/poplarpitch/entry/announcement_codec.cpp
@@ -193,7 +193,7 @@
         }
         value.requests.push_back(item.get<std::string>());
     }
-    value.old_work = read_resources(object, "old_work");
+    value.old_epoch_usage = read_resources(object, "old_work");
     read_tasks(object, value);
     for (const auto& item : read_list(object, "reports")) {
         value.reports.push_back(read_report(item));
@@ -227,11 +227,12 @@
                    {"leaving", value.is_leaving},
                    {"complete", value.is_complete},
                    {"requests", value.requests},
-                   {"old_work", write_resources(value.old_work)}};
+                   {"old_work", write_resources(value.old_epoch_usage)}};
     auto& tasks = object["tasks"] = json::array();
     for (const auto& task : value.tasks) {
-        tasks.push_back(
-            {{"job", task.job}, {"attempt", task.attempt}, {"unsaved_ms", to_milliseconds(task.unsaved)}});
+        tasks.push_back({{"job", task.job},
+                         {"attempt", task.attempt},
+                         {"unsaved_ms", to_milliseconds(task.uncheckpointed_work)}});
     }
     auto& reports = object["reports"] = json::array();
     for (const auto& report : value.reports) {
--- a/poplarpitch/entry/entry_state.cpp
+++ b/poplarpitch/entry/entry_state.cpp
@@ -18,7 +18,7 @@
         remote_entry entry;
         entry.id = digest.entry();
         entry.address = digest.http_address();
-        entry.is_near = digest.data_centre() == data_centre;
+        entry.is_same_data_centre = digest.data_centre() == data_centre;
         for (const auto& service : digest.services()) {
             entry.services[service.service()] = {service.free(), service.total()};
         }
@@ -63,13 +63,13 @@
         m_published = m_settings;
     }
     if (answer.owned_changed()) {
-        m_fleet.set_owned({answer.owned().begin(), answer.owned().end()}, now);
+        m_fleet.set_owned_workers({answer.owned().begin(), answer.owned().end()}, now);
     }
     m_load_reporter.set_term(answer.term());
     m_tasks.apply_jobs(answer, now);
     m_dispatcher.set_entries(read_entries(answer, m_data_centre));
     m_revision = answer.revision();
-    serve_waiting(now);
+    grant_waiting(now);
 }
 
 std::shared_ptr<const configuration> entry_state::get_configuration() const {
@@ -155,7 +155,7 @@
     waiter self;
     m_waiters[wait.ticket.id] = &self;
     while (!self.grant.has_value()) {
-        const auto remaining = wait.give_up - m_clock.now();
+        const auto remaining = wait.give_up_at - m_clock.now();
         if (remaining.count() <= 0) {
             break;
         }
@@ -165,15 +165,15 @@
     if (self.grant.has_value()) {
         return std::move(*self.grant);
     }
-    m_dispatcher.abandon(call.service, wait.ticket);
+    m_dispatcher.cancel_wait(call.service, wait.ticket);
     return refusal{503, "too_late", "no slot became free in time", m_dispatcher.get_median(call.service)};
 }
 
-void entry_state::serve_waiting(time_point now) {
+void entry_state::grant_waiting(time_point now) {
     if (m_waiters.empty()) {
         return;
     }
-    for (auto& served : m_dispatcher.serve_waiting(now)) {
+    for (auto& served : m_dispatcher.grant_waiting(now)) {
         auto* waiting = m_waiters.at(served.ticket);
         waiting->grant = std::move(served.grant);
         waiting->ready.Signal();
@@ -185,7 +185,7 @@
     const auto now = m_clock.now();
     m_dispatcher.finish(grant, ended, latency, now);
     ++m_request_counts[grant.worker][grant.service];
-    serve_waiting(now);
+    grant_waiting(now);
 }
 
 void entry_state::finish_forwarded(const call_info& call) {
@@ -224,13 +224,13 @@
     return is_changed ? worker_status::record_outdated : worker_status::owned;
 }
 
-std::vector<task_agent::reported_event> entry_state::take_announcement(const announcement& message,
-                                                                       std::int64_t wall_ms) {
+std::vector<task_agent::reported_event> entry_state::apply_announcement(const announcement& message,
+                                                                        std::int64_t wall_ms) {
     const absl::MutexLock lock(&m_mutex);
     const auto now = m_clock.now();
-    m_fleet.take_announcement(message, now);
+    m_fleet.apply_announcement(message, now);
     auto events = m_tasks.on_announced(message, now, wall_ms);
-    serve_waiting(now);
+    grant_waiting(now);
     return events;
 }
 
@@ -267,7 +267,7 @@
     due_work due;
     due.events = m_tasks.get_events(now, m_settings->system.target_silence, wall_ms);
     due.actions = m_tasks.get_actions(now);
-    serve_waiting(now);
+    grant_waiting(now);
     return due;
 }
 
@@ -285,7 +285,7 @@
 void entry_state::on_event_committed(const std::string& worker, const wire::job_event& event) {
     const absl::MutexLock lock(&m_mutex);
     m_tasks.on_event_committed(worker, event);
-    serve_waiting(m_clock.now());
+    grant_waiting(m_clock.now());
 }
 
 // ---- reports
--- a/poplarpitch/entry/entry_state.h
+++ b/poplarpitch/entry/entry_state.h
@@ -64,8 +64,8 @@
     worker_status get_worker_status(const announcement& message) const;
     /// Processes the announcement of an owned worker. Returns events to commit to the log, each with the
     /// number of its report.
-    std::vector<task_agent::reported_event> take_announcement(const announcement& message,
-                                                              std::int64_t wall_ms);
+    std::vector<task_agent::reported_event> apply_announcement(const announcement& message,
+                                                               std::int64_t wall_ms);
     /// Marks a silent worker as heard again, after control has done so.
     void end_silence(const std::string& worker);
     /// Fills in the answer to the announcement of an owned worker.
@@ -105,7 +105,7 @@
         std::optional<request_grant> grant;
     };
 
-    void serve_waiting(time_point now) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
+    void grant_waiting(time_point now) ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex);
 
     const system_clock m_clock{};
     const std::string m_id;
--- a/poplarpitch/entry/event_batcher.h
+++ b/poplarpitch/entry/event_batcher.h
@@ -74,7 +74,7 @@
     outcome commit(std::vector<wire::command>&& events, flush_mode mode = flush_mode::batched) {
         const auto slot = std::make_shared<answer_slot<outcome>>();
         const auto store_outcome = [slot](const outcome& answer) {
-            slot->give(answer);
+            slot->set_value(answer);
         };
         post(std::move(events), store_outcome, mode);
         // While control is unreachable, earlier batches are in front, and each of them waits for its own
--- a/poplarpitch/entry/forward_router.cpp
+++ b/poplarpitch/entry/forward_router.cpp
@@ -20,7 +20,7 @@
             (needs_free_slot && found->second.free <= 0)) {
             continue;
         }
-        (entry.is_near ? near : far).push_back(&entry);
+        (entry.is_same_data_centre ? near : far).push_back(&entry);
     }
     auto& pool = near.empty() ? far : near;
     if (pool.empty()) {
--- a/poplarpitch/entry/owned_fleet.cpp
+++ b/poplarpitch/entry/owned_fleet.cpp
@@ -48,7 +48,7 @@
 
 // ---- ownership
 
-void owned_fleet::set_owned(const std::vector<wire::worker>& owned, time_point now) {
+void owned_fleet::set_owned_workers(const std::vector<wire::worker>& owned, time_point now) {
     std::set<std::string> names;
     for (const auto& record : owned) {
         names.insert(record.id());
@@ -139,7 +139,7 @@
 
 // ---- announcements
 
-void owned_fleet::take_announcement(const announcement& message, time_point now) {
+void owned_fleet::apply_announcement(const announcement& message, time_point now) {
     auto* worker = find(message.id);
     if (worker == nullptr) {
         return;
@@ -161,7 +161,7 @@
     worker->is_leaving = message.is_leaving;
     if (message.epoch == worker->epoch) {
         worker->ledger.set_capacity(message.capacity);
-        worker->ledger.set_old_epoch_usage(message.old_work);
+        worker->ledger.set_old_epoch_usage(message.old_epoch_usage);
         release_ended_requests(*worker, message);
         // The complete list under this epoch proves that nothing unknown runs on the worker. Control must
         // know the process first, because an assignment names its incarnation.
--- a/poplarpitch/entry/owned_fleet.h
+++ b/poplarpitch/entry/owned_fleet.h
@@ -28,7 +28,7 @@
     void set_configuration(std::shared_ptr<const configuration> settings);
     /// Sets the complete list of owned workers. Workers that are not in it are removed together with their
     /// ledgers.
-    void set_owned(const std::vector<wire::worker>& owned, time_point now);
+    void set_owned_workers(const std::vector<wire::worker>& owned, time_point now);
     /// Returns the worker called `id`, or null.
     [[nodiscard]] owned_worker* find(const std::string& id);
     /// Returns the owned workers by id.
@@ -37,7 +37,7 @@
 
     /// Processes a worker's announcement. Opens its ledger when the announcement is complete under the
     /// current epoch. Precondition: the worker is owned here.
-    void take_announcement(const announcement& message, time_point now);
+    void apply_announcement(const announcement& message, time_point now);
 
     /// Picks the best worker for a request and acquires a slot on it. Returns nothing when no worker can take
     /// it.
--- a/poplarpitch/entry/owned_task.h
+++ b/poplarpitch/entry/owned_task.h
@@ -48,7 +48,7 @@
     task_phase phase = task_phase::to_start;
     grant_id grant = 0; ///< its reservation in the worker's ledger; 0 for none
     time_point since{}; ///< when the phase began or the last call was made; zero when a call is due at once
-    duration unsaved{}; ///< work since the last checkpoint, as last announced by the worker
+    duration uncheckpointed_work{}; ///< work since the last checkpoint, as last announced by the worker
 
     friend bool operator==(const owned_task&, const owned_task&) = default;
 };
--- a/poplarpitch/entry/remote_entry.h
+++ b/poplarpitch/entry/remote_entry.h
@@ -21,7 +21,7 @@
 struct remote_entry {
     std::string id;
     std::string address;
-    bool is_near = false; ///< in the same data centre as this entry
+    bool is_same_data_centre = false; ///< in the same data centre as this entry
     std::map<std::string, remote_service> services;
 
     friend auto operator<=>(const remote_entry&, const remote_entry&) = default;
--- a/poplarpitch/entry/request_dispatcher.cpp
+++ b/poplarpitch/entry/request_dispatcher.cpp
@@ -153,7 +153,7 @@
 
 // ---- queue
 
-std::vector<served_ticket> request_dispatcher::serve_waiting(time_point now) {
+std::vector<served_ticket> request_dispatcher::grant_waiting(time_point now) {
     std::vector<served_ticket> served;
     while (true) {
         // Services share workers, so the request with the earliest deadline over all queues goes first.
@@ -183,7 +183,7 @@
     }
 }
 
-void request_dispatcher::abandon(const std::string& service, const admission_ticket& ticket) {
+void request_dispatcher::cancel_wait(const std::string& service, const admission_ticket& ticket) {
     const auto found = m_services.find(service);
     if (found != m_services.end() && found->second.queue.remove(ticket)) {
         m_waiting_ids.erase(ticket.id);
--- a/poplarpitch/entry/request_dispatcher.h
+++ b/poplarpitch/entry/request_dispatcher.h
@@ -31,7 +31,7 @@
 /// The decision to queue the request until a slot is free.
 struct wait_decision {
     admission_ticket ticket;
-    time_point give_up{}; ///< from then on it can no longer finish before its deadline
+    time_point give_up_at{}; ///< from then on it can no longer finish before its deadline
     friend auto operator<=>(const wait_decision&, const wait_decision&) = default;
 };
 
@@ -63,9 +63,9 @@
     admission_decision admit(const call_info& call, time_point now);
     /// Grants free slots to waiting requests, in the order of their queues. Returns the requests that got
     /// one.
-    std::vector<served_ticket> serve_waiting(time_point now);
+    std::vector<served_ticket> grant_waiting(time_point now);
     /// Removes a waiting request because its caller gave up or it can no longer finish in time.
-    void abandon(const std::string& service, const admission_ticket& ticket);
+    void cancel_wait(const std::string& service, const admission_ticket& ticket);
     /// Called when an attempt with a grant has ended.
     void finish(const request_grant& grant, attempt_result ended, duration latency, time_point now);
     /// Called when a forwarded request has ended.
--- a/poplarpitch/entry/task_agent.cpp
+++ b/poplarpitch/entry/task_agent.cpp
@@ -154,7 +154,8 @@
             continue;
         }
         const bool is_movable = task.is_idempotent && !task.is_urgent;
-        candidates.push_back({get_latency_growth(worker, task), task.unsaved, task.evictions, is_movable});
+        candidates.push_back(
+            {get_latency_growth(worker, task), task.uncheckpointed_work, task.evictions, is_movable});
         tasks.push_back(&task);
     }
     const auto evict = [&](owned_task& task) {
--- a/poplarpitch/entry/task_agent_events.cpp
+++ b/poplarpitch/entry/task_agent_events.cpp
@@ -147,7 +147,7 @@
     for (const auto& running : message.tasks) {
         const auto found = worker->tasks.find(running.job);
         if (found != worker->tasks.end() && found->second.attempt == running.attempt) {
-            found->second.unsaved = running.unsaved;
+            found->second.uncheckpointed_work = running.uncheckpointed_work;
         } else if (message.epoch == worker->epoch) {
             // The log has superseded this run of the job, so its result is not needed.
             task_action stop;
--- a/poplarpitch/policy/eviction_candidate.cpp
+++ b/poplarpitch/policy/eviction_candidate.cpp
@@ -17,8 +17,8 @@
         if (!candidate.is_movable || candidate.growth < min_growth) {
             continue;
         }
-        const double cost =
-            move_cost_seconds + to_seconds(candidate.unsaved) + repeat_cost_seconds * candidate.evictions;
+        const double cost = move_cost_seconds + to_seconds(candidate.uncheckpointed_work) +
+                            repeat_cost_seconds * candidate.evictions;
         const double gain = candidate.growth / cost;
         if (!best.has_value() || gain > best_gain) {
             best = index;
--- a/poplarpitch/policy/eviction_candidate.h
+++ b/poplarpitch/policy/eviction_candidate.h
@@ -11,10 +11,11 @@
 
 /// A running task that might be evicted.
 struct eviction_candidate {
-    double growth = 0;      ///< estimated growth of latency that it causes
-    duration unsaved{};     ///< work since its last checkpoint, which is lost or repeated when it moves
-    int evictions = 0;      ///< number of earlier evictions
-    bool is_movable = true; ///< false: not idempotent, urgent or already being moved away
+    double growth = 0; ///< estimated growth of latency that it causes
+    duration
+        uncheckpointed_work{}; ///< work since its last checkpoint, which is lost or repeated when it moves
+    int evictions = 0;         ///< number of earlier evictions
+    bool is_movable = true;    ///< false: not idempotent, urgent or already being moved away
 
     friend auto operator<=>(const eviction_candidate&, const eviction_candidate&) = default;
 };
--- a/poplarpitch/stand_in/stand_in_worker.cpp
+++ b/poplarpitch/stand_in/stand_in_worker.cpp
@@ -317,7 +317,7 @@
     for (const auto& [id, request] : m_requests) {
         message.requests.push_back(id);
         if (request.epoch < m_epoch) {
-            message.old_work.slots += 1;
+            message.old_epoch_usage.slots += 1;
         }
     }
     if (message.is_complete) {
--- a/unit_tests/entry/call_handler_test.cpp
+++ b/unit_tests/entry/call_handler_test.cpp
@@ -77,7 +77,7 @@
             message.epoch = 2;
             message.sequence = m_revision;
             message.is_complete = true;
-            m_state.take_announcement(message, 1);
+            m_state.apply_announcement(message, 1);
         }
     }
 
--- a/unit_tests/entry/fleet_fixture.h
+++ b/unit_tests/entry/fleet_fixture.h
@@ -33,7 +33,7 @@
         record.mutable_capacity()->set_millicores(8000);
         record.mutable_capacity()->set_memory(1LL << 40);
         record.set_incarnation(77);
-        m_fleet.set_owned({record}, m_now);
+        m_fleet.set_owned_workers({record}, m_now);
         m_dispatcher.set_entries({});
     }
 
@@ -53,7 +53,7 @@
     }
 
     void announce(const announcement& message) {
-        m_fleet.take_announcement(message, m_now);
+        m_fleet.apply_announcement(message, m_now);
         m_events = m_tasks.on_announced(message, m_now, 1);
         m_dispatcher.set_entries({});
     }
--- a/unit_tests/entry/request_dispatcher_test.cpp
+++ b/unit_tests/entry/request_dispatcher_test.cpp
@@ -31,7 +31,7 @@
 TEST_F(request_dispatcher_test, counts_the_old_owners_requests) {
     own();
     auto message = make_announcement(2, true);
-    message.old_work = {1, 0, 0, 0};
+    message.old_epoch_usage = {1, 0, 0, 0};
     announce(message);
     admit_as<request_grant>(make_call("a"));
     admit_as<wait_decision>(make_call("b"));
@@ -45,10 +45,10 @@
     const auto late = admit_as<wait_decision>(make_call("c", milliseconds{900}));
     const auto early = admit_as<wait_decision>(make_call("d", milliseconds{300}));
     m_dispatcher.finish(first, attempt_result::answered, milliseconds{5}, m_now);
-    const auto served = m_dispatcher.serve_waiting(m_now);
+    const auto served = m_dispatcher.grant_waiting(m_now);
     ASSERT_EQ(served.size(), 1U);
     EXPECT_EQ(served[0].ticket, early.ticket.id);
-    m_dispatcher.abandon("s", late.ticket);
+    m_dispatcher.cancel_wait("s", late.ticket);
     EXPECT_EQ(m_dispatcher.get_waiting_count(), 0U);
 }
 
@@ -58,13 +58,13 @@
     const auto grant = admit_as<request_grant>(make_call("a"));
     admit_as<request_grant>(make_call("b"));
     m_dispatcher.finish(grant, attempt_result::maybe_running, {}, m_now);
-    EXPECT_TRUE(m_dispatcher.serve_waiting(m_now).empty());
+    EXPECT_TRUE(m_dispatcher.grant_waiting(m_now).empty());
     admit_as<wait_decision>(make_call("c"));
     announce(make_announcement(2, false, {"a", "b"})); // it is still running
     EXPECT_EQ(m_fleet.get_free_slots("s"), 0);
     announce(make_announcement(2, false, {"b"})); // may have been in transit; only the next one counts
     announce(make_announcement(2, false, {"b"}));
-    EXPECT_EQ(m_dispatcher.serve_waiting(m_now).size(), 1U);
+    EXPECT_EQ(m_dispatcher.grant_waiting(m_now).size(), 1U);
 }
 
 TEST_F(request_dispatcher_test, retry_at_the_same_worker_keeps_and_frees_both_slots) {
@@ -107,7 +107,7 @@
     admit_as<request_grant>(make_call("b"));
     EXPECT_EQ(admit_as<refusal>(make_call("c", milliseconds{120})).code, "too_late");
     const auto wait = admit_as<wait_decision>(make_call("d", milliseconds{500}));
-    EXPECT_LT(wait.give_up, m_now + milliseconds{420}); // while there is still time to retry elsewhere
+    EXPECT_LT(wait.give_up_at, m_now + milliseconds{420}); // while there is still time to retry elsewhere
 }
 
 TEST_F(request_dispatcher_test, refuses_early_when_a_needed_service_is_down) {
@@ -123,11 +123,11 @@
     own();
     auto call = make_call();
     call.service = "top";
-    m_fleet.take_announcement(make_announcement(2, true), m_now); // no renewal since
+    m_fleet.apply_announcement(make_announcement(2, true), m_now); // no renewal since
     EXPECT_NE(admit_as<refusal>(call).code, "dependency_down");
     auto message = make_announcement(2, false);
     message.is_leaving = true;
-    m_fleet.take_announcement(message, m_now);
+    m_fleet.apply_announcement(message, m_now);
     EXPECT_EQ(admit_as<refusal>(call).code, "dependency_down");
 }
 
