--- a/poplarpitch/gateway/gateway_daemon.cpp
+++ b/poplarpitch/gateway/gateway_daemon.cpp
@@ -50,7 +50,7 @@
         m_loop.on_signal(SIGHUP, [] {
             log_event(log_level::info, "reload_ignored").add("reason", "seeds only count at startup");
         });
-        m_loop.on_turn_end([] { flush_logs(); });
+        m_loop.on_iteration_end([] { flush_logs(); });
         start_metrics();
         m_link.start();
         log_event(log_level::info, "started").add("id", m_settings.id).add("port", caller_port.value());
@@ -159,7 +159,7 @@
             .add("id", m_settings.id)
             .add("connections", static_cast<std::uint64_t>(m_caller_listener.get_connections()))
             .add("open", static_cast<std::uint64_t>(m_caller_listener.get_open_requests()));
-        m_caller_listener.close_after_answers();
+        m_caller_listener.close_connections_after_responses();
         m_stop_deadline = m_loop.now() + m_settings.stop_limit;
         m_loop.call_after(m_settings.drain_wait, [this] {
             m_caller_listener.drain();
--- a/poplarpitch/net/descriptor_budget.h
+++ b/poplarpitch/net/descriptor_budget.h
@@ -7,7 +7,7 @@
 
 /// The smallest number of file descriptors that a daemon can work with. It needs them for files, timers and
 /// connections to the other control instances.
-inline constexpr std::size_t least_descriptors = 256;
+inline constexpr std::size_t min_descriptors = 256;
 
 /// How a process divides its limit of file descriptors, so that no part of it can use up what the others
 /// need. Load pattern: 1,800 workers, each with two connections for orders and one for its heartbeats, at a
@@ -22,7 +22,7 @@
 
 /// Divides `descriptors`. Reserves an eighth and 64 more. A third of the rest is for inbound connections,
 /// since a worker uses one inbound and two outbound connections. Precondition: `descriptors` is at least
-/// `least_descriptors`. Thread safety: any thread.
+/// `min_descriptors`. Thread safety: any thread.
 [[nodiscard]] constexpr descriptor_budget divide_descriptors(std::size_t descriptors) {
     constexpr std::size_t reserved_files = 64;
     constexpr std::size_t reserved_divisor = 8;
--- a/poplarpitch/net/event_loop.cpp
+++ b/poplarpitch/net/event_loop.cpp
@@ -14,9 +14,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration max_turn_duration = milliseconds{5}; // 1/20 of the log's heartbeat interval, one sync
-constexpr int calls_per_clock_read = 8;                 // handlers run between two reads of the clock
-constexpr double smoothing_time_s = 0.5;                // time constant for smoothing load and lag
+constexpr duration max_iteration_duration = milliseconds{5}; // 1/20 of the log's heartbeat interval, one sync
+constexpr int calls_per_clock_read = 8;                      // handlers run between two reads of the clock
+constexpr double smoothing_time_s = 0.5;                     // time constant for smoothing load and lag
 
 } // namespace
 
@@ -47,7 +47,7 @@
     auto& context = m_impl->context;
     while (!context.stopped()) {
         read_clock();
-        for (const auto& hook : m_turn_hooks) {
+        for (const auto& hook : m_iteration_hooks) {
             hook();
         }
         arm_timer();
@@ -81,18 +81,18 @@
 
 void event_loop::run_ready() {
     const system_clock clock;
-    const auto end = m_now + max_turn_duration;
+    const auto end = m_now + max_iteration_duration;
     int calls = 0;
     while (poll_one()) {
         if (++calls % calls_per_clock_read == 0 && clock.now() >= end) {
-            ++m_cut_turns;
+            ++m_cut_iterations;
             return;
         }
     }
 }
 
-/// Updates the busy share and the lag. The wait of a turn is measured until its first handler has run. That
-/// includes the handler, which is short.
+/// Updates the busy share and the lag. The wait of an iteration is measured until its first handler has run.
+/// That includes the handler, which is short.
 void event_loop::update_load(time_point wait_began, time_point wait_ended) {
     const auto worked = to_seconds(wait_began - m_last_wake);
     const auto waited = to_seconds(wait_ended - wait_began);
@@ -141,8 +141,8 @@
     m_timer_times.erase(found);
 }
 
-void event_loop::on_turn_end(std::function<void()> work) {
-    m_turn_hooks.push_back(std::move(work));
+void event_loop::on_iteration_end(std::function<void()> work) {
+    m_iteration_hooks.push_back(std::move(work));
 }
 
 void event_loop::on_signal(int signal, std::function<void()> work) {
@@ -178,7 +178,7 @@
     const auto next = m_timers.begin()->first;
     const bool is_set = m_timer_expiry != time_point{} && m_timer_expiry > m_now;
     if (is_set && m_timer_expiry <= next) {
-        return; // it fires early enough; an idle turn is cheaper than a system call for each change
+        return; // it fires early enough; an idle iteration is cheaper than a system call for each change
     }
     m_timer_expiry = std::max(next, m_now);
     m_impl->timer.expires_after(
--- a/poplarpitch/net/event_loop.h
+++ b/poplarpitch/net/event_loop.h
@@ -20,11 +20,12 @@
 /// A single-threaded event loop that waits for sockets, timers and signals and runs their handlers.
 ///
 /// Boost.Asio does the waiting. Timers are kept in one ordered map behind a single Asio timer, so that
-/// setting and cancelling a timeout for every call costs no system call. The turn hooks run after all
+/// setting and cancelling a timeout for every call costs no system call. The iteration hooks run after all
 /// handlers that were ready at the same time. Work that many events request, such as one commit for all of
-/// them, is done once in a hook. The time that a turn spends on ready handlers is bounded: in overload there
-/// is always a ready handler, but the hooks and timers (the log's heartbeats, leases) still have to run.
-/// Thread safety: all methods on the thread of `run`, except `stop` and `post`, which any thread may call.
+/// them, is done once in a hook. The time that an iteration spends on ready handlers is bounded: in overload
+/// there is always a ready handler, but the hooks and timers (the log's heartbeats, leases) still have to
+/// run. Thread safety: all methods on the thread of `run`, except `stop` and `post`, which any thread may
+/// call.
 class event_loop {
 public:
     event_loop();
@@ -34,7 +35,7 @@
 
     /// Runs the loop until `stop` is called.
     void run();
-    /// Makes `run` return after the current turn.
+    /// Makes `run` return after the current iteration.
     void stop();
     /// Returns a time on the boot-time clock that is not before the start of the current handler or hook.
     [[nodiscard]] time_point now() const;
@@ -42,8 +43,8 @@
     [[nodiscard]] double get_busy_share() const { return m_busy_share; }
     /// Returns by how much timers fired late, smoothed over the same time.
     [[nodiscard]] duration get_lag() const { return m_lag; }
-    /// Returns the number of turns that reached their time limit while handlers were still ready.
-    [[nodiscard]] std::uint64_t get_cut_turns() const { return m_cut_turns; }
+    /// Returns the number of iterations that reached their time limit while handlers were still ready.
+    [[nodiscard]] std::uint64_t get_cut_iterations() const { return m_cut_iterations; }
     /// Calls `work` on the loop's thread, after the current handler has returned.
     void post(std::function<void()> work);
     /// Calls `work` once, at `when` or shortly after.
@@ -52,8 +53,8 @@
     timer_id call_after(duration delay, std::function<void()> work);
     /// Cancels a call that has not been made yet. Does nothing for a call that was made or an unknown id.
     void cancel(timer_id id);
-    /// Calls `work` at the end of every turn. Precondition: called before `run`.
-    void on_turn_end(std::function<void()> work);
+    /// Calls `work` at the end of every iteration. Precondition: called before `run`.
+    void on_iteration_end(std::function<void()> work);
     /// Calls `work` each time the process receives `signal`. Precondition: called before `run`.
     void on_signal(int signal, std::function<void()> work);
     /// Returns the Asio context, for the sockets of the network layer.
@@ -82,11 +83,11 @@
     time_point m_timer_expiry{}; ///< when the Asio timer fires; zero while it is not set
     mutable time_point m_now{};
     mutable bool m_is_now_stale = false; ///< a wait or a handler may have happened since `m_now` was read
-    time_point m_last_wake{};            ///< end of the last turn's wait
+    time_point m_last_wake{};            ///< end of the last iteration's wait
     double m_busy_share = 0;
     duration m_lag{};
-    std::uint64_t m_cut_turns = 0;
-    std::vector<std::function<void()>> m_turn_hooks;
+    std::uint64_t m_cut_iterations = 0;
+    std::vector<std::function<void()>> m_iteration_hooks;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/net/frame_socket.cpp
+++ b/poplarpitch/net/frame_socket.cpp
@@ -127,7 +127,7 @@
     m_impl->pending += frame;
     if (!m_impl->is_writing) {
         m_impl->is_writing = true;
-        // Frames sent in the same turn share one write.
+        // Frames sent in the same iteration share one write.
         m_impl->loop.post([self = shared_from_this()] { self->write(); });
     }
 }
--- a/poplarpitch/net/http_listener.cpp
+++ b/poplarpitch/net/http_listener.cpp
@@ -232,7 +232,7 @@
     return static_cast<int>(acceptor.local_endpoint().port());
 }
 
-void http_listener::close_after_answers() {
+void http_listener::close_connections_after_responses() {
     m_impl->is_draining = true;
 }
 
--- a/poplarpitch/net/http_listener.h
+++ b/poplarpitch/net/http_listener.h
@@ -50,7 +50,7 @@
     /// Starts to listen. Returns the port, or `net_errc::listen_failed`.
     result<int> start();
     /// Closes each connection after its next response, but continues to accept new connections.
-    void close_after_answers();
+    void close_connections_after_responses();
     /// Stops accepting connections, closes idle ones, and closes the others after their pending response.
     void drain();
     /// Returns the number of requests without a response.
--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -79,7 +79,7 @@
             m_known_addresses.insert(*address);
         }
     }
-    m_loop.on_turn_end([this] { take_turn(); });
+    m_loop.on_iteration_end([this] { run_iteration(); });
     if (!m_stored.is_empty) {
         start_node(m_stored.initial);
     } else {
@@ -197,9 +197,9 @@
     }
 }
 
-// ---- turns
+// ---- iterations
 
-void replica::take_turn() {
+void replica::run_iteration() {
     if (m_node == nullptr || m_disk.is_running()) {
         return;
     }
--- a/poplarpitch/replica/replica.h
+++ b/poplarpitch/replica/replica.h
@@ -63,7 +63,7 @@
 /// A control instance's replica of the log, on an event loop: raft node, storage, peers, founding and
 /// membership.
 ///
-/// Each turn of the loop handles everything that arrived, steps the raft node, syncs once, then sends
+/// Each iteration of the loop handles everything that arrived, steps the raft node, syncs once, then sends
 /// messages and applies entries. A separate thread waits for the disk, so that the loop can serve workers and
 /// callers in the meantime. The raft node does not run during a sync: input for it is deferred until the sync
 /// has ended. So nothing that depends on the sync is sent before it is on disk. An instance whose disk stalls
@@ -82,7 +82,7 @@
     /// Opens the data folder and the port, then starts to found a cluster, to join one, or to run as a
     /// member.
     result<void> start();
-    /// Commits a command. `on_result` is called once, in a later turn or before this returns.
+    /// Commits a command. `on_result` is called once, in a later iteration or before this returns.
     void propose(std::string payload, std::function<void(proposal_result)> on_result);
     /// Linearizable read: calls `on_ready(true)` once everything committed before the call is applied here
     /// and this instance has led until then. Calls `on_ready(false)` when that cannot be confirmed.
@@ -123,7 +123,7 @@
     void on_status(std::uint32_t ip, const job_wire::cluster_status& status);
     [[nodiscard]] job_wire::cluster_status make_status() const;
     void accept(const std::shared_ptr<frame_socket>& socket);
-    void take_turn();
+    void run_iteration();
     void save_output();
     void finish_output();
     void send(const raft_message& message);
--- a/poplarpitch/scheduler/command_batcher.cpp
+++ b/poplarpitch/scheduler/command_batcher.cpp
@@ -19,7 +19,7 @@
 
 void command_batcher::add(job_wire::job_command command, result_handler on_result) {
     if (m_handlers.empty()) {
-        m_loop.post([] {}); // wakes the loop: this turn's flush may have run already
+        m_loop.post([] {}); // wakes the loop: this iteration's flush may have run already
     }
     *m_pending->add_commands() = std::move(command);
     m_handlers.push_back(std::move(on_result));
@@ -46,7 +46,7 @@
         --m_in_flight;
         on_batch_result(handlers, outcome == proposal_result::applied, outcome == proposal_result::refused);
         if (!m_handlers.empty()) {
-            m_loop.post([] {}); // the next turn flushes the remaining commands
+            m_loop.post([] {}); // the next iteration flushes the remaining commands
         }
     });
 }
--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -43,8 +43,8 @@
     /// Runs until SIGTERM. Returns the process's exit code.
     int run() {
         auto& loop = m_parts.loop;
-        loop.on_turn_end(
-            [this] { flush(); }); // before the log's handler, so that one turn proposes and syncs
+        loop.on_iteration_end(
+            [this] { flush(); }); // before the log's handler, so that one iteration proposes and syncs
         const auto started = m_parts.log.start();
         const auto port = m_listener.start();
         if (!started || !port) {
@@ -53,9 +53,9 @@
                 .add("host", m_parts.settings.control_host);
             return start_failed_exit_code;
         }
-        loop.on_turn_end([this] { m_orders.send_all(); });
-        loop.on_turn_end([this] { send_answers(); });
-        loop.on_turn_end([] { flush_logs(); });
+        loop.on_iteration_end([this] { m_orders.send_all(); });
+        loop.on_iteration_end([this] { send_answers(); });
+        loop.on_iteration_end([] { flush_logs(); });
         start_metrics();
         loop.on_signal(SIGTERM, [this] { stop(); });
         loop.on_signal(SIGINT, [this] { stop(); });
@@ -196,7 +196,7 @@
     void stop() {
         log_event(log_level::info, "stopping").add("id", m_parts.settings.id);
         m_parts.log.resign();
-        m_listener.close_after_answers();
+        m_listener.close_connections_after_responses();
         m_stop_deadline = m_parts.loop.now() + m_parts.settings.stop_wait;
         wait_for_answers();
     }
--- a/poplarpitch/scheduler/scheduler_metrics.cpp
+++ b/poplarpitch/scheduler/scheduler_metrics.cpp
@@ -69,7 +69,7 @@
     set("poplarpitch_log_commands_total", parts.batcher.get_commands());
     set("poplarpitch_loop_busy_share", parts.loop.get_busy_share());
     set("poplarpitch_loop_lag_seconds", to_seconds(parts.loop.get_lag()));
-    set("poplarpitch_loop_cut_turns_total", parts.loop.get_cut_turns());
+    set("poplarpitch_loop_cut_turns_total", parts.loop.get_cut_iterations());
     set("poplarpitch_log_lines_left_out_total", get_left_out_log_lines());
     set("poplarpitch_leading", parts.log.is_leading() ? 1 : 0);
     set("poplarpitch_voters", parts.log.get_voter_count());
--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -47,8 +47,8 @@
 void read_connections(section_reader& reader, scheduler_settings& value) {
     constexpr std::int64_t max_descriptors = 10'000'000;
     constexpr std::int64_t default_descriptors = 4096;
-    const auto descriptors = reader.get_integer(
-        "descriptors", default_descriptors, static_cast<std::int64_t>(least_descriptors), max_descriptors);
+    const auto descriptors = reader.get_integer("descriptors", default_descriptors,
+                                                static_cast<std::int64_t>(min_descriptors), max_descriptors);
     const auto budget = divide_descriptors(static_cast<std::size_t>(descriptors));
     value.max_accepted = budget.accepted;
     value.caller.max_connections = budget.called;
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -33,8 +33,8 @@
     /// Precondition: `loop` and `caller` outlive the object.
     worker_link(event_loop& loop, http_caller& caller) : m_loop(loop), m_caller(caller) {}
 
-    /// Sends an order; `on_outcome` is called once, in a later turn. Only the answer to a hold has lists.
-    /// Precondition: the order is not for the advice service.
+    /// Sends an order; `on_outcome` is called once, in a later iteration. Only the answer to a hold has
+    /// lists. Precondition: the order is not for the advice service.
     void send(const worker_order& order, outcome_handler on_outcome) {
         std::visit(
             [&](const auto& item) {
--- a/unit_tests/net/event_loop_test.cpp
+++ b/unit_tests/net/event_loop_test.cpp
@@ -21,10 +21,10 @@
 
 TEST(event_loop, ends_turns_and_calls_timers_although_there_is_always_something_ready) {
     event_loop loop;
-    int turns = 0;
+    int iterations = 0;
     int calls = 0;
     bool has_timer_fired = false;
-    loop.on_turn_end([&] { ++turns; });
+    loop.on_iteration_end([&] { ++iterations; });
     const std::function<void()> again = [&] { // endless load: each call posts the next one
         ++calls;
         work_for(std::chrono::microseconds{200});
@@ -42,8 +42,8 @@
     });
     loop.run();
     EXPECT_TRUE(has_timer_fired);
-    EXPECT_GT(turns, 3);
-    EXPECT_GT(loop.get_cut_turns(), 0U);
+    EXPECT_GT(iterations, 3);
+    EXPECT_GT(loop.get_cut_iterations(), 0U);
 }
 
 TEST(event_loop, reports_its_busy_share) {
@@ -71,7 +71,7 @@
     event_loop loop;
     const system_clock clock;
     time_point woke{};
-    loop.post([] {}); // ends the wait of the turn
+    loop.post([] {}); // ends the wait of the iteration
     loop.post([&] {
         std::this_thread::sleep_for(milliseconds{50});
         woke = clock.now();
--- a/unit_tests/replica/replaced_disks_test.cpp
+++ b/unit_tests/replica/replaced_disks_test.cpp
@@ -153,14 +153,14 @@
                 start(self, {});
             }
             if (self.node != nullptr && !self.saving.has_value()) {
-                take_turn(self);
+                run_iteration(self);
             } else if (self.node != nullptr && pick(mean_sync_steps) == 0) {
                 end_sync(self);
             }
         }
     }
 
-    void take_turn(instance& self) {
+    void run_iteration(instance& self) {
         self.node->tick(m_now);
         if (self.node->has_committed_in_term()) {
             static_cast<void>(self.node->propose("command " + std::to_string(m_next_command++), m_now));
--- a/unit_tests/scheduler/command_batcher_test.cpp
+++ b/unit_tests/scheduler/command_batcher_test.cpp
@@ -91,7 +91,7 @@
     replica log(loop, settings, std::move(handler));
     command_batcher own_batcher(loop, log, book, max_bytes);
     batcher = &own_batcher;
-    loop.on_turn_end([&] { own_batcher.flush(); });
+    loop.on_iteration_end([&] { own_batcher.flush(); });
     ASSERT_TRUE(log.start());
     loop.call_after(test_timeout, [&] { loop.stop(); });
     loop.run();
