--- a/poplarpitch/control/leader_duties.cpp
+++ b/poplarpitch/control/leader_duties.cpp
@@ -7,8 +7,8 @@
 
 constexpr duration expiry_interval = seconds{30};
 
-/// Returns how long a session must have been silent before its workers are given away.
-duration get_session_wait(const state_machine& state) {
+/// Returns how long a session may go without a renewal before its workers are assigned to other entries.
+duration get_session_timeout(const state_machine& state) {
     const auto& system = state.get_configs().get_configuration()->system;
     return system.session_lease + system.drift_margin;
 }
@@ -16,13 +16,13 @@
 } // namespace
 
 void leader_duties::start(const state_machine& state, time_point now) {
-    m_sessions.start(state.get_fleet(), get_session_wait(state), now);
-    m_leases.start();
+    m_sessions.start(state.get_fleet(), get_session_timeout(state), now);
+    m_lost_leases.start();
     m_next_expiry = now + expiry_interval;
 }
 
 void leader_duties::renew(const state_machine& state, const wire::renew_request& request, time_point now) {
-    m_sessions.renew(request, get_session_wait(state), now);
+    m_sessions.renew(request, get_session_timeout(state), now);
     for (const auto& sample : request.usage()) {
         m_scheduler.add_usage(sample);
     }
@@ -31,7 +31,7 @@
 std::vector<wire::command> leader_duties::run(const state_machine& state, std::size_t max_assignments,
                                               time_point now, std::int64_t wall_ms) {
     std::vector<wire::command> commands;
-    // 1. Sessions: one that the state no longer knows is forgotten, one that is silent is closed.
+    // 1. Expired sessions: closes those in the replicated state, forgets those that are not in it any more.
     for (auto& expired : m_sessions.get_expired(now)) {
         const auto* session = state.get_fleet().find_session(expired.entry());
         if (session == nullptr || session->incarnation() != expired.incarnation()) {
@@ -42,7 +42,7 @@
         *command.mutable_close() = std::move(expired);
         commands.push_back(std::move(command));
     }
-    // 2. Workers, 3. lost leases, 4. queued jobs, 5. old records.
+    // 2. Owners of workers, 3. leases of lost attempts, 4. queued jobs, 5. old records.
     const auto append = [&](std::vector<wire::command> more) {
         for (auto& command : more) {
             commands.push_back(std::move(command));
@@ -50,7 +50,7 @@
     };
     const auto& system = state.get_configs().get_configuration()->system;
     append(m_owners.run(state.get_fleet(), now));
-    append(m_leases.run(state.get_jobs(), system.task_lease + system.drift_margin, now, wall_ms));
+    append(m_lost_leases.run(state.get_jobs(), system.task_lease + system.drift_margin, now, wall_ms));
     append(m_scheduler.run(state, m_sessions, max_assignments, now, wall_ms));
     expire_records(state, now, wall_ms, commands);
     return commands;
@@ -62,8 +62,8 @@
         return;
     }
     m_next_expiry = now + expiry_interval;
-    const bool is_anything = state.get_intents().get_count() > 0 || state.get_jobs().get_count() > 0;
-    if (!is_anything) {
+    const bool has_records = state.get_intents().get_count() > 0 || state.get_jobs().get_count() > 0;
+    if (!has_records) {
         return;
     }
     const auto& system = state.get_configs().get_configuration()->system;
--- a/poplarpitch/replica/member_planner.cpp
+++ b/poplarpitch/replica/member_planner.cpp
@@ -13,14 +13,14 @@
 
 bool is_caught_up(const membership_view& view, node_id node, time_point now) {
     const auto found = view.progress.find(node);
-    return found != view.progress.end() && now - found->second.last_answer < answer_timeout &&
+    return found != view.progress.end() && now - found->second.last_response < answer_timeout &&
            found->second.match + catch_up_gap >= view.last_index;
 }
 
 } // namespace
 
-member_planner::member_planner(std::size_t voters, duration voter_loss)
-    : m_voters(voters), m_voter_loss(voter_loss) {}
+member_planner::member_planner(std::size_t voters, duration voter_loss_timeout)
+    : m_voters(voters), m_voter_loss_timeout(voter_loss_timeout) {}
 
 void member_planner::on_join(node_id node, time_point now) {
     m_candidates[node] = now;
@@ -66,8 +66,8 @@
         if (voter == view.self || found == view.progress.end()) {
             continue;
         }
-        const auto last_contact = std::max(found->second.last_answer, view.leading_since);
-        if (now - last_contact > m_voter_loss) {
+        const auto last_contact = std::max(found->second.last_response, view.leading_since);
+        if (now - last_contact > m_voter_loss_timeout) {
             return voter;
         }
     }
--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -38,7 +38,7 @@
     replica.may_found = reader.get_flag("may_found", replica.may_found);
     const auto lost = reader.get_integer("tolerated_losses", 2, 0, 4);
     replica.voters = static_cast<std::size_t>(2 * lost + 1);
-    replica.voter_loss = reader.get_duration("voter_loss", replica.voter_loss);
+    replica.voter_loss_timeout = reader.get_duration("voter_loss", replica.voter_loss_timeout);
     if (replica.data_folder.empty()) {
         reader.add_error("data_folder", "data_folder is missing: it is where the log and snapshots are kept");
     }
@@ -47,8 +47,8 @@
 void read_connections(section_reader& reader, scheduler_settings& value) {
     constexpr std::int64_t max_descriptors = 10'000'000;
     constexpr std::int64_t default_descriptors = 4096;
-    const auto descriptors = reader.get_integer(
-        "descriptors", default_descriptors, static_cast<std::int64_t>(least_descriptors), max_descriptors);
+    const auto descriptors = reader.get_integer("descriptors", default_descriptors,
+                                                static_cast<std::int64_t>(min_descriptors), max_descriptors);
     const auto budget = divide_descriptors(static_cast<std::size_t>(descriptors));
     value.max_accepted = budget.accepted;
     value.caller.max_connections = budget.called;
--- a/poplarpitch/state/fleet_table.cpp
+++ b/poplarpitch/state/fleet_table.cpp
@@ -166,14 +166,14 @@
     return found == m_owned.end() ? none : found->second;
 }
 
-log_index fleet_table::get_owned_change(const std::string& entry) const {
+log_index fleet_table::get_owned_change_index(const std::string& entry) const {
     const auto found = m_owned_change.find(entry);
     return found == m_owned_change.end() ? 0 : found->second;
 }
 
-bool fleet_table::can_ever_hold(const resources& need) const {
+bool fleet_table::has_worker_with_capacity_for(const resources& need) const {
     return std::any_of(m_workers.begin(), m_workers.end(),
-                       [&](const auto& item) { return decode(item.second.capacity()).holds(need); });
+                       [&](const auto& item) { return decode(item.second.capacity()).can_fit(need); });
 }
 
 void fleet_table::save(wire::state_snapshot& snapshot) const {
--- a/unit_tests/control/leader_duties_test.cpp
+++ b/unit_tests/control/leader_duties_test.cpp
@@ -1,6 +1,6 @@
-#include "poplarpitch/control/cluster_former.h"
+#include "poplarpitch/control/cluster_bootstrap.h"
 #include "poplarpitch/control/leader_duties.h"
-#include "poplarpitch/control/renew_answerer.h"
+#include "poplarpitch/control/renew_answer_builder.h"
 #include "poplarpitch/state/state_machine.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
                                     "quota_cores = 2\n[service s]\n[batch b]\ncores = 1\nmemory = 1GB\n"
                                     "[batch rush]\ncores = 60\nmemory = 1GB\nurgent = true\n";
 
-/// A leader's duties over a state machine, with the log left out: what they ask for is applied at once.
+/// The leader's duties on a state machine without a log: their commands are applied at once.
 class leader_duties_test : public testing::Test {
 protected:
     leader_duties_test() {
@@ -76,7 +76,7 @@
         apply(command);
     }
 
-    /// Runs the duties some times and applies what they ask for.
+    /// Runs the duties `turns` times, 100 ms apart, and applies their commands.
     void run(int turns = 1) {
         for (int turn = 0; turn < turns; ++turn) {
             for (const auto& command : m_duties.run(m_state, 100, m_now, 1000)) {
@@ -92,7 +92,7 @@
     time_point m_now{seconds{100}};
 };
 
-TEST_F(leader_duties_test, gives_workers_to_the_near_entry_evenly) {
+TEST_F(leader_duties_test, assigns_workers_evenly_to_entries_of_their_data_centre) {
     renew("e1", "north");
     renew("e2", "south");
     add_worker("w1", "north");
@@ -134,11 +134,11 @@
     EXPECT_EQ(m_state.get_fleet().find_worker("w1")->owner(), "");
 }
 
-TEST_F(leader_duties_test, new_leader_expires_nobody_before_a_full_lease) {
+TEST_F(leader_duties_test, new_leader_expires_no_session_before_a_full_lease) {
     renew("e1");
     add_worker("w1");
     run();
-    m_now += seconds{60}; // the renewals of this time went to the old leader
+    m_now += seconds{60}; // the entry renewed at the old leader during this time
     leader_duties next;
     next.start(m_state, m_now);
     for (const auto& command : next.run(m_state, 100, m_now + milliseconds{1600}, 1000)) {
@@ -151,7 +151,7 @@
     EXPECT_TRUE(is_closed);
 }
 
-TEST_F(leader_duties_test, class_that_is_kept_out_is_probed_once_in_a_while) {
+TEST_F(leader_duties_test, class_excluded_for_interference_is_probed_periodically) {
     renew("e1");
     add_worker("w1");
     run();
@@ -161,12 +161,11 @@
     request.add_loads()->set_worker("w1");
     request.mutable_loads(0)->set_ready(true);
     (*request.mutable_loads(0)->mutable_rates())["s"] = 10;
-    auto& learned =
-        *request.add_interference(); // what one task of the class does to the service of the worker
-    learned.set_service("s");
-    learned.set_batch("b");
-    learned.set_slowdown(20);
-    learned.set_weight(1000);
+    auto& sample = *request.add_interference(); // slowdown of the worker's service by a task of the class
+    sample.set_service("s");
+    sample.set_batch("b");
+    sample.set_slowdown(20);
+    sample.set_weight(1000);
     const auto renew_all = [&] {
         m_duties.renew(m_state, request, m_now);
     };
@@ -205,7 +204,7 @@
     EXPECT_NEAR(static_cast<double>(m_state.get_jobs().get_usage("small").active_millicores), 31000, 1000);
 }
 
-TEST_F(leader_duties_test, makes_room_for_an_urgent_job_within_its_budget) {
+TEST_F(leader_duties_test, evicts_for_an_urgent_job_within_the_eviction_budget) {
     renew("e1");
     add_worker("w1");
     run();
@@ -219,10 +218,10 @@
     }
     submit("rush", "small", "rush", 8000);
     run(30);
-    int asked = 0;
-    m_state.get_jobs().for_each([&](const wire::job& job) { asked += job.evict_requested() ? 1 : 0; });
-    EXPECT_GE(asked, 1);
-    EXPECT_LE(asked, 3);
+    int evictions = 0;
+    m_state.get_jobs().for_each([&](const wire::job& job) { evictions += job.evict_requested() ? 1 : 0; });
+    EXPECT_GE(evictions, 1);
+    EXPECT_LE(evictions, 3);
 }
 
 TEST_F(leader_duties_test, parks_a_queued_job_once_no_worker_could_hold_it) {
@@ -271,16 +270,17 @@
     EXPECT_FALSE(second.has_config());
 }
 
-TEST(decide_forming, founds_only_when_all_founders_are_blank) {
-    const peer_sighting blank{true, false, false};
-    const peer_sighting absent{false, false, false};
-    const peer_sighting member{true, true, true};
-    const peer_sighting stranger{true, true, false};
-    EXPECT_EQ(decide_forming(false, {blank, blank}), forming_decision::found);
-    EXPECT_EQ(decide_forming(false, {blank, absent}), forming_decision::wait);
-    EXPECT_EQ(decide_forming(false, {absent, member}), forming_decision::refuse); // its disk is gone
-    EXPECT_EQ(decide_forming(false, {stranger, absent}), forming_decision::join);
-    EXPECT_EQ(decide_forming(true, {absent, absent}), forming_decision::join);
+TEST(decide_bootstrap, creates_a_cluster_only_when_all_initial_voters_are_blank) {
+    const peer_bootstrap_state blank{true, false, false};
+    const peer_bootstrap_state absent{false, false, false};
+    const peer_bootstrap_state cluster_with_us{true, true, true};
+    const peer_bootstrap_state cluster_without_us{true, true, false};
+    EXPECT_EQ(decide_bootstrap(false, {blank, blank}), bootstrap_action::create);
+    EXPECT_EQ(decide_bootstrap(false, {blank, absent}), bootstrap_action::wait);
+    EXPECT_EQ(decide_bootstrap(false, {absent, cluster_with_us}),
+              bootstrap_action::refuse); // a voter without its data
+    EXPECT_EQ(decide_bootstrap(false, {cluster_without_us, absent}), bootstrap_action::join);
+    EXPECT_EQ(decide_bootstrap(true, {absent, absent}), bootstrap_action::join);
 }
 
 } // namespace
--- a/unit_tests/replica/membership_test.cpp
+++ b/unit_tests/replica/membership_test.cpp
@@ -1,15 +1,15 @@
-// Founding a cluster from its seeds, and replacing members that lost their disk or are lost for good.
-#include "poplarpitch/replica/founding.h"
+// Bootstrapping a cluster from its seeds, and replacing members that lost their disk or are lost for good.
 #include "poplarpitch/replica/member_planner.h"
 #include "poplarpitch/replica/node_address.h"
 #include "poplarpitch/replica/replica_settings.h"
+#include "poplarpitch/replica/seed_bootstrap.h"
 
 #include <gtest/gtest.h>
 
 namespace poplarpitch {
 namespace {
 
-constexpr duration voter_loss = seconds{12};
+constexpr duration voter_loss_timeout = seconds{12};
 const time_point start{seconds{100}};
 
 node_id make_node(std::uint32_t ip, std::uint32_t nonce = 1) {
@@ -26,45 +26,46 @@
         view.members = view.members.with_voter(make_node(ip));
         if (ip != 1) {
             view.progress[make_node(ip)].match = 1000;
-            view.progress[make_node(ip)].last_answer = now;
+            view.progress[make_node(ip)].last_response = now;
         }
     }
     return view;
 }
 
-TEST(founding, waits_until_it_knows_the_node_ids_of_all_seeds) {
+TEST(seed_bootstrap, waits_until_it_knows_the_node_ids_of_all_seeds) {
     const seed_status unreached;
-    const seed_status blank{true, make_node(2), node_phase::founding, {}};
-    EXPECT_EQ(decide_founding(make_node(1), {blank, unreached}).action, founding_decision::kind::wait);
-    const seed_status other{true, make_node(3), node_phase::founding, {}};
-    const auto decision = decide_founding(make_node(1), {blank, other});
-    EXPECT_EQ(decision.action, founding_decision::kind::found);
+    const seed_status blank{true, make_node(2), node_phase::bootstrapping, {}};
+    EXPECT_EQ(decide_seed_bootstrap(make_node(1), {blank, unreached}).action, bootstrap_decision::kind::wait);
+    const seed_status other{true, make_node(3), node_phase::bootstrapping, {}};
+    const auto decision = decide_seed_bootstrap(make_node(1), {blank, other});
+    EXPECT_EQ(decision.action, bootstrap_decision::kind::create);
     EXPECT_EQ(decision.members.voters.size(), 3U);
 }
 
-TEST(founding, takes_the_members_that_another_founder_has_stored) {
+TEST(seed_bootstrap, takes_the_members_that_another_initial_voter_has_stored) {
     raft_membership members;
     members = members.with_voter(make_node(1)).with_voter(make_node(2)).with_voter(make_node(3));
-    const seed_status formed{true, make_node(2), node_phase::formed, members};
-    EXPECT_EQ(decide_founding(make_node(1), {formed, {}}).members, members);
+    const seed_status bootstrapped{true, make_node(2), node_phase::bootstrapped, members};
+    EXPECT_EQ(decide_seed_bootstrap(make_node(1), {bootstrapped, {}}).members, members);
 }
 
-TEST(founding, joins_a_cluster_that_was_founded_without_it) {
+TEST(seed_bootstrap, joins_a_cluster_that_was_bootstrapped_without_it) {
     raft_membership members;
     members = members.with_voter(make_node(1, 9)).with_voter(make_node(2)).with_voter(make_node(3));
-    const seed_status formed{true, make_node(2), node_phase::formed, members};
-    EXPECT_EQ(decide_founding(make_node(1, 10), {formed, formed}).action, founding_decision::kind::join);
+    const seed_status bootstrapped{true, make_node(2), node_phase::bootstrapped, members};
+    EXPECT_EQ(decide_seed_bootstrap(make_node(1, 10), {bootstrapped, bootstrapped}).action,
+              bootstrap_decision::kind::join);
 }
 
 TEST(member_planner, does_nothing_while_all_members_are_healthy) {
-    const member_planner planner(5, voter_loss);
+    const member_planner planner(5, voter_loss_timeout);
     const auto now = start + seconds{1};
     EXPECT_FALSE(planner.plan(make_view(now), now).has_value());
 }
 
 TEST(member_planner,
      removes_the_old_id_of_an_instance_that_lost_its_disk_then_adds_and_promotes_the_new_one) {
-    member_planner planner(5, voter_loss);
+    member_planner planner(5, voter_loss_timeout);
     const auto now = start + seconds{1};
     auto view = make_view(now);
     const auto fresh = make_node(5, 2);
@@ -74,14 +75,14 @@
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, fresh}));
     view.members = view.members.with_learner(fresh);
     view.progress[fresh].match = 100;
-    view.progress[fresh].last_answer = now;
+    view.progress[fresh].last_response = now;
     EXPECT_FALSE(planner.plan(view, now).has_value()); // not caught up yet
     view.progress[fresh].match = 990;
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::promote, fresh}));
 }
 
 TEST(member_planner, grows_from_the_founders_to_the_wanted_number) {
-    member_planner planner(5, voter_loss);
+    member_planner planner(5, voter_loss_timeout);
     const auto now = start + seconds{1};
     auto view = make_view(now);
     view.members = view.members.without(make_node(4)).without(make_node(5));
@@ -91,17 +92,17 @@
 }
 
 TEST(member_planner, keeps_a_silent_voter_until_another_can_take_its_place) {
-    member_planner planner(5, voter_loss);
+    member_planner planner(5, voter_loss_timeout);
     const auto now = start + seconds{60};
     auto view = make_view(now);
-    view.progress[make_node(4)].last_answer = start;
+    view.progress[make_node(4)].last_response = start;
     EXPECT_FALSE(planner.plan(view, now).has_value());
     const auto spare = make_node(6);
     planner.on_join(spare, now);
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, spare}));
     view.members = view.members.with_learner(spare);
     view.progress[spare].match = 1000;
-    view.progress[spare].last_answer = now;
+    view.progress[spare].last_response = now;
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::remove, make_node(4)}));
 }
 
@@ -109,10 +110,10 @@
     // A replaced instance counts as lost until its successor has run for 4 s. Two disks may be lost right
     // after that.
     const replica_settings settings;
-    member_planner planner(settings.voters, settings.voter_loss);
+    member_planner planner(settings.voters, settings.voter_loss_timeout);
     const auto now = start + seconds{3};
     auto view = make_view(now);
-    view.progress[make_node(4)].last_answer = start;
+    view.progress[make_node(4)].last_response = start;
     planner.on_join(make_node(6), now);
     EXPECT_EQ(planner.plan(view, now), (member_step{member_step::kind::add_learner, make_node(6)}));
 }
--- a/unit_tests/replica/replaced_disks_test.cpp
+++ b/unit_tests/replica/replaced_disks_test.cpp
@@ -32,7 +32,7 @@
 constexpr duration max_start_delay = milliseconds{800}; // from a loss of power to the next process
 /// Between two losses of power. Replaced disks count as voters again by then.
 constexpr duration power_loss_interval = seconds{6};
-constexpr duration voter_loss = milliseconds{2500};
+constexpr duration voter_loss_timeout = milliseconds{2500};
 constexpr int power_losses = 6; // per seed
 constexpr int one_message_lost_in = 50;
 constexpr std::uint64_t mean_sync_steps = 5;
@@ -66,14 +66,14 @@
     /// `answers_early`: deliberately sends answers before they are on disk.
     explicit replaced_disks(std::uint64_t seed, bool answers_early = false)
         : m_random(seed), m_answers_early(answers_early) {
-        raft_membership founders;
+        raft_membership initial_voters;
         for (std::uint32_t ip = 1; ip <= instances; ++ip) {
-            founders = founders.with_voter(make_node_id(ip, 1));
+            initial_voters = initial_voters.with_voter(make_node_id(ip, 1));
         }
         for (std::uint32_t ip = 1; ip <= instances; ++ip) {
             m_instances.emplace_back();
             m_instances.back().ip = ip;
-            start(m_instances.back(), founders);
+            start(m_instances.back(), initial_voters);
         }
     }
 
@@ -115,7 +115,7 @@
     /// Returns true when an instance leads with all entries applied and five voters.
     [[nodiscard]] bool is_recovered() const {
         for (const auto& self : m_instances) {
-            if (self.node != nullptr && self.node->has_own_commit() &&
+            if (self.node != nullptr && self.node->has_committed_in_term() &&
                 self.node->get_membership().voters.size() == instances) {
                 return true;
             }
@@ -132,16 +132,16 @@
         auto opened = self.storage->open();
         ASSERT_TRUE(opened.has_value()) << opened.error().message();
         auto stored = std::move(opened).value();
-        if (stored.is_blank) {
-            ASSERT_TRUE(self.storage->form(initial).has_value());
+        if (stored.is_empty) {
+            ASSERT_TRUE(self.storage->write_initial_members(initial).has_value());
             stored.initial = initial;
         }
         self.applied = stored.snapshot.index;
         self.members = stored.snapshot.index != 0 ? stored.snapshot.members : stored.initial;
         self.state = stored.state;
         self.bytes_at_snapshot = 0;
-        raft_start from{self.get_id(),  stored.state, stored.snapshot, std::move(stored.entries),
-                        stored.initial, m_random()};
+        raft_initial_state from{self.get_id(),  stored.state, stored.snapshot, std::move(stored.entries),
+                                stored.initial, m_random()};
         self.node = std::make_unique<raft_node>(raft_settings{}, std::move(from), m_now);
     }
 
@@ -153,16 +153,16 @@
                 start(self, {});
             }
             if (self.node != nullptr && !self.saving.has_value()) {
-                take_turn(self);
+                run_iteration(self);
             } else if (self.node != nullptr && pick(mean_sync_steps) == 0) {
                 end_sync(self);
             }
         }
     }
 
-    void take_turn(instance& self) {
+    void run_iteration(instance& self) {
         self.node->tick(m_now);
-        if (self.node->has_own_commit()) {
+        if (self.node->has_committed_in_term()) {
             static_cast<void>(self.node->propose("command " + std::to_string(m_next_command++), m_now));
             update_membership(self);
         }
@@ -244,7 +244,7 @@
         m_next_member_check = m_now + member_interval;
         if (m_planner_term != self.node->get_term()) {
             m_planner_term = self.node->get_term();
-            m_planner = member_planner(instances, voter_loss);
+            m_planner = member_planner(instances, voter_loss_timeout);
             m_leading_since = m_now;
         }
         for (const auto& other : m_instances) {
@@ -295,7 +295,7 @@
     std::vector<instance> m_instances;
     std::vector<raft_message> m_messages;
     std::map<log_index, log_entry> m_committed; ///< by any instance
-    member_planner m_planner{instances, voter_loss};
+    member_planner m_planner{instances, voter_loss_timeout};
     log_term m_planner_term = 0;
     time_point m_leading_since{};
     time_point m_next_member_check{};
--- a/unit_tests/transport/silent_relay.cpp
+++ b/unit_tests/transport/silent_relay.cpp
@@ -43,35 +43,35 @@
     m_thread.join();
     ::close(m_listener);
     const absl::MutexLock lock(&m_mutex);
-    for (const auto& one : m_connections) {
-        ::close(one.near);
-        ::close(one.far);
+    for (const auto& pair : m_connections) {
+        ::close(pair.client_socket);
+        ::close(pair.server_socket);
     }
 }
 
 void silent_relay::silence() {
     const absl::MutexLock lock(&m_mutex);
-    for (auto& one : m_connections) {
-        one.is_silent = true;
+    for (auto& pair : m_connections) {
+        pair.is_silent = true;
     }
 }
 
 void silent_relay::accept_one() {
-    connection one;
-    one.near = ::accept4(m_listener, nullptr, nullptr, SOCK_CLOEXEC);
-    one.far = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    connection pair;
+    pair.client_socket = ::accept4(m_listener, nullptr, nullptr, SOCK_CLOEXEC);
+    pair.server_socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const auto address = make_address(m_target_port);
-    if (::connect(one.far, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
-        ::close(one.near);
-        ::close(one.far);
+    if (::connect(pair.server_socket, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
+        ::close(pair.client_socket);
+        ::close(pair.server_socket);
         return;
     }
     ++m_accepted;
     const absl::MutexLock lock(&m_mutex);
-    m_connections.push_back(one);
+    m_connections.push_back(pair);
 }
 
-bool silent_relay::carry(int from, int to) {
+bool silent_relay::forward(int from, int to) {
     std::array<char, 65536> bytes{};
     const auto size = ::recv(from, bytes.data(), bytes.size(), 0);
     if (size <= 0) {
@@ -81,28 +81,28 @@
 }
 
 void silent_relay::run() {
-    constexpr int look_ms = 1; // between looks; nothing is proved by it
+    constexpr int poll_interval_ms = 1; // no test depends on its length
     while (!m_is_stopped) {
         pollfd listener{m_listener, POLLIN, 0};
-        if (::poll(&listener, 1, look_ms) > 0) {
+        if (::poll(&listener, 1, poll_interval_ms) > 0) {
             accept_one();
         }
         const absl::MutexLock lock(&m_mutex);
-        for (auto one = m_connections.begin(); one != m_connections.end();) {
+        for (auto pair = m_connections.begin(); pair != m_connections.end();) {
             bool is_open = true;
-            if (!one->is_silent && is_readable(one->near)) {
-                is_open = carry(one->near, one->far);
+            if (!pair->is_silent && is_readable(pair->client_socket)) {
+                is_open = forward(pair->client_socket, pair->server_socket);
             }
-            if (!one->is_silent && is_open && is_readable(one->far)) {
-                is_open = carry(one->far, one->near);
+            if (!pair->is_silent && is_open && is_readable(pair->server_socket)) {
+                is_open = forward(pair->server_socket, pair->client_socket);
             }
             if (is_open) {
-                ++one;
+                ++pair;
                 continue;
             }
-            ::close(one->near);
-            ::close(one->far);
-            one = m_connections.erase(one);
+            ::close(pair->client_socket);
+            ::close(pair->server_socket);
+            pair = m_connections.erase(pair);
         }
     }
 }
