--- a/unit_tests/consensus/raft_scenarios_test.cpp
+++ b/unit_tests/consensus/raft_scenarios_test.cpp
@@ -60,7 +60,7 @@
     // 2. The others elect a leader, which appends its own entry at that index and is cut off.
     const auto others = without(without(all, first.get_id()), follower);
     auto& second = elect(cluster, others, first.get_term());
-    cluster.cut_off(second.get_id());
+    cluster.process_without_sending(second.get_id());
     const auto rest = without(others, second.get_id());
     // 3. The entry of the first term reaches a third node, but no entry of the newest term does.
     const side majority = {first.get_id(), follower, *rest.begin()};
@@ -68,7 +68,7 @@
     EXPECT_TRUE(cluster.run_until(majority, [&] { return third.get_log().get_last_index() == index; }));
     cluster.run(majority, milliseconds{10}); // delivers its response
     for (const auto id : majority) {
-        cluster.cut_off(id);
+        cluster.process_without_sending(id);
     }
     EXPECT_EQ(third.get_log().get_last_index(), index);
     // 4. For all nodes outside the first side, the second leader has the newer log.
@@ -122,7 +122,7 @@
     const auto removed = leader.get_id() == 3 ? node_id{2} : node_id{3};
     const auto rest = without(all, removed);
     EXPECT_TRUE(leader.remove(removed, cluster.get_now()));
-    cluster.run_apart({rest, {removed}}, seconds{30}); // the partitioned node raises no term
+    cluster.run_partitions({rest, {removed}}, seconds{30}); // the partitioned node raises no term
     const auto term = leader.get_term();
     cluster.run(all, seconds{5});
     EXPECT_EQ(leader.get_role(), raft_role::leader);
@@ -140,7 +140,7 @@
     for (int number = 0; number < 300; ++number) {
         EXPECT_TRUE(leader.propose("change " + std::to_string(number), cluster.get_now()));
     }
-    cluster.run_apart({founders, {4}}, seconds{10});
+    cluster.run_partitions({founders, {4}}, seconds{10});
     EXPECT_FALSE(leader.promote(4, cluster.get_now())); // it has no entries yet
     cluster.run({1, 2, 3, 4}, seconds{2});
     EXPECT_TRUE(leader.promote(4, cluster.get_now()));
--- a/unit_tests/consensus/split_cluster.cpp
+++ b/unit_tests/consensus/split_cluster.cpp
@@ -55,24 +55,24 @@
     m_now += step_length;
 }
 
-void split_cluster::run_apart(const std::vector<side>& sides, duration length) {
+void split_cluster::run_partitions(const std::vector<side>& sides, duration length) {
     for (const auto end = m_now + length; m_now < end;) {
         step(sides);
     }
 }
 
-bool split_cluster::run_until(const side& those, const std::function<bool()>& is_enough) {
+bool split_cluster::run_until(const side& those, const std::function<bool()>& condition) {
     const auto end = m_now + seconds{10};
     while (m_now < end) {
         step({those});
-        if (is_enough()) {
+        if (condition()) {
             return true;
         }
     }
     return false;
 }
 
-void split_cluster::cut_off(node_id id) {
+void split_cluster::process_without_sending(node_id id) {
     note(get(id).take_output());
 }
 
--- a/unit_tests/support/split_cluster.h
+++ b/unit_tests/support/split_cluster.h
@@ -21,14 +21,14 @@
     split_cluster(int nodes, int founders, const raft_settings& settings, const raft_rules& rules);
 
     /// Advances time for the nodes of one side. The other nodes do not run, and messages to them are lost.
-    void run(const side& those, duration length) { run_apart({those}, length); }
+    void run(const side& those, duration length) { run_partitions({those}, length); }
     /// Advances time for several sides that cannot reach each other.
-    void run_apart(const std::vector<side>& sides, duration length);
-    /// Like `run`, until `is_enough` holds at the end of a step. Returns false when it did not within 10 s of
+    void run_partitions(const std::vector<side>& sides, duration length);
+    /// Like `run`, until `condition` holds at the end of a step. Returns false when it did not within 10 s of
     /// simulated time.
-    bool run_until(const side& those, const std::function<bool()>& is_enough);
+    bool run_until(const side& those, const std::function<bool()>& condition);
     /// Applies a node's output but drops its messages, as if it were cut off from all other nodes.
-    void cut_off(node_id id);
+    void process_without_sending(node_id id);
 
     raft_node& get(node_id id) { return *m_nodes.at(id); }
     /// Returns the node of `those` that is leader in the highest term, or null.
