--- a/unit_tests/support/silent_relay.h
+++ b/unit_tests/support/silent_relay.h
@@ -22,7 +22,7 @@
 
     [[nodiscard]] int get_port() const { return m_port; }
     /// Stops forwarding on all connections that are open now, permanently.
-    void silence();
+    void stop_forwarding();
     /// Returns the total number of accepted connections.
     [[nodiscard]] int get_accepted_count() const { return m_accepted; }
 
@@ -30,7 +30,7 @@
     struct connection {
         int near = -1;
         int far = -1;
-        bool is_silent = false;
+        bool is_stalled = false;
     };
 
     void run();
--- a/unit_tests/transport/control_link_test.cpp
+++ b/unit_tests/transport/control_link_test.cpp
@@ -83,7 +83,7 @@
 TEST_F(control_link_test, silent_connection_of_a_session_is_replaced) {
     EXPECT_TRUE(m_client->renew({}, make_deadline()));
     const int before = m_relay->get_accepted_count();
-    m_relay->silence();
+    m_relay->stop_forwarding();
     EXPECT_TRUE(m_client->renew({}, make_deadline()));
     EXPECT_GT(m_relay->get_accepted_count(), before); // one more, or several on a slow machine
     EXPECT_GE(m_renewals, 2);
@@ -91,11 +91,11 @@
 
 TEST_F(control_link_test, silent_connection_of_changes_and_queries_is_replaced) {
     EXPECT_TRUE(m_client->propose({}, make_deadline()));
-    m_relay->silence();
+    m_relay->stop_forwarding();
     EXPECT_TRUE(m_client->propose({}, make_deadline()));
-    m_relay->silence();
+    m_relay->stop_forwarding();
     EXPECT_TRUE(m_client->query({}, make_deadline()));
-    m_relay->silence();
+    m_relay->stop_forwarding();
     EXPECT_EQ(m_client->propose_batch({wire::command{}, wire::command{}}, make_deadline()).value().size(),
               2U);
 }
@@ -120,7 +120,7 @@
         return false;
     };
     EXPECT_TRUE(send_until_received(1));
-    m_relay->silence();
+    m_relay->stop_forwarding();
     link.reset(); // as the control node does for a peer that is silent for too long
     EXPECT_TRUE(send_until_received(2));
 }
--- a/unit_tests/transport/silent_relay.cpp
+++ b/unit_tests/transport/silent_relay.cpp
@@ -49,10 +49,10 @@
     }
 }
 
-void silent_relay::silence() {
+void silent_relay::stop_forwarding() {
     const absl::MutexLock lock(&m_mutex);
     for (auto& pair : m_connections) {
-        pair.is_silent = true;
+        pair.is_stalled = true;
     }
 }
 
@@ -90,10 +90,10 @@
         const absl::MutexLock lock(&m_mutex);
         for (auto pair = m_connections.begin(); pair != m_connections.end();) {
             bool is_open = true;
-            if (!pair->is_silent && is_readable(pair->near)) {
+            if (!pair->is_stalled && is_readable(pair->near)) {
                 is_open = carry(pair->near, pair->far);
             }
-            if (!pair->is_silent && is_open && is_readable(pair->far)) {
+            if (!pair->is_stalled && is_open && is_readable(pair->far)) {
                 is_open = carry(pair->far, pair->near);
             }
             if (is_open) {
