--- a/unit_tests/storage/raft_storage_test.cpp
+++ b/unit_tests/storage/raft_storage_test.cpp
@@ -151,7 +151,7 @@
     files.fail_after(5, storage_errc::io_failed); // remove, append, sync, rename and folder sync succeed
     EXPECT_FALSE(storage.save(install));
     EXPECT_GT(files.get_calls(), before);
-    files.heal();
+    files.clear_failure();
     memory_storage reopened(files, own_settings);
     const auto state = reopened.open().value();
     EXPECT_EQ(state.snapshot.index, 15U);
@@ -166,7 +166,7 @@
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     files.fail_after(0, storage_errc::no_space);
     EXPECT_EQ(storage.save(make_entries(3, 2, 1)).error(), make_error_code(storage_errc::no_space));
-    files.heal();
+    files.clear_failure();
     memory_storage reopened(files, own_settings);
     EXPECT_EQ(reopened.open().value().entries.size(), 2U);
 }
--- a/unit_tests/support/memory_file_system.h
+++ b/unit_tests/support/memory_file_system.h
@@ -110,7 +110,7 @@
         m_error = error;
     }
     /// Makes calls succeed again.
-    void heal() { m_fail_in = -1; }
+    void clear_failure() { m_fail_in = -1; }
     /// Returns the number of calls so far.
     [[nodiscard]] int get_calls() const { return m_calls; }
     std::map<std::string, std::string>& get_files() { return m_files; }
