--- a/performance_test/load_test.cpp
+++ b/performance_test/load_test.cpp
@@ -96,7 +96,7 @@
 int main(int count, char** arguments) {
     using namespace poplarpitch;
     auto options = make_options();
-    skip_mutex_checks();
+    disable_deadlock_detection();
     try {
         const auto parsed = options.parse(count, arguments);
         if (parsed.count("help") > 0) {
--- a/performance_test/relay_baseline.cpp
+++ b/performance_test/relay_baseline.cpp
@@ -13,7 +13,7 @@
         std::cerr << "usage: relay_baseline PORT TARGET\n";
         return 2;
     }
-    poplarpitch::skip_mutex_checks();
+    poplarpitch::disable_deadlock_detection();
     poplarpitch::stop_signal signal;
     const std::string target = arguments[2];
     poplarpitch::http_client_pool pool{poplarpitch::http_client_settings{}};
--- a/poplarpitch/core/process_settings.cpp
+++ b/poplarpitch/core/process_settings.cpp
@@ -12,11 +12,11 @@
     mallopt(M_ARENA_MAX, count);
 }
 
-void skip_mutex_checks() {
+void disable_deadlock_detection() {
     absl::SetMutexDeadlockDetectionMode(absl::OnDeadlockCycle::kIgnore);
 }
 
-void leave_process(int code) {
+void exit_without_cleanup(int code) {
     std::fflush(nullptr);
     std::_Exit(code);
 }
--- a/poplarpitch/core/process_settings.h
+++ b/poplarpitch/core/process_settings.h
@@ -10,11 +10,11 @@
 /// Disables Abseil's deadlock detection, which is enabled in Debian's build of Abseil. It takes a
 /// process-wide lock each time a mutex is locked. Tests keep it enabled. Thread safety: none; called before
 /// threads start.
-void skip_mutex_checks();
+void disable_deadlock_detection();
 
 /// Flushes the output and ends the process with `code` without waiting for idle threads of libraries. The
 /// thread pool of the logger was seen to delay processes beyond their time limit for stopping. Thread safety:
 /// none; called last in main.
-[[noreturn]] void leave_process(int code);
+[[noreturn]] void exit_without_cleanup(int code);
 
 } // namespace poplarpitch
--- a/programs/poplarpitch_control.cpp
+++ b/programs/poplarpitch_control.cpp
@@ -13,7 +13,7 @@
     if (line.exit_code.has_value()) {
         return *line.exit_code;
     }
-    poplarpitch::skip_mutex_checks();
+    poplarpitch::disable_deadlock_detection();
     poplarpitch::limit_malloc_arenas(1); // one thread does nearly all of the work
     poplarpitch::start_logging(line.settings.log_level);
     if (!line.restored_file.empty()) {
--- a/programs/poplarpitch_entry.cpp
+++ b/programs/poplarpitch_entry.cpp
@@ -12,7 +12,7 @@
     if (line.exit_code.has_value()) {
         return *line.exit_code;
     }
-    poplarpitch::skip_mutex_checks();
+    poplarpitch::disable_deadlock_detection();
     poplarpitch::limit_malloc_arenas(4); // threads that serve callers must not wait for each other
     poplarpitch::start_logging(line.settings.log_level);
     return poplarpitch::run_entry_daemon(line.settings);
--- a/programs/poplarpitch_gateway.cpp
+++ b/programs/poplarpitch_gateway.cpp
@@ -15,5 +15,5 @@
     poplarpitch::start_ring_logging(line.settings.log_level);
     const int code = poplarpitch::run_gateway_daemon(line.settings);
     poplarpitch::flush_logs();
-    poplarpitch::leave_process(code);
+    poplarpitch::exit_without_cleanup(code);
 }
--- a/programs/poplarpitch_scheduler.cpp
+++ b/programs/poplarpitch_scheduler.cpp
@@ -18,5 +18,5 @@
     poplarpitch::scheduler_daemon<poplarpitch::platform::dialect> daemon(line.settings);
     const int code = daemon.run();
     poplarpitch::flush_logs();
-    poplarpitch::leave_process(code);
+    poplarpitch::exit_without_cleanup(code);
 }
--- a/programs/poplarpitch_stand_in.cpp
+++ b/programs/poplarpitch_stand_in.cpp
@@ -68,7 +68,7 @@
         if (!settings.errors.empty() || parsed.count("check") > 0) {
             return settings.errors.empty() ? 0 : usage_code;
         }
-        poplarpitch::skip_mutex_checks();
+        poplarpitch::disable_deadlock_detection();
         poplarpitch::start_logging("info");
         poplarpitch::stop_signal signal;
         poplarpitch::run_record record(settings.value.record);
