--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -66,7 +66,7 @@
 
 void dispatcher::mark_run_lost(run_track& track, end_reason reason, const run_loss& loss, time_point now) {
     ++m_counts.lost_runs;
-    auto line = log_event(log_level::warn, "run_lost", log_weight::history);
+    auto line = log_event(log_level::warn, "run_lost", log_class::history);
     line.add("reason", get_end_reason_name(reason));
     add_loss(line, track, now);
     propose_end(track, run_end::lost, {reason, {}, 0}, now, {}, loss);
@@ -114,7 +114,7 @@
             continue;
         }
         ++m_counts.lost_runs;
-        auto line = log_event(log_level::warn, "lease_lapsed", log_weight::history);
+        auto line = log_event(log_level::warn, "lease_lapsed", log_class::history);
         add_loss(line, track, now);
         if (worker.listed_at != time_point{}) {
             line.add("listed_ms", to_milliseconds(now - worker.listed_at));
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -391,7 +391,7 @@
                                track.confirmed_at < worker.hold_sent;
         const bool was_stopped = track.is_stop_answered && track.stop_answered_at < worker.hold_sent;
         if (never_came || was_there || was_stopped) {
-            auto line = log_event(log_level::info, "run_not_listed", log_weight::history);
+            auto line = log_event(log_level::info, "run_not_listed", log_class::history);
             add_run(line, key);
             add_worker(line, worker.report.life)
                 .add("seen", worker.seen)
--- a/poplarpitch/dispatch/history_log.cpp
+++ b/poplarpitch/dispatch/history_log.cpp
@@ -9,7 +9,7 @@
 namespace poplarpitch {
 
 void log_run_started(const run_track& track, const char* reason, log_term term, time_point now) {
-    auto line = log_event(log_level::info, "run_started", log_weight::history);
+    auto line = log_event(log_level::info, "run_started", log_class::history);
     add_run(line, track.key);
     add_worker(line, track.host->report.life)
         .add("wait_ms", to_milliseconds(now - track.claimed_at))
@@ -23,7 +23,7 @@
 }
 
 void log_run_taken_over(const run_track& track, const char* found, log_term term) {
-    auto line = log_event(log_level::info, "run_taken_over", log_weight::history);
+    auto line = log_event(log_level::info, "run_taken_over", log_class::history);
     add_run(line, track.key);
     add_worker(line, track.host->report.life)
         .add("found", found)
@@ -33,7 +33,7 @@
 }
 
 void log_run_ended(const run_track& track, run_end end, log_term term, time_point now) {
-    auto line = log_event(log_level::info, "run_ended", log_weight::history);
+    auto line = log_event(log_level::info, "run_ended", log_class::history);
     add_run(line, track.key);
     add_worker(line, track.assigned_to)
         .add("end", get_end_name(end))
@@ -52,7 +52,7 @@
     if (track != nullptr && track->host != &worker) {
         why = "other_worker";
     }
-    auto line = log_event(log_level::info, "end_of_unknown_run", log_weight::history);
+    auto line = log_event(log_level::info, "end_of_unknown_run", log_class::history);
     add_run(line, row.run);
     add_worker(line, worker.report.life)
         .add("end", get_end_name(row.end))
@@ -63,7 +63,7 @@
 }
 
 void log_takeover(const takeover& taken) {
-    log_event(log_level::info, "took_over", log_weight::history)
+    log_event(log_level::info, "took_over", log_class::history)
         .add("term", taken.term)
         .add("fence", taken.fence)
         .add("open_jobs", taken.open_jobs)
--- a/poplarpitch/telemetry/line_ring.cpp
+++ b/poplarpitch/telemetry/line_ring.cpp
@@ -19,14 +19,14 @@
 
 } // namespace
 
-void line_ring::add(std::string line, log_weight weight) {
-    const auto reserve = weight == log_weight::history ? 0 : m_reserve;
+void line_ring::add(std::string line, log_class line_class) {
+    const auto reserve = line_class == log_class::history ? 0 : m_reserve;
     if (m_bytes + line.size() + reserve > m_capacity) {
         ++m_left_out;
         ++m_unreported;
         return;
     }
-    if (weight == log_weight::ordinary) { // the notice must not use the space reserved for history lines
+    if (line_class == log_class::ordinary) { // the notice must not use the space reserved for history lines
         add_left_out_notice();
     }
     m_bytes += line.size();
--- a/poplarpitch/telemetry/line_ring.h
+++ b/poplarpitch/telemetry/line_ring.h
@@ -11,7 +11,7 @@
 
 /// A queue of log lines for a reader that may be slow or gone, bounded in bytes. When it is full, new lines
 /// are left out and counted. A line with the count follows once there is room. Part of the space is reserved
-/// for lines of `log_weight::history`, so that many ordinary lines cannot displace them. Thread safety: none.
+/// for lines of `log_class::history`, so that many ordinary lines cannot displace them. Thread safety: none.
 class line_ring {
 public:
     /// `capacity` is the maximum number of bytes. `reserve` is how many of them ordinary lines must leave
@@ -20,7 +20,7 @@
         : m_capacity(capacity), m_reserve(reserve) {}
 
     /// Adds a line, or counts it as left out. Precondition: the line ends with a line feed.
-    void add(std::string line, log_weight weight = log_weight::ordinary);
+    void add(std::string line, log_class line_class = log_class::ordinary);
     /// Writes as much as the descriptor accepts without blocking. If a write fails, drops the lines, because
     /// nobody reads them any more.
     void write_to(int descriptor);
--- a/poplarpitch/telemetry/log_event.cpp
+++ b/poplarpitch/telemetry/log_event.cpp
@@ -56,15 +56,15 @@
 
 } // namespace
 
-log_event::log_event(log_level level, std::string_view name, log_weight weight)
-    : m_level(level), m_weight(weight), m_name(name), m_line("event=") {
+log_event::log_event(log_level level, std::string_view name, log_class line_class)
+    : m_level(level), m_class(line_class), m_name(name), m_line("event=") {
     append_value(m_line, name);
 }
 
 log_event::~log_event() {
     static const auto root = log4cplus::Logger::getRoot();
     static const auto history = log4cplus::Logger::getInstance(history_logger);
-    const auto& logger = m_weight == log_weight::history ? history : root;
+    const auto& logger = m_class == log_class::history ? history : root;
     const auto level = to_log4cplus_level(m_level);
     if (!logger.isEnabledFor(level)) {
         return;
--- a/poplarpitch/telemetry/log_event.h
+++ b/poplarpitch/telemetry/log_event.h
@@ -11,7 +11,7 @@
 enum class log_level : std::uint8_t { debug, info, warn, error };
 
 /// Which lines are kept longest when lines must be left out.
-enum class log_weight : std::uint8_t {
+enum class log_class : std::uint8_t {
     ordinary,
     history, ///< the history of tasks: part of the buffer is reserved for these lines
 };
@@ -26,7 +26,7 @@
 class log_event {
 public:
     /// Starts a line for the event `name`.
-    log_event(log_level level, std::string_view name, log_weight weight = log_weight::ordinary);
+    log_event(log_level level, std::string_view name, log_class line_class = log_class::ordinary);
     ~log_event();
     log_event(const log_event&) = delete;
     log_event& operator=(const log_event&) = delete;
@@ -45,7 +45,7 @@
 
 private:
     log_level m_level;
-    log_weight m_weight;
+    log_class m_class;
     std::string m_name;
     std::string m_line;
 };
--- a/poplarpitch/telemetry/ring_appender.cpp
+++ b/poplarpitch/telemetry/ring_appender.cpp
@@ -27,7 +27,7 @@
     std::ostringstream line;
     layout->formatAndAppend(line, event);
     const bool is_history = event.getLoggerName() == history_logger;
-    m_ring.add(line.str(), is_history ? log_weight::history : log_weight::ordinary);
+    m_ring.add(line.str(), is_history ? log_class::history : log_class::ordinary);
 }
 
 } // namespace poplarpitch
--- a/unit_tests/telemetry/line_ring_test.cpp
+++ b/unit_tests/telemetry/line_ring_test.cpp
@@ -70,10 +70,10 @@
     line_ring ring(40, 20);
     ring.add("ordinary 1\n");
     ring.add("ordinary 2\n"); // would use the reserved part
-    ring.add("history 1\n", log_weight::history);
-    ring.add("history 2\n", log_weight::history);
+    ring.add("history 1\n", log_class::history);
+    ring.add("history 2\n", log_class::history);
     EXPECT_EQ(ring.get_left_out(), 1U);
-    ring.add("history 3\n", log_weight::history);
+    ring.add("history 3\n", log_class::history);
     EXPECT_EQ(ring.get_left_out(), 2U);
     ring.write_to(pipe.get_writer());
     const auto written = pipe.read();
@@ -95,7 +95,7 @@
         log_event(log_level::warn, "flood").add("number", number);
     }
     const auto left_out = ring->get_ring().get_left_out();
-    log_event(log_level::info, "run_ended", log_weight::history).add("run", 1);
+    log_event(log_level::info, "run_ended", log_class::history).add("run", 1);
     EXPECT_GT(left_out, 0U);
     EXPECT_EQ(ring->get_ring().get_left_out(), left_out);
     log_event(log_level::warn, "flood").add("number", 1000);
