--- a/poplarpitch/control/control_node.cpp
+++ b/poplarpitch/control/control_node.cpp
@@ -123,7 +123,7 @@
 }
 
 void control_node::end_process(const std::error_code& error) {
-    end_on_storage_failure(error, m_storage.get_error_place());
+    exit_on_storage_failure(error, m_storage.get_error_place());
 }
 
 void control_node::apply(const log_entry& entry) {
--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -315,7 +315,7 @@
 }
 
 void replica::end_process(const std::error_code& error) {
-    end_on_storage_failure(error, m_storage->get_error_place());
+    exit_on_storage_failure(error, m_storage->get_error_place());
 }
 
 void replica::update_role() {
--- a/poplarpitch/telemetry/storage_failure.cpp
+++ b/poplarpitch/telemetry/storage_failure.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void end_on_storage_failure(const std::error_code& error, const std::string& place) {
+void exit_on_storage_failure(const std::error_code& error, const std::string& place) {
     log_event(log_level::error, "storage_failed")
         .add("error", error)
         .add("place", place)
--- a/unit_tests/telemetry/storage_failure_test.cpp
+++ b/unit_tests/telemetry/storage_failure_test.cpp
@@ -14,7 +14,7 @@
         {
             ::dup2(STDERR_FILENO, STDOUT_FILENO); // EXPECT_EXIT matches standard error
             start_ring_logging("info");
-            end_on_storage_failure(std::make_error_code(std::errc::too_many_files_open), "segment");
+            exit_on_storage_failure(std::make_error_code(std::errc::too_many_files_open), "segment");
         },
         testing::ExitedWithCode(documented_code), "event=storage_failed .*place=segment");
 }
