--- a/poplarpitch/config/configuration_parser.cpp
+++ b/poplarpitch/config/configuration_parser.cpp
@@ -101,8 +101,8 @@
         service.serve_when_cut_off = reader.get_flag("serve_when_cut_off", service.serve_when_cut_off);
         service.max_queue = reader.get_integer("max_queue", service.max_queue, 0, max_count);
         service.max_in_flight = reader.get_integer("max_in_flight", service.max_in_flight, 1, max_count);
-        service.need = read_need(reader, service.need);
-        if (service.need.slots < 1) {
+        service.demand = read_demand(reader, service.demand);
+        if (service.demand.slots < 1) {
             reader.add_error("slots", "a request takes at least one slot");
         }
         m_dependency_lines[service.name] = reader.get_line("depends");
@@ -112,7 +112,7 @@
     void read_batch(const ini_section& section, section_reader& reader) {
         batch_settings batch;
         batch.name = section.name;
-        batch.need = read_need(reader, batch.need);
+        batch.demand = read_demand(reader, batch.demand);
         batch.run_time = reader.get_duration("run_time", batch.run_time);
         batch.idempotent = reader.get_flag("idempotent", batch.idempotent);
         batch.urgent = reader.get_flag("urgent", batch.urgent);
@@ -120,13 +120,13 @@
         m_parsed.value.batches.push_back(std::move(batch));
     }
 
-    static resources read_need(section_reader& reader, resources need) {
-        need.slots = reader.get_integer("slots", need.slots, 0, max_count);
-        const double cores = static_cast<double>(need.millicores) / 1000;
-        need.millicores = static_cast<std::int64_t>(reader.get_number("cores", cores, 0, 100000) * 1000);
-        need.memory = reader.get_bytes("memory", need.memory);
-        need.accelerators = reader.get_integer("accelerators", need.accelerators, 0, max_count);
-        return need;
+    static resources read_demand(section_reader& reader, resources demand) {
+        demand.slots = reader.get_integer("slots", demand.slots, 0, max_count);
+        const double cores = static_cast<double>(demand.millicores) / 1000;
+        demand.millicores = static_cast<std::int64_t>(reader.get_number("cores", cores, 0, 100000) * 1000);
+        demand.memory = reader.get_bytes("memory", demand.memory);
+        demand.accelerators = reader.get_integer("accelerators", demand.accelerators, 0, max_count);
+        return demand;
     }
 
     /// The lease times must be ordered, so that a lease holder always gives up before another takes over.
--- a/poplarpitch/config/service_settings.h
+++ b/poplarpitch/config/service_settings.h
@@ -20,7 +20,7 @@
     bool serve_when_cut_off = false; ///< continue to serve idempotent requests without a control session
     std::int64_t max_queue = 1000;   ///< waiting requests per entry
     std::int64_t max_in_flight = 10000; ///< running requests per entry
-    resources need{1, 0, 0, 0};         ///< resources that one request uses on its worker
+    resources demand{1, 0, 0, 0};       ///< resources that one request uses on its worker
 
     friend bool operator==(const service_settings&, const service_settings&) = default;
 };
--- a/poplarpitch/entry/job_codec.cpp
+++ b/poplarpitch/entry/job_codec.cpp
@@ -96,7 +96,7 @@
     if (job.payload().size() > max_payload_bytes) {
         return codec_error{"'payload' is larger than 64 KB"};
     }
-    auto need = batch->need;
+    auto need = batch->demand;
     std::int64_t run_time_ms = to_milliseconds(batch->run_time);
     number_reader numbers(object);
     numbers.read("slots", need.slots);
--- a/poplarpitch/entry/owned_fleet.cpp
+++ b/poplarpitch/entry/owned_fleet.cpp
@@ -86,7 +86,7 @@
         if (m_tables.size() <= number) {
             m_tables.resize(number + 1);
         }
-        m_tables[number].need = service.need;
+        m_tables[number].need = service.demand;
     }
     for (auto& [id, worker] : m_workers) {
         worker.rows.clear();
--- a/unit_tests/config/configuration_parser_test.cpp
+++ b/unit_tests/config/configuration_parser_test.cpp
@@ -26,9 +26,9 @@
     EXPECT_EQ(parsed.value.objective.tail, 0.5);
     EXPECT_EQ(parsed.value.find_tenant("a")->millicores, 10000);
     EXPECT_EQ(parsed.value.find_service("s")->deadline, milliseconds{250});
-    EXPECT_EQ(parsed.value.find_service("s")->need.slots, 2);
-    EXPECT_EQ(parsed.value.find_batch("b")->need.millicores, 1500);
-    EXPECT_EQ(parsed.value.find_batch("b")->need.memory, 2LL << 30);
+    EXPECT_EQ(parsed.value.find_service("s")->demand.slots, 2);
+    EXPECT_EQ(parsed.value.find_batch("b")->demand.millicores, 1500);
+    EXPECT_EQ(parsed.value.find_batch("b")->demand.memory, 2LL << 30);
 }
 
 TEST(configuration_parser, names_every_mistake_with_its_line) {
