--- a/poplarpitch/config/configuration_parser.cpp
+++ b/poplarpitch/config/configuration_parser.cpp
@@ -93,7 +93,7 @@
     void read_service(const ini_section& section, section_reader& reader) {
         service_settings service;
         service.name = section.name;
-        service.depends = reader.get_list("depends");
+        service.dependencies = reader.get_list("depends");
         service.deadline = reader.get_duration("deadline", service.deadline);
         service.idempotent = reader.get_flag("idempotent", service.idempotent);
         service.require_key = reader.get_flag("require_key", service.require_key);
@@ -146,7 +146,7 @@
     /// Every dependency must name a service, and there must be no dependency cycle.
     void check_dependencies() {
         for (const auto& service : m_parsed.value.services) {
-            for (const auto& name : service.depends) {
+            for (const auto& name : service.dependencies) {
                 if (m_parsed.value.find_service(name) == nullptr) {
                     m_parsed.errors.push_back({m_dependency_lines[service.name],
                                                absl::StrCat("depends: no service is called '", name, "'")});
@@ -176,7 +176,7 @@
             return;
         }
         path.push_back(service.name);
-        for (const auto& name : service.depends) {
+        for (const auto& name : service.dependencies) {
             const auto* next = m_parsed.value.find_service(name);
             if (next != nullptr) {
                 visit(*next, path, finished);
--- a/poplarpitch/config/service_settings.h
+++ b/poplarpitch/config/service_settings.h
@@ -12,8 +12,8 @@
 /// `[service NAME]`: one latency-critical service.
 struct service_settings {
     std::string name;
-    std::vector<std::string> depends; ///< services that must be up for this one to be useful
-    duration deadline = seconds{2};   ///< default when the caller sets none
+    std::vector<std::string> dependencies; ///< services that must be up for this one to be useful
+    duration deadline = seconds{2};        ///< default when the caller sets none
     bool idempotent = false;         ///< default for requests that do not specify it; false is the safe value
     bool require_key = false;        ///< reject non-idempotent requests without Idempotency-Key
     bool hedge = false;              ///< send a second copy of a slow idempotent request
--- a/poplarpitch/policy/dependency_graph.cpp
+++ b/poplarpitch/policy/dependency_graph.cpp
@@ -14,7 +14,7 @@
     if (service == nullptr) {
         return;
     }
-    for (const auto& next : service->depends) {
+    for (const auto& next : service->dependencies) {
         if (std::find(dependencies.begin(), dependencies.end(), next) == dependencies.end()) {
             dependencies.push_back(next);
             collect_dependencies(settings, next, dependencies);
