--- a/poplarpitch/config/daemon_settings.cpp
+++ b/poplarpitch/config/daemon_settings.cpp
@@ -11,7 +11,7 @@
 
 constexpr int max_port = 65535;
 constexpr int max_threads = 8192;
-constexpr absl::string_view spare_suffix = "/spare";
+constexpr absl::string_view standby_suffix = "/spare";
 
 /// Reads `1@127.0.0.1:7000` or `4@127.0.0.1:7003/spare`. Records an error when `text` has another form.
 void read_peer(const std::string& text, section_reader& reader, std::vector<peer_address>& peers) {
@@ -23,9 +23,9 @@
         return;
     }
     peer.address = text.substr(at + 1);
-    if (absl::EndsWith(peer.address, spare_suffix)) {
-        peer.is_spare = true;
-        peer.address.resize(peer.address.size() - spare_suffix.size());
+    if (absl::EndsWith(peer.address, standby_suffix)) {
+        peer.is_standby = true;
+        peer.address.resize(peer.address.size() - standby_suffix.size());
     }
     for (const auto& other : peers) {
         if (other.id == peer.id) {
--- a/poplarpitch/config/peer_address.h
+++ b/poplarpitch/config/peer_address.h
@@ -8,9 +8,9 @@
 
 /// The address at which a control instance listens for the project's own processes.
 struct peer_address {
-    std::uint64_t id = 0;  ///< member id in the replicated log, from 1
-    std::string address;   ///< host:port
-    bool is_spare = false; ///< not a founding member; waits to be added as a learner
+    std::uint64_t id = 0;    ///< member id in the replicated log, from 1
+    std::string address;     ///< host:port
+    bool is_standby = false; ///< not a founding member; waits to be added as a learner
 
     friend auto operator<=>(const peer_address&, const peer_address&) = default;
 };
--- a/poplarpitch/control/cluster_bootstrap.cpp
+++ b/poplarpitch/control/cluster_bootstrap.cpp
@@ -4,7 +4,7 @@
 
 namespace poplarpitch {
 
-bootstrap_action decide_bootstrap(bool is_spare, const std::vector<peer_bootstrap_state>& initial_voters) {
+bootstrap_action decide_bootstrap(bool is_standby, const std::vector<peer_bootstrap_state>& initial_voters) {
     const auto has_cluster = [](const peer_bootstrap_state& peer) {
         return peer.is_reached && peer.has_cluster;
     };
@@ -15,7 +15,7 @@
         const bool is_refused = std::any_of(initial_voters.begin(), initial_voters.end(), lists_us_as_voter);
         return is_refused ? bootstrap_action::refuse : bootstrap_action::join;
     }
-    if (is_spare) {
+    if (is_standby) {
         return bootstrap_action::join;
     }
     const bool is_complete = std::all_of(initial_voters.begin(), initial_voters.end(),
@@ -26,7 +26,7 @@
 raft_membership get_initial_voters(const std::vector<peer_address>& control) {
     raft_membership members;
     for (const auto& peer : control) {
-        if (!peer.is_spare) {
+        if (!peer.is_standby) {
             members = members.with_voter(peer.id);
         }
     }
--- a/poplarpitch/control/cluster_bootstrap.h
+++ b/poplarpitch/control/cluster_bootstrap.h
@@ -22,7 +22,7 @@
 enum class bootstrap_action : std::uint8_t {
     wait,   ///< query the other initial voters again
     create, ///< all initial voters were reached and are blank: create the cluster
-    join,   ///< a cluster exists without us as a voter, or we are a spare: wait to be added
+    join,   ///< a cluster exists without us as a voter, or we are a standby: wait to be added
     refuse, ///< the cluster lists us as a voter, but our data is lost
 };
 
@@ -32,11 +32,11 @@
 /// - A voter that restarts without its files is refused, because the votes and entries that it confirmed are
 ///   lost. It must be removed from the cluster and added under a new node id.
 /// Thread safety: any thread.
-[[nodiscard]] bootstrap_action decide_bootstrap(bool is_spare,
+[[nodiscard]] bootstrap_action decide_bootstrap(bool is_standby,
                                                 const std::vector<peer_bootstrap_state>& initial_voters);
 
-/// Returns the membership that a cluster is created with: every instance of the settings that is not a spare.
-/// Thread safety: any thread.
+/// Returns the membership that a cluster is created with: every instance of the settings that is not a
+/// standby. Thread safety: any thread.
 [[nodiscard]] raft_membership get_initial_voters(const std::vector<peer_address>& control);
 
 } // namespace poplarpitch
--- a/poplarpitch/control/control_daemon.cpp
+++ b/poplarpitch/control/control_daemon.cpp
@@ -29,7 +29,7 @@
                                                      control_client& client) {
     std::vector<wire::query_answer> answers;
     for (const auto& peer : settings.control) {
-        if (peer.id == settings.node_id || peer.is_spare) {
+        if (peer.id == settings.node_id || peer.is_standby) {
             continue;
         }
         wire::query_request request;
@@ -52,10 +52,10 @@
     return initial_voters;
 }
 
-bool is_spare(const daemon_settings& settings) {
+bool is_standby(const daemon_settings& settings) {
     for (const auto& peer : settings.control) {
         if (peer.id == settings.node_id) {
-            return peer.is_spare;
+            return peer.is_standby;
         }
     }
     return true; // not listed in the settings, so not an initial voter
@@ -66,7 +66,7 @@
 bool bootstrap_cluster(const daemon_settings& settings, control_node& node, stop_signal& signal) {
     control_client client(settings.control);
     while (!signal.is_raised()) {
-        const auto action = decide_bootstrap(is_spare(settings), probe_initial_voters(settings, client));
+        const auto action = decide_bootstrap(is_standby(settings), probe_initial_voters(settings, client));
         if (action == bootstrap_action::refuse) {
             log_event(log_level::error, "lost_disk")
                 .add("node", settings.node_id)
@@ -190,7 +190,7 @@
             return signal.is_raised() ? 0 : start_failed_code;
         }
         is_blank = false;
-        if (!is_spare(settings)) {
+        if (!is_standby(settings)) {
             wait_for_initial_voters(settings, signal);
         }
     }
--- a/poplarpitch/control/control_node.h
+++ b/poplarpitch/control/control_node.h
@@ -40,7 +40,7 @@
     /// Returns true while the data folder is blank: this instance neither created nor joined a cluster.
     /// Thread safety: as `open`.
     [[nodiscard]] bool is_blank() const { return m_stored.is_blank; }
-    /// Writes the initial membership. With empty `members` the instance joins a cluster as a spare. Thread
+    /// Writes the initial membership. With empty `members` the instance joins a cluster as a standby. Thread
     /// safety: as `open`.
     result<void> bootstrap(const raft_membership& members);
 
--- a/unit_tests/config/daemon_settings_test.cpp
+++ b/unit_tests/config/daemon_settings_test.cpp
@@ -11,8 +11,8 @@
                                               true);
     ASSERT_TRUE(parsed.errors.empty()) << parsed.errors.front().message;
     ASSERT_EQ(parsed.value.control.size(), 2U);
-    EXPECT_FALSE(parsed.value.control[0].is_spare);
-    EXPECT_TRUE(parsed.value.control[1].is_spare);
+    EXPECT_FALSE(parsed.value.control[0].is_standby);
+    EXPECT_TRUE(parsed.value.control[1].is_standby);
     EXPECT_EQ(parsed.value.control[1].address, "127.0.0.1:2");
 }
 
