--- a/poplarpitch/config/daemon_settings.cpp
+++ b/poplarpitch/config/daemon_settings.cpp
@@ -60,12 +60,12 @@
         value.cluster = reader.get_text("cluster", value.cluster);
         value.log_level = reader.get_text("log_level", value.log_level);
         for (const auto& peer : reader.get_list("control")) {
-            read_peer(peer, reader, value.control);
+            read_peer(peer, reader, value.control_peers);
         }
         if (value.id.empty()) {
             reader.add_error("id", "is missing");
         }
-        if (value.control.empty()) {
+        if (value.control_peers.empty()) {
             reader.add_error("control", "is missing: name every control instance as id@host:port");
         }
         if (is_control) {
--- a/poplarpitch/config/daemon_settings.h
+++ b/poplarpitch/config/daemon_settings.h
@@ -17,13 +17,13 @@
     std::string host = "127.0.0.1";      ///< address to listen on and to be reached at
     int http_port = 0;                   ///< for callers, targets and operators; 0 selects a free port
     int grpc_port = 0;         ///< for the project's own processes (control only); 0 selects a free port
-    std::uint64_t node_id = 0; ///< control: id of this daemon in `control`
-    std::vector<peer_address> control;   ///< all control instances: id@host:port
-    std::string cluster = "poplarpitch"; ///< cluster name; a data folder of another cluster is refused
-    std::string data_folder;             ///< control: folder of its files
-    int http_threads = 512;              ///< connections served at the same time, one thread each
-    std::int64_t max_body = 8LL << 20;   ///< largest request or response body in bytes
-    std::string log_level = "info";      ///< debug, info, warn or error
+    std::uint64_t node_id = 0; ///< control: id of this daemon in `control_peers`
+    std::vector<peer_address> control_peers; ///< all control instances: id@host:port
+    std::string cluster = "poplarpitch";     ///< cluster name; a data folder of another cluster is refused
+    std::string data_folder;                 ///< control: folder of its files
+    int http_threads = 512;                  ///< connections served at the same time, one thread each
+    std::int64_t max_body = 8LL << 20;       ///< largest request or response body in bytes
+    std::string log_level = "info";          ///< debug, info, warn or error
 
     friend bool operator==(const daemon_settings&, const daemon_settings&) = default;
 };
--- a/poplarpitch/control/control_daemon.cpp
+++ b/poplarpitch/control/control_daemon.cpp
@@ -28,7 +28,7 @@
 std::vector<wire::query_answer> query_initial_voters(const daemon_settings& settings,
                                                      control_client& client) {
     std::vector<wire::query_answer> answers;
-    for (const auto& peer : settings.control) {
+    for (const auto& peer : settings.control_peers) {
         if (peer.id == settings.node_id || peer.is_standby) {
             continue;
         }
@@ -53,7 +53,7 @@
 }
 
 bool is_standby(const daemon_settings& settings) {
-    for (const auto& peer : settings.control) {
+    for (const auto& peer : settings.control_peers) {
         if (peer.id == settings.node_id) {
             return peer.is_standby;
         }
@@ -64,7 +64,7 @@
 /// Waits until it is decided whether the blank instance creates a cluster or joins one, and writes that to
 /// the data folder. Returns false when the instance must not start.
 bool bootstrap_cluster(const daemon_settings& settings, control_node& node, stop_signal& signal) {
-    control_client client(settings.control);
+    control_client client(settings.control_peers);
     while (!signal.is_raised()) {
         const auto action = decide_bootstrap(is_standby(settings), probe_initial_voters(settings, client));
         if (action == bootstrap_action::refuse) {
@@ -81,7 +81,7 @@
         }
         const bool is_new_cluster = action == bootstrap_action::create;
         const auto bootstrapped =
-            node.bootstrap(is_new_cluster ? get_initial_voters(settings.control) : raft_membership{});
+            node.bootstrap(is_new_cluster ? get_initial_voters(settings.control_peers) : raft_membership{});
         if (!bootstrapped) {
             log_event(log_level::error, "storage_failed").add("error", bootstrapped.error());
             return false;
@@ -97,7 +97,7 @@
 /// election before: a commit by the first two would make the third, still blank, look like a voter that lost
 /// its disk.
 void wait_for_initial_voters(const daemon_settings& settings, stop_signal& signal) {
-    control_client client(settings.control);
+    control_client client(settings.control_peers);
     while (!signal.is_raised()) {
         const auto answers = query_initial_voters(settings, client);
         const bool is_complete =
--- a/poplarpitch/control/control_node.cpp
+++ b/poplarpitch/control/control_node.cpp
@@ -52,7 +52,7 @@
         m_machine.load(*snapshot.data);
     }
     m_node = std::make_unique<raft_node>(m_settings.raft, std::move(start), now);
-    for (const auto& peer : m_daemon.control) {
+    for (const auto& peer : m_daemon.control_peers) {
         if (peer.id != m_daemon.node_id) {
             m_links[peer.id] = std::make_unique<peer_link>(peer.address, m_daemon.cluster);
         }
--- a/poplarpitch/control/data_folder_restorer.cpp
+++ b/poplarpitch/control/data_folder_restorer.cpp
@@ -23,7 +23,7 @@
     if (!stored.is_blank) {
         return false;
     }
-    const auto members = get_initial_voters(settings.control);
+    const auto members = get_initial_voters(settings.control_peers);
     BOOST_OUTCOME_TRY(storage.form(members));
     const raft_snapshot snapshot{restored.index, first_term, members,
                                  std::make_shared<const std::string>(restored.data)};
@@ -38,7 +38,7 @@
         log_event(log_level::error, "restore_refused").add("file", backup_file).add("reason", reason);
         return failed_code;
     };
-    if (!get_initial_voters(settings.control).is_voter(settings.node_id)) {
+    if (!get_initial_voters(settings.control_peers).is_voter(settings.node_id)) {
         return refuse("no initial voter of the settings has the id of this node: restore the initial voters, "
                       "then add it");
     }
--- a/poplarpitch/entry/entry_daemon.cpp
+++ b/poplarpitch/entry/entry_daemon.cpp
@@ -39,7 +39,7 @@
 class entry_daemon {
 public:
     explicit entry_daemon(const daemon_settings& settings)
-        : m_settings(settings), m_control(settings.control), m_targets(make_client_settings(settings)),
+        : m_settings(settings), m_control(settings.control_peers), m_targets(make_client_settings(settings)),
           m_state(settings.id, settings.data_centre),
           m_calls(m_state, m_targets, m_control, m_lease, m_metrics, settings.id,
                   make_request_prefix(settings)),
--- a/unit_tests/config/daemon_settings_test.cpp
+++ b/unit_tests/config/daemon_settings_test.cpp
@@ -10,10 +10,10 @@
                                               "control = 1@127.0.0.1:1, 2@127.0.0.1:2/spare\n",
                                               true);
     ASSERT_TRUE(parsed.errors.empty()) << parsed.errors.front().message;
-    ASSERT_EQ(parsed.value.control.size(), 2U);
-    EXPECT_FALSE(parsed.value.control[0].is_standby);
-    EXPECT_TRUE(parsed.value.control[1].is_standby);
-    EXPECT_EQ(parsed.value.control[1].address, "127.0.0.1:2");
+    ASSERT_EQ(parsed.value.control_peers.size(), 2U);
+    EXPECT_FALSE(parsed.value.control_peers[0].is_standby);
+    EXPECT_TRUE(parsed.value.control_peers[1].is_standby);
+    EXPECT_EQ(parsed.value.control_peers[1].address, "127.0.0.1:2");
 }
 
 TEST(daemon_settings, reports_missing_keys) {
