--- a/poplarpitch/command_line/settings_command_line.h
+++ b/poplarpitch/command_line/settings_command_line.h
@@ -17,7 +17,7 @@
 struct settings_command_line {
     std::optional<int> exit_code; ///< set when the daemon is not to run
     Settings settings;
-    std::string restored_file; ///< --restore: backup to create the cluster from; empty otherwise
+    std::string backup_file; ///< --restore: backup to create the cluster from; empty otherwise
 };
 
 /// Parses a daemon's command line, and its settings with `parse`. Prints all errors with file and line.
@@ -30,7 +30,7 @@
     settings_command_line<decltype(parsed_settings::value)> line;
     const auto file = read_settings_file(count, arguments, program, about, file_options);
     line.exit_code = file.exit_code;
-    line.restored_file = file.restored_file;
+    line.backup_file = file.backup_file;
     if (line.exit_code.has_value()) {
         return line;
     }
--- a/poplarpitch/command_line/settings_file.cpp
+++ b/poplarpitch/command_line/settings_file.cpp
@@ -42,7 +42,7 @@
         file.is_check_only = parsed.count("check") > 0;
         file.name = parsed["settings"].as<std::string>();
         if (file_options.can_restore && parsed.count("restore") > 0) {
-            file.restored_file = parsed["restore"].as<std::string>();
+            file.backup_file = parsed["restore"].as<std::string>();
         }
     } catch (const cxxopts::exceptions::exception& error) {
         std::cerr << program << ": " << error.what() << "; see --help\n";
--- a/poplarpitch/command_line/settings_file.h
+++ b/poplarpitch/command_line/settings_file.h
@@ -17,7 +17,7 @@
     bool is_check_only = false;   ///< only check the settings
     std::string name;
     std::string text;
-    std::string restored_file; ///< --restore: backup to create the cluster from; empty otherwise
+    std::string backup_file; ///< --restore: backup to create the cluster from; empty otherwise
 };
 
 /// Exit code for an invalid command line or invalid settings.
--- a/programs/poplarpitch_control.cpp
+++ b/programs/poplarpitch_control.cpp
@@ -16,8 +16,8 @@
     poplarpitch::disable_deadlock_detection();
     poplarpitch::limit_malloc_arenas(1); // one thread does nearly all of the work
     poplarpitch::start_logging(line.settings.log_level);
-    if (!line.restored_file.empty()) {
-        return poplarpitch::restore_data_folder(line.settings, line.restored_file);
+    if (!line.backup_file.empty()) {
+        return poplarpitch::restore_data_folder(line.settings, line.backup_file);
     }
     return poplarpitch::run_control_daemon(line.settings);
 }
