--- a/poplarpitch/command_line/settings_command_line.h
+++ b/poplarpitch/command_line/parsed_command_line.h
@@ -14,7 +14,7 @@
 
 /// The parsed command line and settings of a daemon.
 template <class Settings>
-struct settings_command_line {
+struct parsed_command_line {
     std::optional<int> exit_code; ///< set when the daemon is not to run
     Settings settings;
     std::string backup_file; ///< --restore: backup to create the cluster from; empty otherwise
@@ -27,7 +27,7 @@
                                 const char* about, const Parse& parse,
                                 const settings_file_options& file_options = {}) {
     using parsed_settings = std::invoke_result_t<Parse, std::string_view>;
-    settings_command_line<decltype(parsed_settings::value)> line;
+    parsed_command_line<decltype(parsed_settings::value)> line;
     const auto file = read_settings_file(count, arguments, program, about, file_options);
     line.exit_code = file.exit_code;
     line.backup_file = file.backup_file;
--- a/programs/poplarpitch_entry.cpp
+++ b/programs/poplarpitch_entry.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/command_line/settings_command_line.h"
+#include "poplarpitch/command_line/parsed_command_line.h"
 #include "poplarpitch/config/daemon_settings.h"
 #include "poplarpitch/core/process_settings.h"
 #include "poplarpitch/entry/entry_daemon.h"
--- a/programs/poplarpitch_gateway.cpp
+++ b/programs/poplarpitch_gateway.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/command_line/settings_command_line.h"
+#include "poplarpitch/command_line/parsed_command_line.h"
 #include "poplarpitch/core/process_settings.h"
 #include "poplarpitch/gateway/gateway_daemon.h"
 #include "poplarpitch/telemetry/logging.h"
--- a/programs/poplarpitch_scheduler.cpp
+++ b/programs/poplarpitch_scheduler.cpp
@@ -1,6 +1,6 @@
 #include "platform/dialect.h"
 
-#include "poplarpitch/command_line/settings_command_line.h"
+#include "poplarpitch/command_line/parsed_command_line.h"
 #include "poplarpitch/core/process_settings.h"
 #include "poplarpitch/scheduler/scheduler_daemon.h"
 #include "poplarpitch/telemetry/logging.h"
