--- a/poplarpitch/net/http_caller.cpp
+++ b/poplarpitch/net/http_caller.cpp
@@ -16,8 +16,8 @@
     std::make_shared<http_exchange>(m_connections, std::move(call), std::move(on_response))->start();
 }
 
-http_caller_use http_caller::get_use() const {
-    return m_connections->get_use();
+http_caller_stats http_caller::get_stats() const {
+    return m_connections->get_stats();
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/net/http_caller.h
+++ b/poplarpitch/net/http_caller.h
@@ -4,7 +4,7 @@
 #include "poplarpitch/http/http_response.h"
 #include "poplarpitch/net/http_call.h"
 #include "poplarpitch/net/http_caller_settings.h"
-#include "poplarpitch/net/http_caller_use.h"
+#include "poplarpitch/net/http_caller_stats.h"
 
 #include <functional>
 #include <memory>
@@ -42,7 +42,7 @@
     /// destroyed first.
     void send(http_call call, response_handler on_response);
     /// Returns the current connection counts and the totals since the start.
-    [[nodiscard]] http_caller_use get_use() const;
+    [[nodiscard]] http_caller_stats get_stats() const;
 
 private:
     std::shared_ptr<http_connections> m_connections;
--- a/poplarpitch/net/http_caller_use.h
+++ b/poplarpitch/net/http_caller_stats.h
@@ -7,7 +7,7 @@
 namespace poplarpitch {
 
 /// Usage counts of an HTTP client, for metrics.
-struct http_caller_use {
+struct http_caller_stats {
     std::size_t connections = 0; ///< open now, including idle ones
     std::size_t idle = 0;        ///< open without a call in progress
     std::size_t waiting = 0;     ///< calls that wait for a connection
@@ -15,7 +15,7 @@
     std::uint64_t not_sent = 0;  ///< calls since the start for which no connection became free in time
     std::uint64_t exhausted = 0; ///< times since the start that the process had no file descriptor left
 
-    friend auto operator<=>(const http_caller_use&, const http_caller_use&) = default;
+    friend auto operator<=>(const http_caller_stats&, const http_caller_stats&) = default;
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/net/http_connections.cpp
+++ b/poplarpitch/net/http_connections.cpp
@@ -278,7 +278,7 @@
     m_idle.clear();
 }
 
-http_caller_use http_connections::get_use() const {
+http_caller_stats http_connections::get_stats() const {
     return {m_connections, m_idle.size(), m_waiting, m_opened, m_not_sent, m_exhausted};
 }
 
--- a/poplarpitch/net/http_connections.h
+++ b/poplarpitch/net/http_connections.h
@@ -4,7 +4,7 @@
 #include "poplarpitch/net/call_importance.h"
 #include "poplarpitch/net/event_loop.h"
 #include "poplarpitch/net/http_caller_settings.h"
-#include "poplarpitch/net/http_caller_use.h"
+#include "poplarpitch/net/http_caller_stats.h"
 
 #include <absl/container/flat_hash_set.h>
 #include <absl/container/node_hash_map.h>
@@ -55,7 +55,7 @@
     [[nodiscard]] event_loop& get_loop() const { return m_loop; }
     [[nodiscard]] const http_caller_settings& get_settings() const { return m_settings; }
     /// Returns the current connection counts and the totals since the start.
-    [[nodiscard]] http_caller_use get_use() const;
+    [[nodiscard]] http_caller_stats get_stats() const;
 
 private:
     struct idle_connection {
--- a/unit_tests/net/http_caller_test.cpp
+++ b/unit_tests/net/http_caller_test.cpp
@@ -33,7 +33,7 @@
         listeners.push_back(std::make_unique<http_listener>(
             loop, settings, [this, delay](const http_request& request, const http_responder& respond) {
                 arrived.push_back(request.target);
-                max_connections_used = std::max(max_connections_used, caller.get_use().connections);
+                max_connections_used = std::max(max_connections_used, caller.get_stats().connections);
                 loop.call_after(delay, [respond] { respond(http_response{}); });
             }));
         return "127.0.0.1:" + std::to_string(listeners.back()->start().value());
@@ -59,7 +59,7 @@
 
     /// Stops the loop once the listeners have noticed the connections that the client closed.
     void stop_when_settled() {
-        if (count_open() == caller.get_use().connections) {
+        if (count_open() == caller.get_stats().connections) {
             loop.stop();
             return;
         }
@@ -137,7 +137,7 @@
     }
     harness.loop.run();
     EXPECT_EQ(harness.outcomes[std::error_code{}], 50);
-    EXPECT_EQ(harness.caller.get_use().opened, 1U);
+    EXPECT_EQ(harness.caller.get_stats().opened, 1U);
 }
 
 TEST(http_caller, does_not_delay_other_calls_by_a_long_call) {
@@ -149,7 +149,7 @@
     harness.send(client_harness::make_call(address, "/start"));
     harness.loop.run();
     EXPECT_EQ(harness.outcomes[std::error_code{}], 2);
-    EXPECT_EQ(harness.caller.get_use().opened, 2U);
+    EXPECT_EQ(harness.caller.get_stats().opened, 2U);
 }
 
 TEST(http_caller, opens_a_second_connection_where_an_answer_is_overdue) {
@@ -194,7 +194,7 @@
     harness.loop.run();
     EXPECT_EQ(harness.outcomes[make_error_code(net_errc::not_sent)], 1);
     EXPECT_EQ(harness.arrived, std::vector<std::string>{"/busy"});
-    EXPECT_EQ(harness.caller.get_use().not_sent, 1U);
+    EXPECT_EQ(harness.caller.get_stats().not_sent, 1U);
 }
 
 TEST(http_caller, refuses_a_call_where_too_many_wait) {
@@ -229,8 +229,8 @@
         after.loop.run();
         EXPECT_TRUE(after.outcomes.empty()) << "a worker is not unreachable because we have no descriptor";
     }
-    EXPECT_GT(after.caller.get_use().exhausted, 0U);
-    EXPECT_LT(after.caller.get_use().exhausted, 20U) << "it is not to be tried again at once";
+    EXPECT_GT(after.caller.get_stats().exhausted, 0U);
+    EXPECT_LT(after.caller.get_stats().exhausted, 20U) << "it is not to be tried again at once";
 }
 
 TEST(http_caller, bounds_connections_to_an_address_that_accepts_nothing) {
@@ -253,7 +253,7 @@
     harness.loop.run();
     ::close(listening);
     EXPECT_EQ(harness.outcomes[std::error_code{}], 1);
-    EXPECT_LE(harness.caller.get_use().opened, 3U) << "two to the silent address, one to the other";
+    EXPECT_LE(harness.caller.get_stats().opened, 3U) << "two to the silent address, one to the other";
     EXPECT_EQ(harness.outcomes[make_error_code(net_errc::timed_out)], 2);
     EXPECT_EQ(harness.outcomes[make_error_code(net_errc::not_sent)], 48);
 }
