--- a/poplarpitch/net/descriptor_budget.h
+++ b/poplarpitch/net/descriptor_budget.h
@@ -13,9 +13,9 @@
 /// need. Load pattern: 1,800 workers, each with two connections for orders and one for its heartbeats, at a
 /// limit of 6,424 descriptors.
 struct descriptor_budget {
-    std::size_t accepted = 0; ///< inbound connections: heartbeats, operators
-    std::size_t called = 0;   ///< outbound connections to workers
-    std::size_t kept = 0;     ///< reserved for files, timers and frame connections of other processes
+    std::size_t inbound = 0;  ///< heartbeats, operators
+    std::size_t outbound = 0; ///< connections to workers
+    std::size_t reserved = 0; ///< for files, timers and frame connections of other processes
 
     friend auto operator<=>(const descriptor_budget&, const descriptor_budget&) = default;
 };
@@ -26,12 +26,12 @@
 [[nodiscard]] constexpr descriptor_budget divide_descriptors(std::size_t descriptors) {
     constexpr std::size_t reserved_files = 64;
     constexpr std::size_t reserved_divisor = 8;
-    constexpr std::size_t accepted_divisor = 3;
+    constexpr std::size_t inbound_divisor = 3;
     descriptor_budget budget;
-    budget.kept = descriptors / reserved_divisor + reserved_files;
-    const auto rest = descriptors - budget.kept;
-    budget.accepted = rest / accepted_divisor;
-    budget.called = rest - budget.accepted;
+    budget.reserved = descriptors / reserved_divisor + reserved_files;
+    const auto rest = descriptors - budget.reserved;
+    budget.inbound = rest / inbound_divisor;
+    budget.outbound = rest - budget.inbound;
     return budget;
 }
 
--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -50,8 +50,8 @@
     const auto descriptors = reader.get_integer(
         "descriptors", default_descriptors, static_cast<std::int64_t>(least_descriptors), max_descriptors);
     const auto budget = divide_descriptors(static_cast<std::size_t>(descriptors));
-    value.max_accepted = budget.accepted;
-    value.caller.max_connections = budget.called;
+    value.max_accepted = budget.inbound;
+    value.caller.max_connections = budget.outbound;
 }
 
 void read_workers(section_reader& reader, scheduler_settings& value) {
