--- a/poplarpitch/net/call_importance.h
+++ b/poplarpitch/net/call_priority.h
@@ -6,13 +6,13 @@
 namespace poplarpitch {
 
 /// The priority of a call when there are too few connections for all calls.
-enum class call_importance : std::uint8_t {
+enum class call_priority : std::uint8_t {
     low,    ///< may be delayed: it only tunes the system
     normal, ///< somebody waits for the result
     high,   ///< without it something ends or a guarantee is broken
 };
 
-/// The number of values of `call_importance`.
-inline constexpr std::size_t call_importances = 3;
+/// The number of values of `call_priority`.
+inline constexpr std::size_t call_priority_count = 3;
 
 } // namespace poplarpitch
--- a/poplarpitch/net/http_call.h
+++ b/poplarpitch/net/http_call.h
@@ -2,7 +2,7 @@
 
 #include "poplarpitch/core/time.h"
 #include "poplarpitch/http/http_request.h"
-#include "poplarpitch/net/call_importance.h"
+#include "poplarpitch/net/call_priority.h"
 
 #include <optional>
 #include <string>
@@ -14,7 +14,7 @@
     std::string address; ///< IPv4 address and port, `10.0.0.4:8080`
     http_request request;
     duration timeout = seconds{1}; ///< from `send` to the response, including the wait for a connection
-    call_importance importance = call_importance::normal;
+    call_priority priority = call_priority::normal;
     bool is_long = false;  ///< a long poll: the response is delayed on purpose, so it gets its own connection
     bool is_fresh = false; ///< use a new connection: the open ones may have stopped responding
     /// Use only a connection that was opened before this time. This ensures that only the process that
--- a/poplarpitch/net/http_caller.h
+++ b/poplarpitch/net/http_caller.h
@@ -19,7 +19,7 @@
 ///
 /// Each address gets one connection for a long call and one for the short calls, which are queued and sent
 /// one after the other. A second connection for short calls is opened only when a response is overdue. When
-/// all connections are in use, calls wait in order of importance. Load pattern: thousands of workers that all
+/// all connections are in use, calls wait in order of priority. Load pattern: thousands of workers that all
 /// get orders at the same moment, more than the process has file descriptors. A call that was not sent before
 /// its timeout fails with `not_sent`.
 ///
--- a/poplarpitch/net/http_connections.cpp
+++ b/poplarpitch/net/http_connections.cpp
@@ -34,7 +34,7 @@
     ++m_waiting;
     auto& item = m_peers[exchange->get_address()];
     auto& queue = exchange->is_long() ? item.waiting_long_calls
-                                      : item.waiting[static_cast<std::size_t>(exchange->get_importance())];
+                                      : item.waiting[static_cast<std::size_t>(exchange->get_priority())];
     queue.push_back(exchange);
     serve(exchange->get_address());
 }
@@ -92,7 +92,7 @@
     }
     if (socket == nullptr) {
         if (!make_room()) {
-            add_starved(address, item, exchange->get_importance());
+            add_starved(address, item, exchange->get_priority());
             return false;
         }
         ++m_connections;
@@ -195,9 +195,9 @@
         item.waiting_long_calls.push_front(exchange);
     } else {
         --item.short_calls;
-        item.waiting[static_cast<std::size_t>(exchange->get_importance())].push_front(exchange);
+        item.waiting[static_cast<std::size_t>(exchange->get_priority())].push_front(exchange);
     }
-    add_starved(address, item, exchange->get_importance());
+    add_starved(address, item, exchange->get_priority());
     m_loop.call_after(m_settings.exhausted_pause, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->serve_starved();
@@ -220,8 +220,8 @@
 
 // ---- calls that found no free connection
 
-void http_connections::add_starved(const std::string& address, peer& item, call_importance importance) {
-    const auto level = static_cast<std::size_t>(importance);
+void http_connections::add_starved(const std::string& address, peer& item, call_priority priority) {
+    const auto level = static_cast<std::size_t>(priority);
     if (!item.starved[level]) {
         item.starved[level] = true;
         m_starved[level].push_back(address);
@@ -229,7 +229,7 @@
 }
 
 void http_connections::serve_starved() {
-    for (std::size_t left = call_importances; left > 0; --left) {
+    for (std::size_t left = call_priority_count; left > 0; --left) {
         auto& queue = m_starved[left - 1];
         auto rounds = queue.size(); // an address that gets no connection is appended again
         while (rounds > 0 && make_room()) {
--- a/poplarpitch/net/http_connections.h
+++ b/poplarpitch/net/http_connections.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "poplarpitch/core/time.h"
-#include "poplarpitch/net/call_importance.h"
+#include "poplarpitch/net/call_priority.h"
 #include "poplarpitch/net/event_loop.h"
 #include "poplarpitch/net/http_caller_settings.h"
 #include "poplarpitch/net/http_caller_stats.h"
@@ -67,14 +67,14 @@
     using idle_list = std::list<idle_connection>;
     using wait_queue = std::deque<std::shared_ptr<http_exchange>>;
     struct peer {
-        std::vector<idle_list::iterator> idle;            ///< newest last
-        std::size_t short_calls = 0;                      ///< in progress
-        std::size_t long_calls = 0;                       ///< in progress
-        time_point last_short_call_at{};                  ///< when the last short call was started
-        std::array<wait_queue, call_importances> waiting; ///< short calls, by importance
+        std::vector<idle_list::iterator> idle;               ///< newest last
+        std::size_t short_calls = 0;                         ///< in progress
+        std::size_t long_calls = 0;                          ///< in progress
+        time_point last_short_call_at{};                     ///< when the last short call was started
+        std::array<wait_queue, call_priority_count> waiting; ///< short calls, by priority
         wait_queue waiting_long_calls;
-        std::array<bool, call_importances> starved{}; ///< the address is in `m_starved`
-        timer_id second_connection_timer = 0;         ///< opens the second connection
+        std::array<bool, call_priority_count> starved{}; ///< the address is in `m_starved`
+        timer_id second_connection_timer = 0;            ///< opens the second connection
 
         [[nodiscard]] bool has_waiting() const;
         [[nodiscard]] bool is_empty() const;
@@ -93,9 +93,9 @@
     [[nodiscard]] bool make_room();
     void close_oldest_idle();
     void close_expired_idle();
-    /// Records that calls of this importance to `address` wait because no connection could be opened.
-    void add_starved(const std::string& address, peer& item, call_importance importance);
-    /// Serves the starved addresses while connections can be opened, by descending importance.
+    /// Records that calls of this priority to `address` wait because no connection could be opened.
+    void add_starved(const std::string& address, peer& item, call_priority priority);
+    /// Serves the starved addresses while connections can be opened, by descending priority.
     void serve_starved();
     /// Schedules the second connection for short calls if calls wait and only one is in use.
     void arm_second_connection_timer(const std::string& address, peer& item);
@@ -106,7 +106,8 @@
     idle_list m_idle; ///< oldest first
     absl::node_hash_map<std::string, peer> m_peers;
     absl::flat_hash_set<std::shared_ptr<http_exchange>> m_exchanges;
-    std::array<std::deque<std::string>, call_importances> m_starved; ///< addresses that wait for a connection
+    /// Addresses that wait for a connection, by priority.
+    std::array<std::deque<std::string>, call_priority_count> m_starved;
     std::size_t m_connections = 0;
     std::size_t m_waiting = 0;
     std::uint64_t m_opened = 0;
--- a/poplarpitch/net/http_exchange.h
+++ b/poplarpitch/net/http_exchange.h
@@ -40,7 +40,7 @@
     void abandon();
 
     [[nodiscard]] const std::string& get_address() const { return m_call.address; }
-    [[nodiscard]] call_importance get_importance() const { return m_call.importance; }
+    [[nodiscard]] call_priority get_priority() const { return m_call.priority; }
     [[nodiscard]] bool is_long() const { return m_call.is_long; }
     [[nodiscard]] bool is_fresh() const { return m_call.is_fresh; }
     [[nodiscard]] std::optional<time_point> get_opened_before() const { return m_call.opened_before; }
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -58,10 +58,10 @@
     }
 
     /// Orders that end runs or renew leases go first; orders that only tune a run go last.
-    static call_importance get_importance(const hold_order& /*order*/) { return call_importance::high; }
-    static call_importance get_importance(const start_order& /*order*/) { return call_importance::normal; }
-    static call_importance get_importance(const stop_order& /*order*/) { return call_importance::high; }
-    static call_importance get_importance(const pace_order& /*order*/) { return call_importance::low; }
+    static call_priority get_priority(const hold_order& /*order*/) { return call_priority::high; }
+    static call_priority get_priority(const start_order& /*order*/) { return call_priority::normal; }
+    static call_priority get_priority(const stop_order& /*order*/) { return call_priority::high; }
+    static call_priority get_priority(const pace_order& /*order*/) { return call_priority::low; }
 
     /// Returns true when the refusal of a repeated start does not tell whether the earlier attempt succeeded.
     /// A refusal because the run is old, or because another life of the worker answered, does tell.
@@ -150,7 +150,7 @@
         call.request = Dialect::write_order(order);
         call.timeout = order.target.timeout;
         call.is_fresh = order.target.is_fresh;
-        call.importance = get_importance(order);
+        call.priority = get_priority(order);
         call.is_long = std::is_same_v<Order, hold_order>;
         return call;
     }
--- a/unit_tests/net/http_caller_test.cpp
+++ b/unit_tests/net/http_caller_test.cpp
@@ -172,11 +172,11 @@
     const auto other = harness.add_address();
     harness.send(client_harness::make_call(busy, "/busy"));
     auto low = client_harness::make_call(other, "/low");
-    low.importance = call_importance::low;
+    low.priority = call_priority::low;
     harness.send(low);
     harness.send(client_harness::make_call(other, "/normal"));
     auto high = client_harness::make_call(other, "/high");
-    high.importance = call_importance::high;
+    high.priority = call_priority::high;
     harness.send(high);
     harness.loop.run();
     const std::vector<std::string> expected = {"/busy", "/high", "/normal", "/low"};
