--- a/poplarpitch/net/http_connections.cpp
+++ b/poplarpitch/net/http_connections.cpp
@@ -33,8 +33,8 @@
     m_exchanges.insert(exchange);
     ++m_waiting;
     auto& item = m_peers[exchange->get_address()];
-    auto& queue = exchange->is_long() ? item.waiting_long_calls
-                                      : item.waiting[static_cast<std::size_t>(exchange->get_priority())];
+    auto& queue = exchange->is_long_poll() ? item.waiting_long_calls
+                                           : item.waiting[static_cast<std::size_t>(exchange->get_priority())];
     queue.push_back(exchange);
     serve(exchange->get_address());
 }
@@ -82,8 +82,8 @@
 
 bool http_connections::begin_first(const std::string& address, peer& item, wait_queue& queue) {
     const auto exchange = queue.front();
-    auto socket = exchange->is_fresh() ? nullptr : take_idle(item, *exchange);
-    if (socket == nullptr && exchange->get_opened_before().has_value()) {
+    auto socket = exchange->uses_new_connection() ? nullptr : take_idle(item, *exchange);
+    if (socket == nullptr && exchange->get_connection_opened_before().has_value()) {
         queue.pop_front();
         --m_waiting;
         m_exchanges.erase(exchange);
@@ -99,7 +99,7 @@
     }
     queue.pop_front();
     --m_waiting;
-    if (exchange->is_long()) {
+    if (exchange->is_long_poll()) {
         ++item.long_calls;
     } else {
         ++item.short_calls;
@@ -111,7 +111,7 @@
 
 http_connections::socket_ptr http_connections::take_idle(peer& item, http_exchange& exchange) {
     const auto may_use = [&exchange](const idle_list::iterator& connection) {
-        const auto before = exchange.get_opened_before();
+        const auto before = exchange.get_connection_opened_before();
         return !before.has_value() || connection->opened_at < *before;
     };
     while (true) {
@@ -161,7 +161,7 @@
 void http_connections::release(http_exchange& exchange, socket_ptr socket) {
     const auto& address = exchange.get_address();
     auto& item = m_peers[address];
-    auto& calls = exchange.is_long() ? item.long_calls : item.short_calls;
+    auto& calls = exchange.is_long_poll() ? item.long_calls : item.short_calls;
     --calls;
     if (socket != nullptr && item.idle.size() < m_settings.max_idle_per_address) {
         m_idle.push_back({address, std::move(socket), m_loop.now(), exchange.get_opened_at()});
@@ -190,7 +190,7 @@
     auto& item = m_peers[address];
     --m_connections;
     ++m_waiting;
-    if (exchange->is_long()) {
+    if (exchange->is_long_poll()) {
         --item.long_calls;
         item.waiting_long_calls.push_front(exchange);
     } else {
--- a/poplarpitch/net/http_exchange.cpp
+++ b/poplarpitch/net/http_exchange.cpp
@@ -175,7 +175,7 @@
 
 void http_exchange::on_connection_lost() {
     const bool has_no_response = !m_parser.has_value() || !m_parser->got_some();
-    if (m_is_reused && has_no_response && !m_call.opened_before.has_value()) {
+    if (m_is_reused && has_no_response && !m_call.connection_opened_before.has_value()) {
         m_is_reused = false;
         m_was_sent_before = true;
         m_parser.reset();
--- a/poplarpitch/net/http_exchange.h
+++ b/poplarpitch/net/http_exchange.h
@@ -41,9 +41,11 @@
 
     [[nodiscard]] const std::string& get_address() const { return m_call.address; }
     [[nodiscard]] call_priority get_priority() const { return m_call.priority; }
-    [[nodiscard]] bool is_long() const { return m_call.is_long; }
-    [[nodiscard]] bool is_fresh() const { return m_call.is_fresh; }
-    [[nodiscard]] std::optional<time_point> get_opened_before() const { return m_call.opened_before; }
+    [[nodiscard]] bool is_long_poll() const { return m_call.is_long_poll; }
+    [[nodiscard]] bool uses_new_connection() const { return m_call.use_new_connection; }
+    [[nodiscard]] std::optional<time_point> get_connection_opened_before() const {
+        return m_call.connection_opened_before;
+    }
     /// Returns when the connection of the call was opened.
     [[nodiscard]] time_point get_opened_at() const { return m_opened_at; }
     /// Sets when the connection that the call reuses was opened.
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -108,8 +108,8 @@
             return;
         }
         auto pinned = make_call(order);
-        pinned.is_fresh = false;
-        pinned.opened_before = last->second.requested_at;
+        pinned.use_new_connection = false;
+        pinned.connection_opened_before = last->second.requested_at;
         request_list(order, std::move(pinned),
                      [this, order, on_outcome = std::move(on_outcome)](hold_outcome outcome) {
                          if (outcome.failure == order_failure::not_sent) {
@@ -149,9 +149,9 @@
         call.address = order.target.address;
         call.request = Dialect::write_order(order);
         call.timeout = order.target.timeout;
-        call.is_fresh = order.target.is_fresh;
+        call.use_new_connection = order.target.is_fresh;
         call.priority = get_priority(order);
-        call.is_long = std::is_same_v<Order, hold_order>;
+        call.is_long_poll = std::is_same_v<Order, hold_order>;
         return call;
     }
 
--- a/unit_tests/net/http_caller_test.cpp
+++ b/unit_tests/net/http_caller_test.cpp
@@ -118,7 +118,7 @@
     }
     for (const auto& address : addresses) {
         auto long_call = client_harness::make_call(address);
-        long_call.is_long = true;
+        long_call.is_long_poll = true;
         harness.send(std::move(long_call));
         harness.send(client_harness::make_call(address));
     }
@@ -144,7 +144,7 @@
     client_harness harness(make_settings(100));
     const auto address = harness.add_address(milliseconds{50});
     auto long_call = client_harness::make_call(address, "/hold");
-    long_call.is_long = true;
+    long_call.is_long_poll = true;
     harness.send(long_call);
     harness.send(client_harness::make_call(address, "/start"));
     harness.loop.run();
