--- a/poplarpitch/net/net_error.cpp
+++ b/poplarpitch/net/net_error.cpp
@@ -19,7 +19,7 @@
             return "no answer arrived in time";
         case net_errc::broken:
             return "the connection ended before the answer arrived";
-        case net_errc::bad_answer:
+        case net_errc::malformed_response:
             return "the answer cannot be read";
         case net_errc::listen_failed:
             return "cannot listen on the address";
--- a/poplarpitch/net/net_error.h
+++ b/poplarpitch/net/net_error.h
@@ -7,11 +7,11 @@
 /// Errors of HTTP calls and listeners.
 enum class net_errc {
     unreachable = 1, ///< no connection could be established; nothing was sent
-    not_sent,   ///< no local connection became free in time; nothing was sent, so the peer's state is unknown
-    timed_out,  ///< sent, but no response in time: the request may have been, or may yet be, executed
-    broken,     ///< sent, but the connection ended before the response: the request may have been executed
-    bad_answer, ///< the response cannot be parsed
-    listen_failed, ///< listening on the address failed
+    not_sent,  ///< no local connection became free in time; nothing was sent, so the peer's state is unknown
+    timed_out, ///< sent, but no response in time: the request may have been, or may yet be, executed
+    broken,    ///< sent, but the connection ended before the response: the request may have been executed
+    malformed_response, ///< the response cannot be parsed
+    listen_failed,      ///< listening on the address failed
 };
 
 /// Returns the error category of the event-driven network layer. Thread safety: any thread.
