--- a/poplarpitch/gateway/gateway_settings.cpp
+++ b/poplarpitch/gateway/gateway_settings.cpp
@@ -15,7 +15,7 @@
     value.log_level = reader.get_text("log_level", value.log_level);
     value.link_port = static_cast<int>(reader.get_integer("link_port", 0, 0, max_port));
     value.metrics_port = static_cast<int>(reader.get_integer("metrics_port", 0, 0, max_port));
-    value.seeds = read_seed_hosts(reader, "seeds");
+    value.seeds = read_control_hosts(reader, "seeds");
     if (value.id.empty()) {
         reader.add_error("id", "id is missing: it is the name of this instance");
     }
--- a/poplarpitch/net/address_settings.cpp
+++ b/poplarpitch/net/address_settings.cpp
@@ -12,7 +12,7 @@
     return address;
 }
 
-std::vector<std::string> read_seed_hosts(section_reader& reader, const std::string& key) {
+std::vector<std::string> read_control_hosts(section_reader& reader, const std::string& key) {
     std::vector<std::string> hosts;
     for (const auto& seed : reader.get_list(key)) {
         hosts.push_back(seed.substr(0, seed.rfind(':')));
--- a/poplarpitch/net/address_settings.h
+++ b/poplarpitch/net/address_settings.h
@@ -15,6 +15,6 @@
 [[nodiscard]] std::optional<socket_address> read_address(section_reader& reader, const std::string& key);
 /// Reads the hosts of the control instances in `key`. The platform of a deployment lists them with the port
 /// of another service, so the port is ignored. Thread safety: none.
-[[nodiscard]] std::vector<std::string> read_seed_hosts(section_reader& reader, const std::string& key);
+[[nodiscard]] std::vector<std::string> read_control_hosts(section_reader& reader, const std::string& key);
 
 } // namespace poplarpitch
--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -18,7 +18,7 @@
     value.log_level = reader.get_text("log_level", value.log_level);
     value.replica.host = reader.get_text("host", value.replica.host);
     value.replica.port = static_cast<int>(reader.get_integer("link_port", 0, 0, max_port));
-    value.replica.seeds = read_seed_hosts(reader, "seeds");
+    value.replica.seeds = read_control_hosts(reader, "seeds");
     value.metrics_port = static_cast<int>(reader.get_integer("metrics_port", 0, 0, max_port));
     if (value.id.empty()) {
         reader.add_error("id", "id is missing: the name of this instance");
