--- a/poplarpitch/gateway/leader_link.cpp
+++ b/poplarpitch/gateway/leader_link.cpp
@@ -69,7 +69,7 @@
                          duration leader_wait)
     : m_loop(loop), m_port(port), m_leader_wait(leader_wait), m_is_alive(std::make_shared<bool>(true)) {
     for (const auto& seed : seeds) {
-        if (const auto ip = read_ip(seed); ip.has_value()) {
+        if (const auto ip = parse_ip(seed); ip.has_value()) {
             m_control_ips.insert(*ip);
         }
     }
--- a/poplarpitch/net/address_settings.cpp
+++ b/poplarpitch/net/address_settings.cpp
@@ -5,7 +5,7 @@
 namespace poplarpitch {
 
 std::optional<socket_address> read_address(section_reader& reader, const std::string& key) {
-    auto address = read_socket_address(reader.get_text(key, ""));
+    auto address = parse_socket_address(reader.get_text(key, ""));
     if (!address.has_value()) {
         reader.add_error(key, key + " must be an IPv4 address and a port, such as 10.0.0.4:8080");
     }
--- a/poplarpitch/net/frame_socket.cpp
+++ b/poplarpitch/net/frame_socket.cpp
@@ -217,7 +217,7 @@
 
 void connect_frames(event_loop& loop, const std::string& address, duration timeout,
                     std::function<void(std::shared_ptr<frame_socket>)> on_done) {
-    const auto target = read_socket_address(address);
+    const auto target = parse_socket_address(address);
     if (!target.has_value()) {
         loop.post([on_done = std::move(on_done)] { on_done(nullptr); });
         return;
--- a/poplarpitch/net/http_exchange.cpp
+++ b/poplarpitch/net/http_exchange.cpp
@@ -88,7 +88,7 @@
 
 void http_exchange::connect() {
     m_stage = stage::connecting;
-    const auto endpoint = read_socket_address(m_call.address);
+    const auto endpoint = parse_socket_address(m_call.address);
     if (!endpoint.has_value()) {
         m_loop.post([self = shared_from_this()] { self->fail_unsent(); });
         return;
--- a/poplarpitch/net/socket_address.cpp
+++ b/poplarpitch/net/socket_address.cpp
@@ -9,7 +9,7 @@
 
 namespace poplarpitch {
 
-std::optional<std::uint32_t> read_ip(std::string_view text) {
+std::optional<std::uint32_t> parse_ip(std::string_view text) {
     in_addr raw{};
     if (::inet_pton(AF_INET, std::string(text).c_str(), &raw) != 1) {
         return std::nullopt;
@@ -17,12 +17,12 @@
     return ntohl(raw.s_addr);
 }
 
-std::optional<socket_address> read_socket_address(std::string_view text) {
+std::optional<socket_address> parse_socket_address(std::string_view text) {
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos) {
         return std::nullopt;
     }
-    const auto ip = read_ip(text.substr(0, colon));
+    const auto ip = parse_ip(text.substr(0, colon));
     std::uint32_t port = 0;
     const bool is_number = absl::SimpleAtoi(to_absl(text.substr(colon + 1)), &port);
     if (!ip.has_value() || !is_number || port == 0 || port > UINT16_MAX) {
--- a/poplarpitch/net/socket_address.h
+++ b/poplarpitch/net/socket_address.h
@@ -18,10 +18,10 @@
 
 /// Parses an address such as `10.0.0.4:8080`. Returns nothing when `text` is not one. Thread safety: any
 /// thread.
-[[nodiscard]] std::optional<socket_address> read_socket_address(std::string_view text);
+[[nodiscard]] std::optional<socket_address> parse_socket_address(std::string_view text);
 /// Parses an IPv4 address such as `10.0.0.4`. Returns nothing when `text` is not one. Thread safety: any
 /// thread.
-[[nodiscard]] std::optional<std::uint32_t> read_ip(std::string_view text);
+[[nodiscard]] std::optional<std::uint32_t> parse_ip(std::string_view text);
 /// Formats an IPv4 address as in `10.0.0.4`. Thread safety: any thread.
 [[nodiscard]] std::string format_ip(std::uint32_t ip);
 /// Formats an address as in `10.0.0.4:8080`. Thread safety: any thread.
--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -45,7 +45,7 @@
 // ---- start
 
 result<void> replica::start() {
-    const auto ip = read_ip(m_settings.host);
+    const auto ip = parse_ip(m_settings.host);
     if (!ip.has_value()) {
         return make_error_code(net_errc::listen_failed);
     }
@@ -75,7 +75,7 @@
         return make_error_code(net_errc::listen_failed);
     }
     for (const auto& seed : m_settings.seeds) {
-        if (const auto address = read_ip(seed); address.has_value()) {
+        if (const auto address = parse_ip(seed); address.has_value()) {
             m_known_addresses.insert(*address);
         }
     }
--- a/poplarpitch/replica/replica_members.cpp
+++ b/poplarpitch/replica/replica_members.cpp
@@ -31,7 +31,7 @@
 std::vector<std::uint32_t> replica::get_other_seeds() const {
     std::vector<std::uint32_t> others;
     for (const auto& seed : m_settings.seeds) {
-        const auto address = read_ip(seed);
+        const auto address = parse_ip(seed);
         if (address.has_value() && *address != m_ip) {
             others.push_back(*address);
         }
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -92,7 +92,8 @@
     void answer(const heartbeat_call& call, http_responder respond) {
         const auto& report = call.report;
         const auto relay = m_parts.relays.pick(report.data_centre, hash_bytes(report.life.id));
-        auto body = make_heartbeat_answer(relay.value_or(read_ip(m_parts.settings.replica.host).value_or(0)));
+        auto body =
+            make_heartbeat_answer(relay.value_or(parse_ip(m_parts.settings.replica.host).value_or(0)));
         if (!m_parts.dispatch.on_heartbeat(call.report, m_parts.loop.now())) {
             respond(make_response(200, std::move(body)));
             return;
--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -30,7 +30,7 @@
 public:
     explicit scheduler_daemon(const scheduler_settings& settings)
         : m_parts(settings, make_handler()), m_link(m_parts.loop, m_parts.caller),
-          m_agent(settings.relay, {read_ip(settings.replica.host).value_or(0), settings.data_centre},
+          m_agent(settings.relay, {parse_ip(settings.replica.host).value_or(0), settings.data_centre},
                   [this](const worker_order& order, relay_agent::outcome_handler on_outcome) {
                       m_link.send(order, std::move(on_outcome));
                   }),
--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -23,7 +23,7 @@
     if (value.id.empty()) {
         reader.add_error("id", "id is missing: the name of this instance");
     }
-    if (!read_ip(value.replica.host).has_value()) {
+    if (!parse_ip(value.replica.host).has_value()) {
         reader.add_error("host", "host must be an IPv4 address, such as 10.0.0.4");
     }
 }
