--- a/poplarpitch/http/http_response.h
+++ b/poplarpitch/http/http_response.h
@@ -14,7 +14,7 @@
     std::string body;
     /// Set by the client if it sent the request more than once: the earlier attempt may have been executed
     /// too.
-    bool is_repeated = false;
+    bool was_retried = false;
 
     friend bool operator==(const http_response&, const http_response&) = default;
 };
--- a/poplarpitch/net/http_exchange.cpp
+++ b/poplarpitch/net/http_exchange.cpp
@@ -169,7 +169,7 @@
         response.headers.add(std::string(field.name_string()), std::string(field.value()));
     }
     response.body = std::move(message.body());
-    response.is_repeated = m_was_sent_before;
+    response.was_retried = m_was_sent_before;
     finish(std::move(response), message.keep_alive() ? std::move(m_socket) : nullptr);
 }
 
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -68,7 +68,7 @@
     static bool is_inconclusive(const http_response& response, const std::optional<order_failure>& failure) {
         const bool is_refused =
             failure.has_value() && failure != order_failure::old_run && failure != order_failure::other_life;
-        return response.is_repeated && is_refused;
+        return response.was_retried && is_refused;
     }
 
     template <class Order>
