--- a/poplarpitch/config/daemon_settings.cpp
+++ b/poplarpitch/config/daemon_settings.cpp
@@ -11,7 +11,7 @@
 
 constexpr int max_port = 65535;
 constexpr int max_threads = 8192;
-constexpr absl::string_view spare_suffix = "/spare";
+constexpr absl::string_view standby_suffix = "/spare";
 
 /// Reads `1@127.0.0.1:7000` or `4@127.0.0.1:7003/spare`. Records an error when `text` has another form.
 void read_peer(const std::string& text, section_reader& reader, std::vector<peer_address>& peers) {
@@ -23,9 +23,9 @@
         return;
     }
     peer.address = text.substr(at + 1);
-    if (absl::EndsWith(peer.address, spare_suffix)) {
-        peer.is_spare = true;
-        peer.address.resize(peer.address.size() - spare_suffix.size());
+    if (absl::EndsWith(peer.address, standby_suffix)) {
+        peer.is_standby = true;
+        peer.address.resize(peer.address.size() - standby_suffix.size());
     }
     for (const auto& other : peers) {
         if (other.id == peer.id) {
@@ -60,12 +60,12 @@
         value.cluster = reader.get_text("cluster", value.cluster);
         value.log_level = reader.get_text("log_level", value.log_level);
         for (const auto& peer : reader.get_list("control")) {
-            read_peer(peer, reader, value.control);
+            read_peer(peer, reader, value.control_peers);
         }
         if (value.id.empty()) {
             reader.add_error("id", "is missing");
         }
-        if (value.control.empty()) {
+        if (value.control_peers.empty()) {
             reader.add_error("control", "is missing: name every control instance as id@host:port");
         }
         if (is_control) {
--- a/poplarpitch/net/http_caller.h
+++ b/poplarpitch/net/http_caller.h
@@ -4,7 +4,7 @@
 #include "poplarpitch/http/http_response.h"
 #include "poplarpitch/net/http_call.h"
 #include "poplarpitch/net/http_caller_settings.h"
-#include "poplarpitch/net/http_caller_use.h"
+#include "poplarpitch/net/http_caller_stats.h"
 
 #include <functional>
 #include <memory>
@@ -19,7 +19,7 @@
 ///
 /// Each address gets one connection for a long call and one for the short calls, which are queued and sent
 /// one after the other. A second connection for short calls is opened only when a response is overdue. When
-/// all connections are in use, calls wait in order of importance. Load pattern: thousands of workers that all
+/// all connections are in use, calls wait in order of priority. Load pattern: thousands of workers that all
 /// get orders at the same moment, more than the process has file descriptors. A call that was not sent before
 /// its timeout fails with `not_sent`.
 ///
@@ -42,7 +42,7 @@
     /// destroyed first.
     void send(http_call call, response_handler on_response);
     /// Returns the current connection counts and the totals since the start.
-    [[nodiscard]] http_caller_use get_use() const;
+    [[nodiscard]] http_caller_stats get_stats() const;
 
 private:
     std::shared_ptr<http_connections> m_connections;
--- a/poplarpitch/net/http_exchange.cpp
+++ b/poplarpitch/net/http_exchange.cpp
@@ -88,7 +88,7 @@
 
 void http_exchange::connect() {
     m_stage = stage::connecting;
-    const auto endpoint = read_socket_address(m_call.address);
+    const auto endpoint = parse_socket_address(m_call.address);
     if (!endpoint.has_value()) {
         m_loop.post([self = shared_from_this()] { self->fail_unsent(); });
         return;
@@ -169,13 +169,13 @@
         response.headers.add(std::string(field.name_string()), std::string(field.value()));
     }
     response.body = std::move(message.body());
-    response.is_repeated = m_was_sent_before;
+    response.was_retried = m_was_sent_before;
     finish(std::move(response), message.keep_alive() ? std::move(m_socket) : nullptr);
 }
 
 void http_exchange::on_connection_lost() {
     const bool has_no_response = !m_parser.has_value() || !m_parser->got_some();
-    if (m_is_reused && has_no_response && !m_call.opened_before.has_value()) {
+    if (m_is_reused && has_no_response && !m_call.connection_opened_before.has_value()) {
         m_is_reused = false;
         m_was_sent_before = true;
         m_parser.reset();
--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -18,12 +18,12 @@
     value.log_level = reader.get_text("log_level", value.log_level);
     value.replica.host = reader.get_text("host", value.replica.host);
     value.replica.port = static_cast<int>(reader.get_integer("link_port", 0, 0, max_port));
-    value.replica.seeds = read_seed_hosts(reader, "seeds");
+    value.replica.seeds = read_control_hosts(reader, "seeds");
     value.metrics_port = static_cast<int>(reader.get_integer("metrics_port", 0, 0, max_port));
     if (value.id.empty()) {
         reader.add_error("id", "id is missing: it is the name of this instance");
     }
-    if (!read_ip(value.replica.host).has_value()) {
+    if (!parse_ip(value.replica.host).has_value()) {
         reader.add_error("host", "host must be an IPv4 address, such as 10.0.0.4");
     }
 }
@@ -50,8 +50,8 @@
     const auto descriptors = reader.get_integer("descriptors", default_descriptors,
                                                 static_cast<std::int64_t>(min_descriptors), max_descriptors);
     const auto budget = divide_descriptors(static_cast<std::size_t>(descriptors));
-    value.max_accepted = budget.accepted;
-    value.caller.max_connections = budget.called;
+    value.max_accepted = budget.inbound;
+    value.caller.max_connections = budget.outbound;
 }
 
 void read_workers(section_reader& reader, scheduler_settings& value) {
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -59,17 +59,17 @@
     }
 
     /// Orders that end runs or renew leases go first; orders that only tune a run go last.
-    static call_importance get_importance(const hold_order& /*order*/) { return call_importance::high; }
-    static call_importance get_importance(const start_order& /*order*/) { return call_importance::normal; }
-    static call_importance get_importance(const stop_order& /*order*/) { return call_importance::high; }
-    static call_importance get_importance(const pace_order& /*order*/) { return call_importance::low; }
+    static call_priority get_priority(const hold_order& /*order*/) { return call_priority::high; }
+    static call_priority get_priority(const start_order& /*order*/) { return call_priority::normal; }
+    static call_priority get_priority(const stop_order& /*order*/) { return call_priority::high; }
+    static call_priority get_priority(const pace_order& /*order*/) { return call_priority::low; }
 
     /// Returns true when the refusal of a repeated start does not tell whether the earlier attempt succeeded.
     /// A refusal because the run is old, or because another incarnation of the worker answered, does tell.
     static bool is_inconclusive(const http_response& response, const std::optional<order_failure>& failure) {
         const bool is_refused = failure.has_value() && failure != order_failure::stale_run &&
                                 failure != order_failure::other_incarnation;
-        return response.is_repeated && is_refused;
+        return response.was_retried && is_refused;
     }
 
     template <class Order>
@@ -110,8 +110,8 @@
             return;
         }
         auto pinned = make_call(order);
-        pinned.is_fresh = false;
-        pinned.opened_before = last->second.requested_at;
+        pinned.use_new_connection = false;
+        pinned.connection_opened_before = last->second.requested_at;
         request_list(order, std::move(pinned),
                      [this, order, on_outcome = std::move(on_outcome)](order_outcome outcome) {
                          if (outcome.failure == order_failure::not_sent) {
@@ -151,9 +151,9 @@
         call.address = order.target.address;
         call.request = Dialect::write_order(order);
         call.timeout = order.target.timeout;
-        call.is_fresh = order.target.use_new_connection;
-        call.importance = get_importance(order);
-        call.is_long = std::is_same_v<Order, hold_order>;
+        call.use_new_connection = order.target.use_new_connection;
+        call.priority = get_priority(order);
+        call.is_long_poll = std::is_same_v<Order, hold_order>;
         return call;
     }
 
--- a/programs/poplarpitch_control.cpp
+++ b/programs/poplarpitch_control.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/command_line/settings_command_line.h"
+#include "poplarpitch/command_line/parsed_command_line.h"
 #include "poplarpitch/config/daemon_settings.h"
 #include "poplarpitch/control/control_daemon.h"
 #include "poplarpitch/control/data_folder_restorer.h"
@@ -13,11 +13,11 @@
     if (line.exit_code.has_value()) {
         return *line.exit_code;
     }
-    poplarpitch::skip_mutex_checks();
+    poplarpitch::disable_deadlock_detection();
     poplarpitch::limit_malloc_arenas(1); // one thread does nearly all of the work
     poplarpitch::start_logging(line.settings.log_level);
-    if (!line.restored_file.empty()) {
-        return poplarpitch::restore_data_folder(line.settings, line.restored_file);
+    if (!line.backup_file.empty()) {
+        return poplarpitch::restore_data_folder(line.settings, line.backup_file);
     }
     return poplarpitch::run_control_daemon(line.settings);
 }
--- a/programs/poplarpitch_entry.cpp
+++ b/programs/poplarpitch_entry.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/command_line/settings_command_line.h"
+#include "poplarpitch/command_line/parsed_command_line.h"
 #include "poplarpitch/config/daemon_settings.h"
 #include "poplarpitch/core/process_settings.h"
 #include "poplarpitch/entry/entry_daemon.h"
@@ -12,7 +12,7 @@
     if (line.exit_code.has_value()) {
         return *line.exit_code;
     }
-    poplarpitch::skip_mutex_checks();
+    poplarpitch::disable_deadlock_detection();
     poplarpitch::limit_malloc_arenas(4); // threads that serve callers must not wait for each other
     poplarpitch::start_logging(line.settings.log_level);
     return poplarpitch::run_entry_daemon(line.settings);
--- a/programs/poplarpitch_gateway.cpp
+++ b/programs/poplarpitch_gateway.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/command_line/settings_command_line.h"
+#include "poplarpitch/command_line/parsed_command_line.h"
 #include "poplarpitch/core/process_settings.h"
 #include "poplarpitch/gateway/gateway_daemon.h"
 #include "poplarpitch/telemetry/logging.h"
@@ -15,5 +15,5 @@
     poplarpitch::start_ring_logging(line.settings.log_level);
     const int code = poplarpitch::run_gateway_daemon(line.settings);
     poplarpitch::flush_logs();
-    poplarpitch::leave_process(code);
+    poplarpitch::exit_without_cleanup(code);
 }
--- a/programs/poplarpitch_scheduler.cpp
+++ b/programs/poplarpitch_scheduler.cpp
@@ -1,6 +1,6 @@
 #include "platform/dialect.h"
 
-#include "poplarpitch/command_line/settings_command_line.h"
+#include "poplarpitch/command_line/parsed_command_line.h"
 #include "poplarpitch/core/process_settings.h"
 #include "poplarpitch/scheduler/scheduler_daemon.h"
 #include "poplarpitch/telemetry/logging.h"
@@ -18,5 +18,5 @@
     poplarpitch::scheduler_daemon<poplarpitch::platform::dialect> daemon(line.settings);
     const int code = daemon.run();
     poplarpitch::flush_logs();
-    poplarpitch::leave_process(code);
+    poplarpitch::exit_without_cleanup(code);
 }
--- a/unit_tests/transport/silent_relay.cpp
+++ b/unit_tests/transport/silent_relay.cpp
@@ -49,10 +49,10 @@
     }
 }
 
-void silent_relay::silence() {
+void silent_relay::stop_forwarding() {
     const absl::MutexLock lock(&m_mutex);
     for (auto& pair : m_connections) {
-        pair.is_silent = true;
+        pair.is_stalled = true;
     }
 }
 
@@ -90,10 +90,10 @@
         const absl::MutexLock lock(&m_mutex);
         for (auto pair = m_connections.begin(); pair != m_connections.end();) {
             bool is_open = true;
-            if (!pair->is_silent && is_readable(pair->client_socket)) {
+            if (!pair->is_stalled && is_readable(pair->client_socket)) {
                 is_open = forward(pair->client_socket, pair->server_socket);
             }
-            if (!pair->is_silent && is_open && is_readable(pair->server_socket)) {
+            if (!pair->is_stalled && is_open && is_readable(pair->server_socket)) {
                 is_open = forward(pair->server_socket, pair->client_socket);
             }
             if (is_open) {
