--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -99,7 +99,7 @@
     m_suspects.clear();
     m_forecast.clear();
     m_advice.clear();
-    m_is_advising = false;
+    m_is_advice_pending = false;
     m_due.clear();
     m_ended.clear();
     m_scheduled_orders = {};
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -98,7 +98,7 @@
     /// Processes the answer to a pace order.
     void on_pace(const run_key& key, int percent, const order_answer& answer, time_point now);
     /// Processes the answer of the advice service.
-    void on_advice(const advise_order& request, const advice_outcome& outcome, time_point now);
+    void on_advice(const advice_request& request, const advice_outcome& outcome, time_point now);
     /// Processes the effects of a committed command.
     void on_event(const job_state_event& event, time_point now, std::int64_t wall_ms);
     /// Performs everything that is due: leases, retries, occurrences, placement. Nothing is placed while
@@ -345,8 +345,8 @@
     [[nodiscard]] std::string find_ticket(const step_key& step, const worker_incarnation& worker,
                                           time_point now) const;
     void request_advice(const std::vector<std::pair<std::int64_t, step_key>>& ranked, time_point now);
-    std::vector<worker_incarnation> pick_workers_to_advise(const ready_step& ready, const step_key& key,
-                                                           time_point now);
+    std::vector<worker_incarnation> pick_workers_to_ask_about(const ready_step& ready, const step_key& key,
+                                                              time_point now);
 
     // interference of filling tasks with serving ones
     void refresh_pressure(worker_state& worker);
@@ -414,7 +414,7 @@
     std::map<task_key, std::vector<worker_incarnation>> m_failed_on; ///< workers on which a task failed
     suspect_watch m_suspects;
     std::map<step_key, step_advice> m_advice;
-    bool m_is_advising = false; ///< a call to the advice service is in flight
+    bool m_is_advice_pending = false; ///< a call to the advice service is in flight
     time_point m_next_advice{};
     std::multimap<std::int64_t, step_key> m_due; ///< wall time -> job and occurrence (step 0)
     std::multimap<time_point, job_id> m_ended;   ///< when ended jobs are forgotten
--- a/poplarpitch/dispatch/dispatcher_advice.cpp
+++ b/poplarpitch/dispatch/dispatcher_advice.cpp
@@ -9,8 +9,10 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_advised_workers = 30;  // workers per call, whose duration grows with each of them
-constexpr std::size_t extra_advised_workers = 4; // more than there are tasks, since some will be denied
+constexpr std::size_t max_workers_per_advice_call =
+    30; // workers per call, whose duration grows with each of them
+constexpr std::size_t spare_workers_per_advice_call =
+    4;                                              // more than there are tasks, since some will be denied
 constexpr duration retry_pause = milliseconds{200}; // after a call that got no answer
 constexpr duration answer_slack = seconds{1};       // added to the time that the queue's policy allows
 constexpr duration ticket_margin =
@@ -28,7 +30,7 @@
 /// and the next call depends on the answer.
 void dispatcher::request_advice(const std::vector<std::pair<std::int64_t, step_key>>& ranked,
                                 time_point now) {
-    if (m_is_advising || now < m_next_advice) {
+    if (m_is_advice_pending || now < m_next_advice) {
         return;
     }
     for (const auto& [rank, key] : ranked) {
@@ -37,33 +39,33 @@
             !found->second.job->queue.advice.has_value()) {
             continue;
         }
-        auto workers = pick_workers_to_advise(found->second, key, now);
+        auto workers = pick_workers_to_ask_about(found->second, key, now);
         if (workers.empty()) {
             continue;
         }
         const auto& policy = *found->second.job->queue.advice;
-        advise_order order;
+        advice_request order;
         order.fence = m_term;
         order.step = key;
         order.timeout = policy.base_time +
                         policy.time_per_worker * static_cast<std::int64_t>(workers.size()) + answer_slack;
         order.workers = std::move(workers);
-        m_is_advising = true;
+        m_is_advice_pending = true;
         m_orders.emplace_back(std::move(order));
         return;
     }
 }
 
-std::vector<worker_incarnation> dispatcher::pick_workers_to_advise(const ready_step& ready,
-                                                                   const step_key& key, time_point now) {
+std::vector<worker_incarnation> dispatcher::pick_workers_to_ask_about(const ready_step& ready,
+                                                                      const step_key& key, time_point now) {
     const auto request = make_request(ready, {key, *ready.waiting.begin()}, now);
     std::vector<std::pair<double, worker_incarnation>> found;
     for (const auto* worker : m_workers.get_all()) {
         const auto& incarnation = worker->report.incarnation;
-        const bool is_open = worker->report.pool == ready.job->queue.pool && is_usable(*worker, now) &&
-                             !m_advice[key].is_denied(incarnation) &&
-                             find_ticket(key, incarnation, now).empty();
-        const auto cost = is_open ? get_placement_cost(*worker, request) : std::nullopt;
+        const bool is_candidate = worker->report.pool == ready.job->queue.pool && is_usable(*worker, now) &&
+                                  !m_advice[key].is_denied(incarnation) &&
+                                  find_ticket(key, incarnation, now).empty();
+        const auto cost = is_candidate ? get_placement_cost(*worker, request) : std::nullopt;
         if (cost.has_value()) {
             found.emplace_back(*cost, incarnation);
         }
@@ -71,18 +73,19 @@
     std::sort(found.begin(), found.end());
     std::vector<worker_incarnation> workers;
     for (const auto& [cost, incarnation] : found) {
-        if (workers.size() < std::min(max_advised_workers, ready.waiting.size() + extra_advised_workers)) {
+        if (workers.size() <
+            std::min(max_workers_per_advice_call, ready.waiting.size() + spare_workers_per_advice_call)) {
             workers.push_back(incarnation);
         }
     }
     return workers;
 }
 
-void dispatcher::on_advice(const advise_order& request, const advice_outcome& outcome, time_point now) {
+void dispatcher::on_advice(const advice_request& request, const advice_outcome& outcome, time_point now) {
     if (!is_leading()) {
         return;
     }
-    m_is_advising = false;
+    m_is_advice_pending = false;
     if (!outcome.is_answered) {
         m_next_advice = now + retry_pause;
         log_event(log_level::warn, "advice_missing").add("job", format_job_id(request.step.job));
--- a/poplarpitch/relay/relay_codec.cpp
+++ b/poplarpitch/relay/relay_codec.cpp
@@ -111,7 +111,7 @@
 const order_target* get_order_target(const worker_order& order) {
     return std::visit(
         [](const auto& item) -> const order_target* {
-            if constexpr (std::is_same_v<std::decay_t<decltype(item)>, advise_order>) {
+            if constexpr (std::is_same_v<std::decay_t<decltype(item)>, advice_request>) {
                 return nullptr;
             } else {
                 return &item.target;
@@ -132,7 +132,7 @@
     message.set_is_fresh(target.use_new_connection);
     std::visit(
         [&](const auto& item) {
-            if constexpr (!std::is_same_v<std::decay_t<decltype(item)>, advise_order>) {
+            if constexpr (!std::is_same_v<std::decay_t<decltype(item)>, advice_request>) {
                 encode_order(item, message, frame);
             }
         },
@@ -163,7 +163,7 @@
     if (order.has_value()) {
         std::visit(
             [&](auto& item) {
-                if constexpr (!std::is_same_v<std::decay_t<decltype(item)>, advise_order>) {
+                if constexpr (!std::is_same_v<std::decay_t<decltype(item)>, advice_request>) {
                     item.target = read_target(message, frame);
                 }
             },
--- a/poplarpitch/scheduler/scheduler_dialect.h
+++ b/poplarpitch/scheduler/scheduler_dialect.h
@@ -20,7 +20,7 @@
 concept scheduler_dialect = requires(const std::string& text, const http_request& request,
                                      const http_response& response, const hold_order& hold,
                                      const start_order& start, const stop_order& stop, const pace_order& pace,
-                                     const advise_order& advise) {
+                                     const advice_request& advise) {
     { T::read_job(text) } -> std::same_as<std::optional<step_job>>;
     { T::format_job_state(job_progress::queued) } -> std::same_as<std::string>;
     { T::format_pending(std::uint64_t{}) } -> std::same_as<std::string>;
--- a/poplarpitch/scheduler/worker_link.h
+++ b/poplarpitch/scheduler/worker_link.h
@@ -42,7 +42,7 @@
                 using order_type = std::decay_t<decltype(item)>;
                 if constexpr (std::is_same_v<order_type, hold_order>) {
                     send_hold(item, std::move(on_outcome));
-                } else if constexpr (!std::is_same_v<order_type, advise_order>) {
+                } else if constexpr (!std::is_same_v<order_type, advice_request>) {
                     call<order_type>(make_call(item), std::move(on_outcome));
                 }
             },
--- a/poplarpitch/scheduler/worker_orders.h
+++ b/poplarpitch/scheduler/worker_orders.h
@@ -53,7 +53,7 @@
 
 private:
     void send(const worker_order& order) {
-        if (const auto* advice = std::get_if<advise_order>(&order); advice != nullptr) {
+        if (const auto* advice = std::get_if<advice_request>(&order); advice != nullptr) {
             request_advice(*advice);
             return;
         }
@@ -114,7 +114,7 @@
         }
     }
 
-    void request_advice(const advise_order& order) {
+    void request_advice(const advice_request& order) {
         http_call call;
         call.address = m_parts.settings.advice_address;
         call.request = Dialect::write_order(order);
--- a/poplarpitch/scheduling/worker_order.h
+++ b/poplarpitch/scheduling/worker_order.h
@@ -71,17 +71,17 @@
 
 /// Asks the advice service which of these workers may run a step. The service handles one such call at a
 /// time.
-struct advise_order {
+struct advice_request {
     std::uint64_t fence = 0; ///< term of the leader that asks
     step_key step;
     std::vector<worker_incarnation> workers;
     duration timeout{};
 
-    friend bool operator==(const advise_order&, const advise_order&) = default;
+    friend bool operator==(const advice_request&, const advice_request&) = default;
 };
 
 /// An order to a worker, or a request to the advice service.
-using worker_order = std::variant<hold_order, start_order, stop_order, pace_order, advise_order>;
+using worker_order = std::variant<hold_order, start_order, stop_order, pace_order, advice_request>;
 
 /// A worker's answer to any order but a hold.
 struct order_answer {
--- a/unit_tests/dispatch/dispatch_world.cpp
+++ b/unit_tests/dispatch/dispatch_world.cpp
@@ -113,7 +113,7 @@
     return submit_job(std::move(job));
 }
 
-job_id dispatch_world::submit_advised(const std::vector<step_spec>& steps) {
+job_id dispatch_world::submit_with_advice(const std::vector<step_spec>& steps) {
     step_job job;
     job.steps = steps;
     job.queue.max_attempts = 3;
--- a/unit_tests/dispatch/dispatch_world.h
+++ b/unit_tests/dispatch/dispatch_world.h
@@ -42,7 +42,7 @@
     /// Submits a job to a queue with these attempts and priority. Returns its id.
     job_id submit(const std::vector<step_spec>& steps, std::uint32_t max_attempts = 3, int priority = 0);
     /// Submits a job to a queue that requires advice; tickets are valid for 3 s.
-    job_id submit_advised(const std::vector<step_spec>& steps);
+    job_id submit_with_advice(const std::vector<step_spec>& steps);
     /// Submits a timed job.
     job_id submit_timed(const std::vector<step_spec>& steps, const job_schedule& schedule);
     /// Cancels a job.
--- a/unit_tests/dispatch/dispatcher_advice_test.cpp
+++ b/unit_tests/dispatch/dispatcher_advice_test.cpp
@@ -11,9 +11,9 @@
     dispatch_world world;
     world.add_worker("w1");
     world.add_worker("w2");
-    world.submit_advised({make_step(2)});
+    world.submit_with_advice({make_step(2)});
     EXPECT_TRUE(world.take<start_order>().empty());
-    const auto requests = world.take<advise_order>();
+    const auto requests = world.take<advice_request>();
     ASSERT_EQ(requests.size(), 1U);
     EXPECT_EQ(requests[0].workers.size(), 2U);
     world.scheduler.on_advice(requests[0], {true, {{"w2", "ticket"}}}, world.now);
@@ -29,15 +29,15 @@
 TEST(dispatcher_advice, never_requests_advice_again_for_a_denied_worker) {
     dispatch_world world;
     world.add_worker("w1");
-    world.submit_advised({make_step()});
-    const auto requests = world.take<advise_order>();
+    world.submit_with_advice({make_step()});
+    const auto requests = world.take<advice_request>();
     ASSERT_EQ(requests.size(), 1U);
     world.scheduler.on_advice(requests[0], {true, {}}, world.now);
     world.advance(seconds{2});
-    EXPECT_TRUE(world.take<advise_order>().empty());
+    EXPECT_TRUE(world.take<advice_request>().empty());
     world.add_worker("w2");
     world.advance(milliseconds{200});
-    const auto again = world.take<advise_order>();
+    const auto again = world.take<advice_request>();
     ASSERT_EQ(again.size(), 1U);
     EXPECT_EQ(again[0].workers, std::vector<worker_incarnation>{world.get_incarnation("w2")});
 }
@@ -45,12 +45,12 @@
 TEST(dispatcher_advice, requests_advice_again_after_an_unanswered_call_and_a_refused_ticket) {
     dispatch_world world;
     world.add_worker("w1");
-    world.submit_advised({make_step()});
-    const auto first = world.take<advise_order>();
+    world.submit_with_advice({make_step()});
+    const auto first = world.take<advice_request>();
     ASSERT_EQ(first.size(), 1U);
     world.scheduler.on_advice(first[0], {}, world.now);
     world.advance(milliseconds{500});
-    const auto second = world.take<advise_order>();
+    const auto second = world.take<advice_request>();
     ASSERT_EQ(second.size(), 1U);
     world.scheduler.on_advice(second[0], {true, {{"w1", "old"}}}, world.now);
     world.run_until_idle();
@@ -58,7 +58,7 @@
     ASSERT_EQ(starts.size(), 1U);
     world.answer(starts[0], order_failure::no_ticket);
     world.advance(milliseconds{200});
-    const auto third = world.take<advise_order>();
+    const auto third = world.take<advice_request>();
     ASSERT_EQ(third.size(), 1U);
     world.scheduler.on_advice(third[0], {true, {{"w1", "new"}}}, world.now);
     world.run_until_idle();
@@ -71,8 +71,8 @@
 TEST(dispatcher_advice, uses_no_ticket_that_has_run_out) {
     dispatch_world world;
     world.add_worker("w1", {1000, 256000, 0});
-    world.submit_advised({make_step(2)});
-    const auto requests = world.take<advise_order>();
+    world.submit_with_advice({make_step(2)});
+    const auto requests = world.take<advice_request>();
     ASSERT_EQ(requests.size(), 1U);
     world.scheduler.on_advice(requests[0], {true, {{"w1", "first"}}}, world.now);
     world.run_until_idle();
@@ -87,7 +87,7 @@
     world.answer_hold("w1", list);
     world.advance(milliseconds{200});
     EXPECT_TRUE(world.take<start_order>().empty());
-    EXPECT_EQ(world.take<advise_order>().size(), 1U);
+    EXPECT_EQ(world.take<advice_request>().size(), 1U);
 }
 
 } // namespace
