--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -385,7 +385,7 @@
     /// Returns how many members of a gang wait for workers of their own.
     [[nodiscard]] std::size_t count_own_workers(const ready_step& ready, const step_key& key, time_point now);
     void measure_short_demand(const placing_pass& pass);
-    [[nodiscard]] bool may_open(const worker_state& worker) const;
+    [[nodiscard]] bool may_take_first_serving_task(const worker_state& worker) const;
     [[nodiscard]] placement_request make_request(const ready_step& ready, const task_key& key,
                                                  time_point now);
     worker_state* choose(const placing_pass& pass, const ready_step& ready, const placement_request& request);
@@ -431,9 +431,9 @@
     double m_filling_backlog =
         0; ///< cores of waiting filling tasks as a share of those of running ones, 0 to 1; smoothed
     bool m_must_place = false;
-    double m_short_millicores = 0;       ///< demand of tasks that neither serve nor fill, smoothed
-    std::int64_t m_open_millicores = 0;  ///< capacity of the usable workers without serving tasks
-    std::int64_t m_total_millicores = 0; ///< capacity of the usable workers
+    double m_short_millicores = 0;             ///< demand of tasks that neither serve nor fill, smoothed
+    std::int64_t m_non_serving_millicores = 0; ///< capacity of the usable workers without serving tasks
+    std::int64_t m_total_millicores = 0;       ///< capacity of the usable workers
     time_point m_measured_at{};
     time_point m_last_place{};
     time_point m_next_place{};
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -16,7 +16,7 @@
 constexpr std::int64_t priority_weight_ms = 10'000'000;   // a better priority outranks any deadline
 constexpr double demand_smoothing_s = 8;                  // bursts last 4 to 6 s
 constexpr double demand_peak = 1.5;                       // of the smoothed demand, which varies by half
-constexpr double min_open_share = 0.05;                   // of all processor time, before any demand is known
+constexpr double min_non_serving_share = 0.05;            // of all processor time, before any demand is known
 constexpr duration max_serving_wait = milliseconds{1800}; // maximum wait of a serving task that could run
 constexpr std::int64_t retry_bonus_ms = 4000; // a failed task delays everything that its job has done so far
 constexpr std::int64_t started_bonus_ms = 3000; // a job that has begun outranks new ones with as much slack
@@ -257,13 +257,13 @@
 /// to be of use. Load pattern: long-running serving tasks reserve nine tenths of a pool before the first
 /// short task arrives.
 void dispatcher::measure_short_demand(const placing_pass& pass) {
-    m_open_millicores = 0;
+    m_non_serving_millicores = 0;
     m_total_millicores = 0;
     double wanted = 0;
     for (const auto& [pool, workers] : pass.usable) {
         for (const auto* worker : workers) {
             m_total_millicores += worker->report.capacity.millicores;
-            m_open_millicores += worker->servings == 0 ? worker->report.capacity.millicores : 0;
+            m_non_serving_millicores += worker->servings == 0 ? worker->report.capacity.millicores : 0;
             wanted += static_cast<double>(worker->short_millicores);
         }
     }
@@ -278,10 +278,10 @@
     m_short_millicores = kept * m_short_millicores + (1 - kept) * wanted;
 }
 
-bool dispatcher::may_open(const worker_state& worker) const {
-    const auto kept_free =
-        std::max(m_short_millicores * demand_peak, min_open_share * static_cast<double>(m_total_millicores));
-    return static_cast<double>(m_open_millicores - worker.report.capacity.millicores) >= kept_free;
+bool dispatcher::may_take_first_serving_task(const worker_state& worker) const {
+    const auto kept_free = std::max(m_short_millicores * demand_peak,
+                                    min_non_serving_share * static_cast<double>(m_total_millicores));
+    return static_cast<double>(m_non_serving_millicores - worker.report.capacity.millicores) >= kept_free;
 }
 
 placement_request dispatcher::make_request(const ready_step& ready, const task_key& key, time_point now) {
@@ -307,8 +307,8 @@
 placement_obstacle dispatcher::find_policy_obstacle(const worker_state& worker, const ready_step& ready,
                                                     const placement_request& request, time_point now) const {
     const bool may_wait = request.spec->is_serving() && now - ready.since < max_serving_wait;
-    if (may_wait && worker.servings == 0 && !may_open(worker)) {
-        return placement_obstacle::kept_open;
+    if (may_wait && worker.servings == 0 && !may_take_first_serving_task(worker)) {
+        return placement_obstacle::kept_for_short_tasks;
     }
     const bool needs_ticket = ready.job->queue.advice.has_value();
     if (needs_ticket && find_ticket(request.step, worker.report.incarnation, now).empty()) {
@@ -409,7 +409,7 @@
     const auto* task = m_job_state.find_task(key);
     const run_key run{key, task == nullptr ? 1 : task->last_run + 1};
     if (ready.job->steps[key.step.step].is_serving() && worker.servings == 0) {
-        m_open_millicores -= worker.report.capacity.millicores;
+        m_non_serving_millicores -= worker.report.capacity.millicores;
     }
     add_track(run, ready.job, worker.report.incarnation, run_stage::committing, isolation, now);
     propose_assignment(run, worker);
