--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -356,7 +356,7 @@
     void leave_unsound(worker_state& worker, time_point now);
     void plan_paces(worker_state& worker, time_point now);
     void slow_fills_for(const worker_state& worker, const run_track& serving,
-                        const std::vector<run_track*>& fills);
+                        const std::vector<run_track*>& filling_tracks);
     void order_pace(worker_state& worker, run_track& fill, time_point now);
 
     // placement
@@ -384,7 +384,7 @@
     void place_gang(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Returns how many members of a gang wait for workers of their own.
     [[nodiscard]] std::size_t count_own_workers(const ready_step& ready, const step_key& key, time_point now);
-    void measure_short_demand(const placing_pass& pass);
+    void measure_short_task_demand(const placing_pass& pass);
     [[nodiscard]] bool may_take_first_serving_task(const worker_state& worker) const;
     [[nodiscard]] placement_request make_request(const ready_step& ready, const task_key& key,
                                                  time_point now);
@@ -431,7 +431,7 @@
     double m_filling_backlog =
         0; ///< cores of waiting filling tasks as a share of those of running ones, 0 to 1; smoothed
     bool m_must_place = false;
-    double m_short_millicores = 0;             ///< demand of tasks that neither serve nor fill, smoothed
+    double m_short_task_millicores = 0;        ///< demand of tasks that neither serve nor fill, smoothed
     std::int64_t m_non_serving_millicores = 0; ///< capacity of the usable workers without serving tasks
     std::int64_t m_total_millicores = 0;       ///< capacity of the usable workers
     time_point m_measured_at{};
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -71,7 +71,7 @@
         if (worker->has_report && !worker->is_lost && !worker->is_draining) {
             auto& use = pools[worker->report.pool];
             use.capacity += worker->report.capacity.millicores;
-            use.other_demand += worker->short_millicores + worker->fill_millicores;
+            use.other_demand += worker->short_task_millicores + worker->filling_millicores;
             reserved[worker->report.pool] += worker->reserved.millicores;
         }
     }
@@ -94,7 +94,7 @@
     std::int64_t running = 0; // millicores of filling tasks
     std::int64_t waiting = 0;
     for (const auto* worker : m_workers.get_all()) {
-        running += worker->fill_millicores;
+        running += worker->filling_millicores;
     }
     for (const auto& [key, ready] : m_ready) {
         waiting += ready.job->steps[key.step].is_filling ? ready.get_wanted(key) : 0;
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -96,7 +96,7 @@
     m_must_place = false;
     m_last_place = now;
     auto pass = begin_pass(now);
-    measure_short_demand(pass);
+    measure_short_task_demand(pass);
     const auto ranked = rank_ready(now);
     for (const auto& [rank, key] : ranked) {
         const auto found = m_ready.find(key);
@@ -256,15 +256,15 @@
 /// Short tasks need whole cores at once, while serving tasks leave a few on each worker, which is too little
 /// to be of use. Load pattern: long-running serving tasks reserve nine tenths of a pool before the first
 /// short task arrives.
-void dispatcher::measure_short_demand(const placing_pass& pass) {
+void dispatcher::measure_short_task_demand(const placing_pass& pass) {
     m_non_serving_millicores = 0;
     m_total_millicores = 0;
     double wanted = 0;
     for (const auto& [pool, workers] : pass.usable) {
         for (const auto* worker : workers) {
             m_total_millicores += worker->report.capacity.millicores;
-            m_non_serving_millicores += worker->servings == 0 ? worker->report.capacity.millicores : 0;
-            wanted += static_cast<double>(worker->short_millicores);
+            m_non_serving_millicores += worker->serving_runs == 0 ? worker->report.capacity.millicores : 0;
+            wanted += static_cast<double>(worker->short_task_millicores);
         }
     }
     for (const auto& [key, ready] : m_ready) {
@@ -275,11 +275,11 @@
     }
     const auto kept = std::exp(-to_seconds(pass.now - m_measured_at) / demand_smoothing_s);
     m_measured_at = pass.now;
-    m_short_millicores = kept * m_short_millicores + (1 - kept) * wanted;
+    m_short_task_millicores = kept * m_short_task_millicores + (1 - kept) * wanted;
 }
 
 bool dispatcher::may_take_first_serving_task(const worker_state& worker) const {
-    const auto kept_free = std::max(m_short_millicores * demand_peak,
+    const auto kept_free = std::max(m_short_task_millicores * demand_peak,
                                     min_non_serving_share * static_cast<double>(m_total_millicores));
     return static_cast<double>(m_non_serving_millicores - worker.report.capacity.millicores) >= kept_free;
 }
@@ -307,7 +307,7 @@
 placement_obstacle dispatcher::find_policy_obstacle(const worker_state& worker, const ready_step& ready,
                                                     const placement_request& request, time_point now) const {
     const bool may_wait = request.spec->is_serving() && now - ready.since < max_serving_wait;
-    if (may_wait && worker.servings == 0 && !may_take_first_serving_task(worker)) {
+    if (may_wait && worker.serving_runs == 0 && !may_take_first_serving_task(worker)) {
         return placement_obstacle::kept_for_short_tasks;
     }
     const bool needs_ticket = ready.job->queue.advice.has_value();
@@ -408,7 +408,7 @@
                        isolation_level isolation, time_point now) {
     const auto* task = m_job_state.find_task(key);
     const run_key run{key, task == nullptr ? 1 : task->last_run + 1};
-    if (ready.job->steps[key.step.step].is_serving() && worker.servings == 0) {
+    if (ready.job->steps[key.step.step].is_serving() && worker.serving_runs == 0) {
         m_non_serving_millicores -= worker.report.capacity.millicores;
     }
     add_track(run, ready.job, worker.report.incarnation, run_stage::committing, isolation, now);
--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -44,7 +44,7 @@
     auto& groups = worker.pressure.groups;
     groups.clear();
     worker.serving_unused_millicores = 0;
-    if (worker.servings == 0) {
+    if (worker.serving_runs == 0) {
         return;
     }
     for (const auto& [key, run] : worker.runs) {
@@ -141,7 +141,7 @@
 }
 
 void dispatcher::observe_pressure(worker_state& worker, time_point now) {
-    if (worker.servings == 0) {
+    if (worker.serving_runs == 0) {
         return;
     }
     if (is_unsound(worker)) {
@@ -176,31 +176,31 @@
 /// Plans paces from the expected interference of each filling task, so that a task regains its speed as soon
 /// as the load of the serving tasks allows. A tail over its target slows the tasks that may cause it at once.
 void dispatcher::plan_paces(worker_state& worker, time_point now) {
-    if (worker.servings == 0 || worker.fills == 0) {
+    if (worker.serving_runs == 0 || worker.filling_runs == 0) {
         return;
     }
-    std::vector<run_track*> fills;
+    std::vector<run_track*> filling_tracks;
     for (const auto& [key, run] : worker.runs) {
         auto& track = *run;
         if (track.get_spec().is_filling && track.stage == run_stage::running && !track.is_stop_wanted &&
             !track.is_ending) {
             track.planned_pace = 100;
-            fills.push_back(&track);
+            filling_tracks.push_back(&track);
         }
     }
     for (const auto& [key, run] : worker.runs) {
         const auto& serving = *run;
         if (serving.get_spec().is_serving() && serving.level > 0) {
-            slow_fills_for(worker, serving, fills);
+            slow_fills_for(worker, serving, filling_tracks);
         }
     }
-    for (auto* fill : fills) {
+    for (auto* fill : filling_tracks) {
         order_pace(worker, *fill, now);
     }
 }
 
 void dispatcher::slow_fills_for(const worker_state& worker, const run_track& serving,
-                                const std::vector<run_track*>& fills) {
+                                const std::vector<run_track*>& filling_tracks) {
     const auto& spec = serving.get_spec();
     const auto target = static_cast<double>(spec.target_ms);
     struct fill_slowdown {
@@ -208,9 +208,9 @@
         double slowdown; ///< at full speed
     };
     std::vector<fill_slowdown> slowdowns;
-    slowdowns.reserve(fills.size());
+    slowdowns.reserve(filling_tracks.size());
     double total = 0;
-    for (auto* fill : fills) {
+    for (auto* fill : filling_tracks) {
         const auto& filling = fill->get_spec();
         const double slowdown =
             m_pressure.get_factor(serving.image, fill->image) * worker.get_share(filling.millicores);
--- a/poplarpitch/dispatch/dispatcher_reports.cpp
+++ b/poplarpitch/dispatch/dispatcher_reports.cpp
@@ -73,11 +73,11 @@
     std::int64_t filling = 0;
     for (const auto* worker : m_workers.get_all()) {
         usable += is_usable(*worker, now) ? 1 : 0;
-        serving += worker->servings > 0 ? 1 : 0;
-        mixed += worker->servings > 0 && worker->fills > 0 ? 1 : 0;
+        serving += worker->serving_runs > 0 ? 1 : 0;
+        mixed += worker->serving_runs > 0 && worker->filling_runs > 0 ? 1 : 0;
         capacity += worker->report.capacity;
         reserved += worker->reserved;
-        filling += worker->fill_millicores;
+        filling += worker->filling_millicores;
     }
     log_event(log_level::info, "load")
         .add("workers", static_cast<std::uint64_t>(m_workers.get_all().size()))
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -54,14 +54,14 @@
     }
     worker.count_isolated(track.isolation, sign);
     if (spec.is_filling) {
-        worker.fill_millicores += sign * spec.millicores;
-        worker.fills += static_cast<std::uint32_t>(sign);
+        worker.filling_millicores += sign * spec.millicores;
+        worker.filling_runs += static_cast<std::uint32_t>(sign);
     }
     if (!spec.is_filling && !spec.is_serving()) {
-        worker.short_millicores += sign * spec.millicores;
+        worker.short_task_millicores += sign * spec.millicores;
     }
     if (spec.is_serving()) {
-        worker.servings += static_cast<std::uint32_t>(sign);
+        worker.serving_runs += static_cast<std::uint32_t>(sign);
     }
 }
 
@@ -198,7 +198,7 @@
 /// Holds of workers with both serving and filling tasks only tune the paces, so they are the first to become
 /// rarer when the leader's thread is overloaded.
 duration dispatcher::get_hold_wait(const worker_state& worker) const {
-    const bool is_mixed = worker.servings > 0 && worker.fills > 0;
+    const bool is_mixed = worker.serving_runs > 0 && worker.filling_runs > 0;
     if (!is_mixed) {
         return m_settings.hold_wait;
     }
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -68,7 +68,7 @@
     if (!request.is_starving) {
         return wanted;
     }
-    return worker.servings == 0 ? std::numeric_limits<std::int64_t>::min() : wanted / starving_divisor;
+    return worker.serving_runs == 0 ? std::numeric_limits<std::int64_t>::min() : wanted / starving_divisor;
 }
 
 /// Returns a cost for what another crash would end, and for how much harder its cause would be to identify.
@@ -77,7 +77,7 @@
         return worker.probations > 0 ? beside_kept_cost : worker.suspects > 0 ? beside_suspect_cost : 0;
     }
     return neighbour_cost * static_cast<double>(worker.runs.size()) +
-           serving_neighbour_cost * static_cast<double>(worker.servings) +
+           serving_neighbour_cost * static_cast<double>(worker.serving_runs) +
            other_suspect_cost * static_cast<double>(worker.suspects);
 }
 
@@ -173,9 +173,10 @@
         cost += get_slowdown_cost(worker, request) + fullness_weight * get_fill_cost(worker);
     } else if (spec.is_serving()) {
         cost += get_pack_cost(worker) + get_mixing_cost(worker, request) +
-                (worker.fills > 0 ? beside_filling_cost : 0) + (worker.servings > 0 ? 0 : first_serving_cost);
+                (worker.filling_runs > 0 ? beside_filling_cost : 0) +
+                (worker.serving_runs > 0 ? 0 : first_serving_cost);
     } else {
-        cost += get_pack_cost(worker) + (worker.fills > 0 ? short_beside_filling_cost : 0);
+        cost += get_pack_cost(worker) + (worker.filling_runs > 0 ? short_beside_filling_cost : 0);
     }
     if (!spec.affinity_rack.empty() && worker.report.rack != spec.affinity_rack) {
         cost += remote_data_cost;
--- a/poplarpitch/dispatch/worker_state.h
+++ b/poplarpitch/dispatch/worker_state.h
@@ -80,10 +80,10 @@
     absl::btree_map<run_key, run_track*> runs;     ///< ordered, so that equal states lead to equal decisions
     std::map<step_key, std::uint32_t> step_counts; ///< runs of each step, for the limit per worker
     worker_amounts reserved;                       ///< by all tasks; filling tasks reserve no processor time
-    std::int64_t fill_millicores = 0;              ///< millicores requested by filling tasks
-    std::int64_t short_millicores = 0;             ///< millicores of tasks that neither fill nor serve
-    std::uint32_t fills = 0;                       ///< runs that fill
-    std::uint32_t servings = 0;                    ///< runs that serve
+    std::int64_t filling_millicores = 0;           ///< millicores requested by filling tasks
+    std::int64_t short_task_millicores = 0;        ///< millicores of tasks that neither fill nor serve
+    std::uint32_t filling_runs = 0;                ///< runs that fill
+    std::uint32_t serving_runs = 0;                ///< runs that serve
     std::uint32_t suspects = 0;                    ///< runs whose tasks may have crashed a worker before
     std::uint32_t probations = 0;                  ///< suspect runs that require this worker for themselves
     std::vector<lapsed_run> lapsed; ///< until the worker answers again or has certainly crashed
@@ -118,7 +118,8 @@
     [[nodiscard]] worker_amounts get_free() const { return report.capacity - reserved; }
     /// Returns the processor time that is left for filling tasks, in millicores. Thread safety: as the state.
     [[nodiscard]] std::int64_t get_spare_millicores() const {
-        return report.capacity.millicores - reserved.millicores + serving_unused_millicores - fill_millicores;
+        return report.capacity.millicores - reserved.millicores + serving_unused_millicores -
+               filling_millicores;
     }
     /// Returns an amount of processor time, in millicores, as a share of the worker's capacity, 1 at most
     /// even where the capacity has shrunk below the amount. Thread safety: as the state.
--- a/unit_tests/dispatch/dispatcher_pressure_test.cpp
+++ b/unit_tests/dispatch/dispatcher_pressure_test.cpp
@@ -175,7 +175,7 @@
         for (int observation = 0; observation < 20; ++observation) {
             world.advance(milliseconds{300});
             run_all(world, "w1", 36 + observation % 2, 6000);
-            max_running = std::max<std::size_t>(max_running, world.find_worker("w1")->fills);
+            max_running = std::max<std::size_t>(max_running, world.find_worker("w1")->filling_runs);
         }
         running.push_back(max_running);
     }
--- a/unit_tests/dispatch/placement_test.cpp
+++ b/unit_tests/dispatch/placement_test.cpp
@@ -45,7 +45,7 @@
 TEST(placement, a_filling_task_may_use_the_room_that_other_tasks_leave) {
     auto worker = make_worker();
     worker.reserved = {20'000, 0, 0};
-    worker.fill_millicores = 5'000;
+    worker.filling_millicores = 5'000;
     expect_room_is_the_limit(worker, {});
 }
 
