--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -270,9 +270,9 @@
     auto* worker = ended == nullptr ? find_worker(event.worker)
                                     : ended->host; // the one whose list the number belongs to
     if (worker != nullptr && event.number > 0) {
-        worker->ends_committing -= worker->ends_committing > 0 ? 1 : 0;
+        worker->ends_being_committed -= worker->ends_being_committed > 0 ? 1 : 0;
         update_acknowledged(*worker);
-        if (worker->ends_committing == 0) {
+        if (worker->ends_being_committed == 0) {
             schedule_hold(*worker, now);
         }
     }
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -248,7 +248,7 @@
     void return_to_queue(run_track& track, time_point now);
     void on_start_refused(run_track& track, order_failure failure, time_point now);
     /// Ends the backoff of a worker that has answered and releases the orders that waited for it.
-    void release_orders(worker_state& worker, time_point now);
+    void retry_delayed_orders(worker_state& worker, time_point now);
     void handle_order_answer(run_track& track, const order_answer& answer, time_point now);
 
     // workers
@@ -257,7 +257,7 @@
     void schedule_hold(worker_state& worker, time_point when);
     /// Returns the latest time of the worker's next check.
     [[nodiscard]] time_point get_next_check(const worker_state& worker, time_point now) const;
-    void add_load(worker_state& worker, run_track& track, int sign);
+    void count_run(worker_state& worker, run_track& track, int sign);
     /// Updates the time until which the worker's reported room is considered valid.
     void update_room_expiry(worker_state& worker) const;
     /// Updates a worker's clock from a heartbeat, which may be late.
@@ -266,7 +266,7 @@
     /// Returns how long a worker may delay its answer to a hold.
     [[nodiscard]] duration get_hold_wait(const worker_state& worker) const;
     [[nodiscard]] bool needs_hold(const worker_state& worker) const;
-    void process_list(worker_state& worker, const hold_answer& answer, time_point now);
+    void process_run_list(worker_state& worker, const hold_answer& answer, time_point now);
     void process_end(worker_state& worker, const run_end_entry& row, time_point now);
     /// Ends runs that are missing from the worker's list. Precondition: `listed` is sorted.
     void end_missing_runs(worker_state& worker, const std::vector<run_key>& listed, time_point now);
--- a/poplarpitch/dispatch/dispatcher_incarnations.cpp
+++ b/poplarpitch/dispatch/dispatcher_incarnations.cpp
@@ -121,7 +121,7 @@
         .add("born_ms", successor.report.incarnation.process_start_ms)
         .add("former_born_ms", former.report.incarnation.process_start_ms)
         .add("runs", static_cast<std::uint64_t>(former.runs.size()))
-        .add("seen", former.seen)
+        .add("seen", former.last_processed_end)
         .add("acknowledged", former.acknowledged_up_to);
     const auto assessed = assess_runs(former, now);
     mark_lost(former, get_end_reason_name(started_again), now);
@@ -144,16 +144,16 @@
 /// decides.
 void dispatcher::move_run(run_track& track, worker_state& successor, const run_loss& loss, time_point now) {
     auto& former = *track.host;
-    add_load(former, track, -1);
+    count_run(former, track, -1);
     track.host = &successor;
     track.stage = run_stage::adopting;
-    track.former_loss = loss;
+    track.loss_of_former_incarnation = loss;
     track.is_order_pending = false;
     track.is_stop_answered = false; // at most by the former incarnation
     track.stop_answered_at = {};
     track.next_order = now;
     schedule_order(track);
-    add_load(successor, track, 1);
+    count_run(successor, track, 1);
     refresh_pressure(former);
     refresh_pressure(successor);
     // The start's lease was computed for the former incarnation's clock. At the successor only the maximum
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -30,9 +30,9 @@
 }
 
 bool dispatcher::may_forget(const worker_state& worker, time_point now) const {
-    const bool is_idle = worker.runs.empty() && worker.ends_committing == 0;
+    const bool is_idle = worker.runs.empty() && worker.ends_being_committed == 0;
     const auto kept =
-        worker.lapsed.empty() ? m_settings.worker_removal_delay : m_settings.lapsed_worker_removal_delay;
+        worker.lapsed_runs.empty() ? m_settings.worker_removal_delay : m_settings.lapsed_worker_removal_delay;
     const bool is_silent = now - worker.last_heartbeat > kept;
     return is_idle && (worker.is_lost || is_silent) && !worker.is_hold_pending;
 }
@@ -51,19 +51,19 @@
 void dispatcher::mark_lost(worker_state& worker, const char* reason, time_point now) {
     worker.is_lost = true;
     worker.awaits_fence = false;
-    worker.ends_committing = 0;
+    worker.ends_being_committed = 0;
     m_lost_workers.insert(worker.report.incarnation);
     m_workers.schedule_check(worker, now);
     auto line = log_event(log_level::warn, "worker_lost");
     add_worker(line, worker.report.incarnation)
         .add("reason", reason)
         .add("runs", static_cast<std::uint64_t>(worker.runs.size()));
-    for (const auto& run : worker.lapsed) {
+    for (const auto& run : worker.lapsed_runs) {
         if (run.loss.crash != crash_evidence::none) {
             propose_crash(run, worker.report.incarnation);
         }
     }
-    worker.lapsed.clear();
+    worker.lapsed_runs.clear();
 }
 
 void dispatcher::mark_run_lost(run_track& track, end_reason reason, const run_loss& loss, time_point now) {
@@ -124,7 +124,7 @@
         propose_end(track, run_end::lost, {end_reason::lease_lapsed, {}, 0}, now, {},
                     {crash_evidence::none, run.loss.age_ms});
         const auto crash = std::min(run.loss.crash, crash_evidence::possible);
-        worker.lapsed.push_back({run.run, {crash, run.loss.age_ms}});
+        worker.lapsed_runs.push_back({run.run, {crash, run.loss.age_ms}});
     }
 }
 
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -29,7 +29,7 @@
     track.isolation = isolation;
     auto& state = get_or_add_worker(worker, now);
     track.host = &state;
-    add_load(state, track, 1);
+    count_run(state, track, 1);
     if (const auto job = m_jobs.find(key.task.step.job); job != m_jobs.end()) {
         job->second.runs.emplace(key, &track);
     }
@@ -51,7 +51,7 @@
     }
     const bool matters = found->second.get_spec().is_filling || found->second.get_spec().is_serving();
     auto& worker = *found->second.host;
-    add_load(worker, found->second, -1);
+    count_run(worker, found->second, -1);
     m_tracks.erase(found);
     if (matters) {
         refresh_pressure(worker);
@@ -206,7 +206,7 @@
     }
 }
 
-void dispatcher::release_orders(worker_state& worker, time_point now) {
+void dispatcher::retry_delayed_orders(worker_state& worker, time_point now) {
     if (!worker.backoff.on_answer()) {
         return;
     }
@@ -228,7 +228,7 @@
     const bool has_answered = !answer.failure.has_value() || (answer.failure != order_failure::unanswered &&
                                                               answer.failure != order_failure::unreachable);
     if (has_answered) {
-        release_orders(worker, now);
+        retry_delayed_orders(worker, now);
         return;
     }
     ++m_counts.unanswered;
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -15,7 +15,7 @@
 // A hold that is sent before the listed ends are committed returns at once with the same ends. Leases still
 // have to be renewed, even if the log makes no progress.
 constexpr duration commit_hold_pause = milliseconds{500};
-constexpr double max_strain_pauses =
+constexpr double hold_pause_growth_at_full_strain =
     5; // maximum growth of the pause between holds; ends then arrive in batches
 constexpr duration hold_slack = milliseconds{800}; // added to the requested wait
 
@@ -36,7 +36,7 @@
     m_workers.schedule_check(worker, worker.next_hold);
 }
 
-void dispatcher::add_load(worker_state& worker, run_track& track, int sign) {
+void dispatcher::count_run(worker_state& worker, run_track& track, int sign) {
     const auto& spec = track.get_spec();
     const auto need = get_need(spec);
     if (sign > 0) {
@@ -209,7 +209,7 @@
 void dispatcher::send_hold(worker_state& worker, time_point now) {
     hold_order order;
     const bool has_runs = !worker.runs.empty() && worker.is_confirmed;
-    if (has_runs && worker.hold_failures == 0 && worker.ends_committing == 0) {
+    if (has_runs && worker.hold_failures == 0 && worker.ends_being_committed == 0) {
         order.wait = get_hold_wait(worker);
     }
     order.target = make_target(worker, order.wait + hold_slack);
@@ -278,9 +278,9 @@
         auto line = log_event(log_level::info, "worker_heard_again");
         add_worker(line, incarnation);
     }
-    worker->lapsed.clear(); // it was out of reach and has not crashed
+    worker->lapsed_runs.clear(); // it was out of reach and has not crashed
     worker->hold_failures = 0;
-    release_orders(*worker, now);
+    retry_delayed_orders(*worker, now);
     if (outcome.answer.clock_ms > 0) {
         worker->clock_ms = outcome.answer.clock_ms;
         worker->clock_at = now;
@@ -294,21 +294,21 @@
         schedule_hold(*worker, now);
         return;
     }
-    process_list(*worker, outcome.answer, now);
+    process_run_list(*worker, outcome.answer, now);
     const bool was_confirmed = worker->is_confirmed;
     worker->is_confirmed = true;
     if (!was_confirmed) {
         m_must_place = true;
     }
     const auto regular_pause = std::chrono::duration_cast<duration>(
-        m_settings.hold_pause * (1 + max_strain_pauses * m_load.get_strain()));
-    const auto pause = worker->ends_committing > 0 ? commit_hold_pause
-                       : worker->has_stray_runs    ? m_settings.retry_pause
-                                                   : regular_pause;
+        m_settings.hold_pause * (1 + hold_pause_growth_at_full_strain * m_load.get_strain()));
+    const auto pause = worker->ends_being_committed > 0 ? commit_hold_pause
+                       : worker->has_stray_runs         ? m_settings.retry_pause
+                                                        : regular_pause;
     worker->next_hold = std::max(worker->next_hold, now + pause);
 }
 
-void dispatcher::process_list(worker_state& worker, const hold_answer& answer, time_point now) {
+void dispatcher::process_run_list(worker_state& worker, const hold_answer& answer, time_point now) {
     worker.listed_at = now;
     worker.has_stray_runs = false;
     for (const auto& row : answer.running) {
@@ -332,7 +332,7 @@
             record_first_start(row.run.task.step.job, now);
         }
         track->listed_at = now;
-        track->former_loss.reset();
+        track->loss_of_former_incarnation.reset();
         track->percent = row.percent;
         track->level = row.level;
     }
@@ -355,18 +355,18 @@
     if (row.number <= worker.acknowledged_up_to) {
         worker.acknowledged_sent = 0; // the worker has not received the acknowledgement yet
     }
-    if (row.number <= worker.seen) {
+    if (row.number <= worker.last_processed_end) {
         if (track != nullptr && !track->is_ending) {
             auto line = log_event(log_level::warn, "end_passed_over");
             add_run(line, row.run);
             add_worker(line, worker.report.incarnation)
                 .add("end", get_end_name(row.end))
                 .add("number", row.number)
-                .add("seen", worker.seen);
+                .add("seen", worker.last_processed_end);
         }
         return;
     }
-    worker.seen = row.number;
+    worker.last_processed_end = row.number;
     if (track == nullptr || track->host != &worker || track->is_ending) {
         log_unknown_end(worker, track, row);
         return; // assigned by an earlier leader, or given up before
@@ -377,7 +377,7 @@
     if (row.end == run_end::failed) {
         worker.trust.on_failure(row.run.task.step.job, now);
     }
-    ++worker.ends_committing;
+    ++worker.ends_being_committed;
     const bool has_known_age = track->confirmed_at != time_point{};
     propose_end(*track, row.end, {end_reason::listed_end, worker.hold_sent, row.number}, now, row.checkpoint,
                 {crash_evidence::none, has_known_age ? to_milliseconds(now - track->confirmed_at) : 0});
@@ -398,14 +398,14 @@
             auto line = log_event(log_level::info, "run_not_listed", log_weight::history);
             add_run(line, key);
             add_worker(line, worker.report.incarnation)
-                .add("seen", worker.seen)
+                .add("seen", worker.last_processed_end)
                 .add("told", worker.acknowledged_sent)
                 .add("was_there", was_there ? "yes" : "no");
-            const auto there_or_stopped = was_there ? end_reason::not_listed : end_reason::stop_answered;
-            const end_evidence evidence{never_came ? end_reason::never_came : there_or_stopped,
+            const auto reason_if_started = was_there ? end_reason::not_listed : end_reason::stop_answered;
+            const end_evidence evidence{never_came ? end_reason::never_came : reason_if_started,
                                         worker.hold_sent, 0};
-            if (track.former_loss.has_value()) {
-                propose_end(track, run_end::lost, evidence, now, {}, *track.former_loss);
+            if (track.loss_of_former_incarnation.has_value()) {
+                propose_end(track, run_end::lost, evidence, now, {}, *track.loss_of_former_incarnation);
             } else {
                 propose_end(track, run_end::not_started, evidence, now);
             }
@@ -427,8 +427,8 @@
 }
 
 void dispatcher::update_acknowledged(worker_state& worker) {
-    if (worker.ends_committing == 0) {
-        worker.acknowledged_up_to = std::max(worker.acknowledged_up_to, worker.seen);
+    if (worker.ends_being_committed == 0) {
+        worker.acknowledged_up_to = std::max(worker.acknowledged_up_to, worker.last_processed_end);
         m_workers.schedule_check(worker, worker.next_hold);
     }
 }
--- a/poplarpitch/dispatch/history_log.cpp
+++ b/poplarpitch/dispatch/history_log.cpp
@@ -27,7 +27,7 @@
     add_run(line, track.key);
     add_worker(line, track.host->report.incarnation)
         .add("found", found)
-        .add("of", track.former_loss.has_value() ? "former_life" : "former_leader")
+        .add("of", track.loss_of_former_incarnation.has_value() ? "former_life" : "former_leader")
         .add("term", term)
         .add("fence", track.host->fence);
 }
@@ -57,7 +57,7 @@
     add_worker(line, worker.report.incarnation)
         .add("end", get_end_name(row.end))
         .add("number", row.number)
-        .add("seen", worker.seen)
+        .add("seen", worker.last_processed_end)
         .add("reason", why)
         .add("fence", worker.fence);
 }
--- a/poplarpitch/dispatch/run_track.h
+++ b/poplarpitch/dispatch/run_track.h
@@ -50,11 +50,12 @@
     time_point confirmed_at{};    ///< when the start was answered or first listed; zero before
     bool has_known_start = false; ///< the start was answered, so the run began at `confirmed_at`
     time_point stop_answered_at{};
-    time_point listed_at{};              ///< when the worker last listed the run or answered its start
-    time_point next_order{};             ///< earliest time of the next start or stop
-    std::optional<run_loss> former_loss; ///< set while the run may belong to a former incarnation of the
-                                         ///< worker: what that one's loss says
-    bool may_start_late = false;         ///< a start got no answer and may be executed seconds later
+    time_point listed_at{};  ///< when the worker last listed the run or answered its start
+    time_point next_order{}; ///< earliest time of the next start or stop
+    std::optional<run_loss>
+        loss_of_former_incarnation; ///< set while the run may belong to a former incarnation of the
+                                    ///< worker: what that one's loss says
+    bool may_start_late = false;    ///< a start got no answer and may be executed seconds later
     std::int64_t percent = 0;
     std::int64_t level = 0;       ///< as in `run_entry`
     int pace = 100;               ///< share of its speed that was ordered and confirmed, percent
--- a/poplarpitch/dispatch/worker_state.h
+++ b/poplarpitch/dispatch/worker_state.h
@@ -72,10 +72,10 @@
     time_point granted_at{}; ///< when a lease was last granted
     time_point lease_end{};  ///< when all leases of this leader and earlier ones have expired
 
-    std::uint64_t seen = 0;               ///< highest sequence number of its ends that was processed
+    std::uint64_t last_processed_end = 0; ///< highest sequence number of its ends that was processed
     std::uint64_t acknowledged_up_to = 0; ///< highest sequence number of an end that the worker may forget
     std::uint64_t acknowledged_sent = 0;  ///< highest acknowledgement sent; 0 if it may have been lost
-    std::size_t ends_committing = 0;
+    std::size_t ends_being_committed = 0;
 
     absl::btree_map<run_key, run_track*> runs;     ///< ordered, so that equal states lead to equal decisions
     std::map<step_key, std::uint32_t> step_counts; ///< runs of each step, for the limit per worker
@@ -86,7 +86,7 @@
     std::uint32_t serving_runs = 0;                ///< runs that serve
     std::uint32_t suspects = 0;                    ///< runs whose tasks may have crashed a worker before
     std::uint32_t probations = 0;                  ///< suspect runs that require this worker for themselves
-    std::vector<lapsed_run> lapsed; ///< until the worker answers again or has certainly crashed
+    std::vector<lapsed_run> lapsed_runs; ///< until the worker answers again or has certainly crashed
     std::int64_t serving_unused_millicores =
         0; ///< millicores that serving tasks reserve and, by their own load, do not use
     std::vector<image_share> fill_shares; ///< filling tasks' use by image, smoothed like the tails
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -280,9 +280,9 @@
     while (!world.find_worker(worker)->is_hold_pending) {
         world.advance(milliseconds{50});
     }
-    EXPECT_FALSE(world.find_worker(worker)->lapsed.empty());
+    EXPECT_FALSE(world.find_worker(worker)->lapsed_runs.empty());
     world.answer_hold(worker, dispatch_world::make_empty_list());
-    EXPECT_TRUE(world.find_worker(worker)->lapsed.empty());
+    EXPECT_TRUE(world.find_worker(worker)->lapsed_runs.empty());
     EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 0U);
 }
 
