--- a/poplarpitch/dispatch/long_running_quota.cpp
+++ b/poplarpitch/dispatch/long_running_quota.cpp
@@ -6,17 +6,19 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration settle_time = seconds{3}; // two heartbeats: workers send one each 1 to 1.5 s
+constexpr duration initial_report_time = seconds{3}; // two heartbeats: workers send one each 1 to 1.5 s
 constexpr duration learning_time =
     seconds{30};                    // observation time before the demand of other tasks is relied on
 constexpr double peak_decay_s = 60; // other demand varies by half within 20 s, and daily peaks last longer
 constexpr double peak_margin = 1.5; // of the peak of other demand, which is half again as high in a burst
-constexpr duration min_retry_after = seconds{5};       // a job that runs for a minute frees no room sooner
-constexpr duration max_retry_after = seconds{60};      // the caller may try again after this in any case
-constexpr duration default_retry_after = seconds{30};  // while no job has ended yet
-constexpr duration unsettled_retry_after = seconds{1}; // while heartbeats of workers are still missing
-constexpr job_id spread_steps = 16;  // distinct delays, so that refused callers do not all return at once
-constexpr double spread_share = 0.5; // the longest delay is half as long again
+constexpr duration min_retry_after = seconds{5};      // a job that runs for a minute frees no room sooner
+constexpr duration max_retry_after = seconds{60};     // the caller may try again after this in any case
+constexpr duration default_retry_after = seconds{30}; // while no job has ended yet
+constexpr duration retry_after_while_reports_missing =
+    seconds{1}; // while heartbeats of workers are still missing
+constexpr job_id retry_jitter_levels =
+    16;                                  // distinct delays, so that refused callers do not all return at once
+constexpr double max_retry_jitter = 0.5; // the longest delay is half as long again
 
 } // namespace
 
@@ -27,7 +29,7 @@
 }
 
 void long_running_quota::add(job_id job, const std::string& pool, std::int64_t millicores) {
-    const auto [found, is_new] = m_jobs.try_emplace(job, job_share{pool, millicores});
+    const auto [found, is_new] = m_jobs.try_emplace(job, job_reservation{pool, millicores});
     if (is_new) {
         m_pools[pool].reserved += millicores;
     }
@@ -50,14 +52,14 @@
         state.first_observed = now;
         state.observed_at = now;
     }
-    const double kept = std::exp(-to_seconds(now - state.observed_at) / peak_decay_s);
+    const double decay_factor = std::exp(-to_seconds(now - state.observed_at) / peak_decay_s);
     state.observed_at = now;
-    state.peak_demand = std::max(static_cast<double>(use.other_demand), kept * state.peak_demand);
+    state.peak_demand = std::max(static_cast<double>(use.other_demand), decay_factor * state.peak_demand);
     state.use = use;
 }
 
-bool long_running_quota::is_settled(time_point now) const {
-    return now - m_cleared_at >= settle_time;
+bool long_running_quota::have_all_reported(time_point now) const {
+    return now - m_cleared_at >= initial_report_time;
 }
 
 std::int64_t long_running_quota::get_allowed(const std::string& pool, time_point now) const {
@@ -89,8 +91,8 @@
 
 duration long_running_quota::get_retry_after(job_id job, const std::string& pool, std::int64_t millicores,
                                              time_point now) const {
-    if (!is_settled(now)) {
-        return unsettled_retry_after;
+    if (!have_all_reported(now)) {
+        return retry_after_while_reports_missing;
     }
     double wait = to_seconds(default_retry_after);
     const auto found = m_pools.find(pool);
@@ -100,8 +102,9 @@
         const double rate = static_cast<double>(found->second.released) / to_seconds(now - m_cleared_at);
         wait = std::clamp(missing / rate, to_seconds(min_retry_after), to_seconds(max_retry_after));
     }
-    const double step = static_cast<double>(job % spread_steps) / static_cast<double>(spread_steps);
-    wait *= 1 + spread_share * step;
+    const double jitter =
+        static_cast<double>(job % retry_jitter_levels) / static_cast<double>(retry_jitter_levels);
+    wait *= 1 + max_retry_jitter * jitter;
     return milliseconds{static_cast<std::int64_t>(wait * 1000)};
 }
 
--- a/poplarpitch/dispatch/long_running_quota.h
+++ b/poplarpitch/dispatch/long_running_quota.h
@@ -32,7 +32,8 @@
     /// Precondition: `share` lies in (0, 1].
     explicit long_running_quota(double share) : m_share(share) {}
 
-    /// Resets the quota to no jobs. All workers are expected to report within `settle_time` from `now`.
+    /// Resets the quota to no jobs. All workers are expected to report within `initial_report_time` from
+    /// `now`.
     void clear(time_point now);
     /// Adds an accepted job that reserves `millicores` for as long as it lasts.
     void add(job_id job, const std::string& pool, std::int64_t millicores);
@@ -54,7 +55,7 @@
                                            time_point now) const;
 
 private:
-    struct job_share {
+    struct job_reservation {
         std::string pool;
         std::int64_t millicores = 0;
     };
@@ -67,11 +68,11 @@
         time_point observed_at{};
     };
 
-    [[nodiscard]] bool is_settled(time_point now) const;
+    [[nodiscard]] bool have_all_reported(time_point now) const;
 
     double m_share;
     time_point m_cleared_at{};
-    std::map<job_id, job_share> m_jobs;
+    std::map<job_id, job_reservation> m_jobs;
     std::map<std::string, pool_state> m_pools;
 };
 
