--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -279,7 +279,7 @@
     /// Returns until when a run may exist on an unreachable worker.
     [[nodiscard]] time_point get_lease_end(const run_track& track) const;
     void on_worker_lost(worker_state& worker, end_reason reason, time_point now);
-    static void add_loss(log_event& line, const run_track& track, time_point now);
+    static void add_loss_fields(log_event& line, const run_track& track, time_point now);
     void evacuate(worker_state& worker, time_point now);
     void check_workers(time_point now);
     /// Returns true when the worker's state may be removed.
@@ -322,8 +322,9 @@
     [[nodiscard]] crash_evidence compare_with_neighbours(const run_track& track,
                                                          std::optional<duration> age) const;
     /// Returns the assessment of all runs of a worker that have not ended.
-    [[nodiscard]] std::vector<lapsed_run> assess_runs(const worker_state& worker, time_point now) const;
-    void propose_crash(const lapsed_run& lapsed, const worker_incarnation& worker);
+    [[nodiscard]] std::vector<lapsed_run> assess_crash_evidence(const worker_state& worker,
+                                                                time_point now) const;
+    void propose_crash_record(const lapsed_run& lapsed, const worker_incarnation& worker);
     void on_task_crashed(const job_state_event& event, time_point now);
     void clear_suspects(worker_state& worker, time_point now);
     /// Releases workers that are reserved for suspects by a former leader, except as many as may be reserved.
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -92,7 +92,7 @@
 }
 
 /// All runs are assessed before one of them ends, since each is a neighbour of the others.
-std::vector<lapsed_run> dispatcher::assess_runs(const worker_state& worker, time_point now) const {
+std::vector<lapsed_run> dispatcher::assess_crash_evidence(const worker_state& worker, time_point now) const {
     std::vector<lapsed_run> assessed;
     for (const auto& [key, run] : worker.runs) {
         if (!run->is_ending) {
@@ -102,7 +102,7 @@
     return assessed;
 }
 
-void dispatcher::propose_crash(const lapsed_run& lapsed, const worker_incarnation& worker) {
+void dispatcher::propose_crash_record(const lapsed_run& lapsed, const worker_incarnation& worker) {
     job_wire::job_command command;
     auto& message = *command.mutable_crash();
     encode(lapsed.run.task, *message.mutable_task());
--- a/poplarpitch/dispatch/dispatcher_incarnations.cpp
+++ b/poplarpitch/dispatch/dispatcher_incarnations.cpp
@@ -123,7 +123,7 @@
         .add("runs", static_cast<std::uint64_t>(former.runs.size()))
         .add("seen", former.last_processed_end)
         .add("acknowledged", former.acknowledged_up_to);
-    const auto assessed = assess_runs(former, now);
+    const auto assessed = assess_crash_evidence(former, now);
     mark_lost(former, get_end_reason_name(started_again), now);
     const bool is_surely_other = former.report.incarnation.process_start_ms != 0;
     for (const auto& run : assessed) {
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -31,15 +31,15 @@
 
 bool dispatcher::may_forget(const worker_state& worker, time_point now) const {
     const bool is_idle = worker.runs.empty() && worker.ends_being_committed == 0;
-    const auto kept =
+    const auto retention =
         worker.lapsed_runs.empty() ? m_settings.worker_removal_delay : m_settings.lapsed_worker_removal_delay;
-    const bool is_silent = now - worker.last_heartbeat > kept;
-    return is_idle && (worker.is_lost || is_silent) && !worker.is_hold_pending;
+    const bool has_no_heartbeats = now - worker.last_heartbeat > retention;
+    return is_idle && (worker.is_lost || has_no_heartbeats) && !worker.is_hold_pending;
 }
 
 /// Adds the fields that distinguish a task that crashes its worker from its neighbours and from a network
 /// cut: the age of the run, and the number of runs on the worker.
-void dispatcher::add_loss(log_event& line, const run_track& track, time_point now) {
+void dispatcher::add_loss_fields(log_event& line, const run_track& track, time_point now) {
     add_run(line, track.key);
     add_worker(line, track.host->report.incarnation);
     if (const auto age = get_age_at_loss(track, now); age.has_value()) {
@@ -60,7 +60,7 @@
         .add("runs", static_cast<std::uint64_t>(worker.runs.size()));
     for (const auto& run : worker.lapsed_runs) {
         if (run.loss.crash != crash_evidence::none) {
-            propose_crash(run, worker.report.incarnation);
+            propose_crash_record(run, worker.report.incarnation);
         }
     }
     worker.lapsed_runs.clear();
@@ -70,7 +70,7 @@
     ++m_counts.lost_runs;
     auto line = log_event(log_level::warn, "run_lost", log_weight::history);
     line.add("reason", get_end_reason_name(reason));
-    add_loss(line, track, now);
+    add_loss_fields(line, track, now);
     propose_end(track, run_end::lost, {reason, {}, 0}, now, {}, loss);
 }
 
@@ -78,7 +78,7 @@
     if (worker.is_lost) {
         return;
     }
-    const auto assessed = assess_runs(worker, now);
+    const auto assessed = assess_crash_evidence(worker, now);
     mark_lost(worker, get_end_reason_name(reason), now);
     for (const auto& run : assessed) {
         mark_run_lost(*worker.runs.at(run.run), reason, run.loss, now);
@@ -110,14 +110,14 @@
     if (!is_out_of_reach || worker.runs.empty() || now <= worker.lease_end) {
         return;
     }
-    for (const auto& run : assess_runs(worker, now)) {
+    for (const auto& run : assess_crash_evidence(worker, now)) {
         auto& track = *worker.runs.at(run.run);
         if (track.stage == run_stage::committing || now <= get_lease_end(track)) {
             continue;
         }
         ++m_counts.lost_runs;
         auto line = log_event(log_level::warn, "lease_lapsed", log_weight::history);
-        add_loss(line, track, now);
+        add_loss_fields(line, track, now);
         if (worker.listed_at != time_point{}) {
             line.add("listed_ms", to_milliseconds(now - worker.listed_at));
         }
