--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -179,11 +179,11 @@
     /// cost.
     struct candidate {
         double cost = 0;
-        std::size_t place = 0; ///< index in the order of workers
+        std::size_t position = 0; ///< index in the order of workers
         worker_state* worker = nullptr;
 
         friend auto operator<=>(const candidate& left, const candidate& right) {
-            return std::tie(left.cost, left.place) <=> std::tie(right.cost, right.place);
+            return std::tie(left.cost, left.position) <=> std::tie(right.cost, right.position);
         }
     };
 
@@ -370,9 +370,10 @@
     void place_tasks(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Places the first waiting task of a step that finds room. A filling task of a starving job accepts less
     /// room than it requests.
-    void place_starving(placing_pass& pass, ready_step& ready, const step_key& key);
+    void place_starving_job(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Places a waiting task.
-    placement_result place_task(placing_pass& pass, ready_step& ready, const task_key& task, bool starves);
+    placement_result place_task(placing_pass& pass, ready_step& ready, const task_key& task,
+                                bool is_starving);
     /// Returns the waiting tasks of a step that have this isolation level.
     [[nodiscard]] std::vector<std::uint32_t> find_waiting(const ready_step& ready, const step_key& key,
                                                           isolation_level isolation) const;
@@ -394,8 +395,8 @@
     [[nodiscard]] placement_obstacle find_policy_obstacle(const worker_state& worker, const ready_step& ready,
                                                           const placement_request& request,
                                                           time_point now) const;
-    void claim(const ready_step& ready, const task_key& key, worker_state& worker, isolation_level isolation,
-               time_point now);
+    void assign_task(const ready_step& ready, const task_key& key, worker_state& worker,
+                     isolation_level isolation, time_point now);
     /// Returns true when a second run of the task is allowed and would probably end first.
     [[nodiscard]] bool may_copy(const run_track& track, time_point now) const;
     void start_copies(time_point now);
--- a/poplarpitch/dispatch/dispatcher_copies.cpp
+++ b/poplarpitch/dispatch/dispatcher_copies.cpp
@@ -73,7 +73,7 @@
             .add("estimate_ms", slow.get_spec().estimate_ms);
     }
     ++m_counts.copies;
-    claim(ready, slow.key.task, *worker, request.get_run_isolation(), pass.now);
+    assign_task(ready, slow.key.task, *worker, request.get_run_isolation(), pass.now);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::int64_t priority_weight_ms = 10'000'000;   // a better priority outranks any deadline
 constexpr double demand_smoothing_s = 8;                  // bursts last 4 to 6 s
-constexpr double demand_peak = 1.5;                       // of the smoothed demand, which varies by half
+constexpr double peak_factor = 1.5;                       // of the smoothed demand, which varies by half
 constexpr double min_non_serving_share = 0.05;            // of all processor time, before any demand is known
 constexpr duration max_serving_wait = milliseconds{1800}; // maximum wait of a serving task that could run
 constexpr std::int64_t retry_bonus_ms = 4000; // a failed task delays everything that its job has done so far
@@ -45,8 +45,8 @@
     if (slack >= 0) {
         return slack;
     }
-    const bool is_worthless = age_ms + remaining_ms > late_multiple * allowed_ms;
-    return (is_worthless ? 2 : 1) * late_penalty_ms + slack;
+    const bool is_past_late_limit = age_ms + remaining_ms > late_multiple * allowed_ms;
+    return (is_past_late_limit ? 2 : 1) * late_penalty_ms + slack;
 }
 
 } // namespace
@@ -132,15 +132,15 @@
             probations += worker->probations > 0 ? 1 : 0; // a worker that ceased to answer is lost anyway
         }
     }
-    const auto most = get_max_probations(usable);
-    pass.probations_left = most > probations ? most - probations : 0;
+    const auto max_probations = get_max_probations(usable);
+    pass.probations_left = max_probations > probations ? max_probations - probations : 0;
     return pass;
 }
 
 void dispatcher::place_tasks(placing_pass& pass, ready_step& ready, const step_key& key) {
     const auto& spec = ready.job->steps[key.step];
     if (is_starving(m_jobs.at(key.job), ready.job->queue.pool, pass.now)) {
-        place_starving(pass, ready, key);
+        place_starving_job(pass, ready, key);
     }
     if (ready.waiting.empty()) {
         return;
@@ -185,7 +185,7 @@
     }
 }
 
-void dispatcher::place_starving(placing_pass& pass, ready_step& ready, const step_key& key) {
+void dispatcher::place_starving_job(placing_pass& pass, ready_step& ready, const step_key& key) {
     for (const auto index : std::vector(ready.waiting.begin(), ready.waiting.end())) {
         if (place_task(pass, ready, {key, index}, true) != placement_result::deferred) {
             return;
@@ -194,10 +194,10 @@
 }
 
 dispatcher::placement_result dispatcher::place_task(placing_pass& pass, ready_step& ready,
-                                                    const task_key& task, bool starves) {
+                                                    const task_key& task, bool is_starving) {
     auto request = make_request(ready, task, pass.now);
-    request.is_starving = starves;
-    request.is_overdue = request.is_overdue || starves;
+    request.is_starving = is_starving;
+    request.is_overdue = request.is_overdue || is_starving;
     const bool wants_own = request.wants_own_worker();
     if (!m_suspects.may_start(task, pass.now) || (wants_own && pass.probations_left == 0)) {
         return placement_result::deferred;
@@ -207,7 +207,7 @@
         return wants_own ? placement_result::deferred : placement_result::no_room;
     }
     pass.probations_left -= wants_own ? 1 : 0;
-    claim(ready, task, *worker, request.get_run_isolation(), pass.now);
+    assign_task(ready, task, *worker, request.get_run_isolation(), pass.now);
     ready.waiting.erase(task.index);
     return placement_result::placed;
 }
@@ -224,16 +224,16 @@
     const auto request = make_request(ready, {key, indexes.front()}, pass.now);
     std::int64_t most_room = 0;
     std::priority_queue<candidate, std::vector<candidate>, std::greater<>> candidates;
-    std::size_t place = 0;
+    std::size_t position = 0;
     for (auto* worker : pass.usable[pool]) {
-        ++place;
+        ++position;
         const auto room = get_room(*worker, request);
         most_room = std::max(most_room, room);
         if (room < request.spec->millicores) {
             continue;
         }
         if (const auto cost = get_placement_cost(*worker, request); cost.has_value()) {
-            candidates.push({*cost, place, worker});
+            candidates.push({*cost, position, worker});
         }
     }
     auto next = indexes.begin();
@@ -241,7 +241,7 @@
         auto best = candidates.top();
         candidates.pop();
         const task_key task{key, *next++};
-        claim(ready, task, *best.worker, request.get_run_isolation(), pass.now);
+        assign_task(ready, task, *best.worker, request.get_run_isolation(), pass.now);
         ready.waiting.erase(task.index);
         if (const auto cost = get_placement_cost(*best.worker, request); cost.has_value()) {
             best.cost = *cost;
@@ -273,13 +273,13 @@
             wanted += static_cast<double>(ready.get_wanted(key));
         }
     }
-    const auto kept = std::exp(-to_seconds(pass.now - m_measured_at) / demand_smoothing_s);
+    const auto decay_factor = std::exp(-to_seconds(pass.now - m_measured_at) / demand_smoothing_s);
     m_measured_at = pass.now;
-    m_short_task_millicores = kept * m_short_task_millicores + (1 - kept) * wanted;
+    m_short_task_millicores = decay_factor * m_short_task_millicores + (1 - decay_factor) * wanted;
 }
 
 bool dispatcher::may_take_first_serving_task(const worker_state& worker) const {
-    const auto kept_free = std::max(m_short_task_millicores * demand_peak,
+    const auto kept_free = std::max(m_short_task_millicores * peak_factor,
                                     min_non_serving_share * static_cast<double>(m_total_millicores));
     return static_cast<double>(m_non_serving_millicores - worker.report.capacity.millicores) >= kept_free;
 }
@@ -404,8 +404,8 @@
     return count;
 }
 
-void dispatcher::claim(const ready_step& ready, const task_key& key, worker_state& worker,
-                       isolation_level isolation, time_point now) {
+void dispatcher::assign_task(const ready_step& ready, const task_key& key, worker_state& worker,
+                             isolation_level isolation, time_point now) {
     const auto* task = m_job_state.find_task(key);
     const run_key run{key, task == nullptr ? 1 : task->last_run + 1};
     if (ready.job->steps[key.step.step].is_serving() && worker.serving_runs == 0) {
