--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -177,7 +177,7 @@
     auto& ready = m_ready[key.step];
     if (ready.job == nullptr) {
         ready.job = record->job;
-        const auto lengths = m_forecast.get_lengths_ms(*record->job, key.step.occurrence);
+        const auto lengths = m_forecast.get_step_durations_ms(*record->job, key.step.occurrence);
         ready.objective_ms = to_milliseconds(record->job->get_objective(lengths));
         ready.remaining_ms = record->job->get_remaining_path_ms(key.step.step, lengths);
     }
--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -219,7 +219,7 @@
     }
     const double room = m_pressure.get_room(serving.image, target, pacing_share, serving.own_load.load);
     double excess =
-        std::max(total - room, total * serving.watch.get_reduction()); // whatever the model expects
+        std::max(total - room, total * serving.watch.get_pressure_reduction()); // whatever the model expects
     if (excess <= 0) {
         return;
     }
--- a/poplarpitch/dispatch/dispatcher_reports.cpp
+++ b/poplarpitch/dispatch/dispatcher_reports.cpp
@@ -32,7 +32,7 @@
     }
     const auto& job = *record->job;
     const auto length = now - found->second.accepted;
-    const auto objective = job.get_objective(m_forecast.get_lengths_ms(job, 0));
+    const auto objective = job.get_objective(m_forecast.get_step_durations_ms(job, 0));
     const auto what = record->phase == job_phase::completed ? job_timing::kind::completed
                       : record->phase == job_phase::failed  ? job_timing::kind::failed
                                                             : job_timing::kind::cancelled;
--- a/poplarpitch/dispatch/tail_watch.cpp
+++ b/poplarpitch/dispatch/tail_watch.cpp
@@ -22,7 +22,7 @@
     m_over_for = std::clamp(m_over_for + (is_near ? passed : -passed), duration{0}, max_counted);
 }
 
-double tail_watch::get_reduction() const {
+double tail_watch::get_pressure_reduction() const {
     if (m_over_for >= full_stop_after) {
         return 1;
     }
--- a/poplarpitch/dispatch/tail_watch.h
+++ b/poplarpitch/dispatch/tail_watch.h
@@ -17,7 +17,7 @@
     /// Adds a measurement that stands for the time since the previous one.
     void observe(double tail_ms, double target_ms, duration passed);
     /// Returns the share of all pressure on the tail that must be removed.
-    [[nodiscard]] double get_reduction() const;
+    [[nodiscard]] double get_pressure_reduction() const;
 
     friend bool operator==(const tail_watch&, const tail_watch&) = default;
 
--- a/poplarpitch/dispatch/work_forecast.cpp
+++ b/poplarpitch/dispatch/work_forecast.cpp
@@ -6,7 +6,7 @@
 
 namespace poplarpitch {
 
-std::int64_t work_forecast::step_times::get_longest_failed_ms() const {
+std::int64_t work_forecast::step_times::get_max_failed_time_ms() const {
     std::int64_t longest = 0;
     for (const auto& [task, time_ms] : failed_ms) {
         longest = std::max(longest, time_ms);
@@ -40,22 +40,23 @@
     m_steps.clear();
 }
 
-std::vector<std::int64_t> work_forecast::get_lengths_ms(const step_job& job, std::uint32_t occurrence) const {
-    std::vector<std::int64_t> lengths;
-    lengths.reserve(job.steps.size());
+std::vector<std::int64_t> work_forecast::get_step_durations_ms(const step_job& job,
+                                                               std::uint32_t occurrence) const {
+    std::vector<std::int64_t> durations;
+    durations.reserve(job.steps.size());
     for (std::uint32_t number = 0; number < job.steps.size(); ++number) {
         const auto seen = m_steps.find(step_key{job.id, occurrence, number});
         const auto expected = m_durations.predict(job.queue.name, job.steps[number].estimate_ms);
         if (seen == m_steps.end()) {
-            lengths.push_back(expected);
+            durations.push_back(expected);
             continue;
         }
         const auto& times = seen->second;
         const bool is_known = times.is_done && times.longest_ms > 0;
         const auto work = is_known ? times.longest_ms : std::max(expected, times.longest_ms);
-        lengths.push_back(work + times.get_longest_failed_ms());
+        durations.push_back(work + times.get_max_failed_time_ms());
     }
-    return lengths;
+    return durations;
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/work_forecast.h
+++ b/poplarpitch/dispatch/work_forecast.h
@@ -31,8 +31,8 @@
 
     /// Returns how long each step of an occurrence takes, in milliseconds, including the failed runs of its
     /// tasks.
-    [[nodiscard]] std::vector<std::int64_t> get_lengths_ms(const step_job& job,
-                                                           std::uint32_t occurrence) const;
+    [[nodiscard]] std::vector<std::int64_t> get_step_durations_ms(const step_job& job,
+                                                                  std::uint32_t occurrence) const;
 
 private:
     /// Measurements of the tasks of one step.
@@ -41,7 +41,7 @@
         bool is_done = false;
         std::map<std::uint32_t, std::int64_t> failed_ms; ///< total time of the failed runs, by task
 
-        [[nodiscard]] std::int64_t get_longest_failed_ms() const;
+        [[nodiscard]] std::int64_t get_max_failed_time_ms() const;
     };
 
     duration_model m_durations;
--- a/unit_tests/dispatch/work_forecast_test.cpp
+++ b/unit_tests/dispatch/work_forecast_test.cpp
@@ -81,7 +81,7 @@
     forecast.on_done({{1, 0, 0}, 0}, 700);
     forecast.on_done({{1, 0, 0}, 1}, 1900);
     forecast.on_step_done(job, {1, 0, 0});
-    EXPECT_EQ(forecast.get_lengths_ms(job, 0).at(0), 1900);
+    EXPECT_EQ(forecast.get_step_durations_ms(job, 0).at(0), 1900);
 }
 
 TEST(work_forecast, allows_for_the_time_of_failed_runs) {
@@ -90,17 +90,17 @@
     forecast.on_failed({{1, 0, 0}, 0}, 300);
     forecast.on_failed({{1, 0, 0}, 0}, 400);
     forecast.on_failed({{1, 0, 0}, 1}, 500);
-    EXPECT_EQ(forecast.get_lengths_ms(job, 0).at(0), 1700);
-    EXPECT_EQ(forecast.get_lengths_ms(job, 1).at(0), 1000); // another occurrence
+    EXPECT_EQ(forecast.get_step_durations_ms(job, 0).at(0), 1700);
+    EXPECT_EQ(forecast.get_step_durations_ms(job, 1).at(0), 1000); // another occurrence
     forecast.forget(1);
-    EXPECT_EQ(forecast.get_lengths_ms(job, 0).at(0), 1000);
+    EXPECT_EQ(forecast.get_step_durations_ms(job, 0).at(0), 1000);
 }
 
 TEST(work_forecast, expects_a_step_to_take_at_least_as_long_as_its_longest_task_so_far) {
     work_forecast forecast;
     const auto job = make_job(1, {1000});
     forecast.on_done({{1, 0, 0}, 0}, 2500);
-    EXPECT_EQ(forecast.get_lengths_ms(job, 0).at(0), 2500);
+    EXPECT_EQ(forecast.get_step_durations_ms(job, 0).at(0), 2500);
 }
 
 } // namespace
