--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -370,10 +370,10 @@
     void place_tasks(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Places the first waiting task of a step that finds room. A filling task of a starving job accepts less
     /// room than it requests.
-    void place_starving_job(placing_pass& pass, ready_step& ready, const step_key& key);
+    void place_task_of_starving_job(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Places a waiting task.
     placement_result place_task(placing_pass& pass, ready_step& ready, const task_key& task,
-                                bool is_starving);
+                                bool is_job_starving);
     /// Returns the waiting tasks of a step that have this isolation level.
     [[nodiscard]] std::vector<std::uint32_t> find_waiting(const ready_step& ready, const step_key& key,
                                                           isolation_level isolation) const;
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -140,7 +140,7 @@
 void dispatcher::place_tasks(placing_pass& pass, ready_step& ready, const step_key& key) {
     const auto& spec = ready.job->steps[key.step];
     if (is_starving(m_jobs.at(key.job), ready.job->queue.pool, pass.now)) {
-        place_starving_job(pass, ready, key);
+        place_task_of_starving_job(pass, ready, key);
     }
     if (ready.waiting.empty()) {
         return;
@@ -185,7 +185,7 @@
     }
 }
 
-void dispatcher::place_starving_job(placing_pass& pass, ready_step& ready, const step_key& key) {
+void dispatcher::place_task_of_starving_job(placing_pass& pass, ready_step& ready, const step_key& key) {
     for (const auto index : std::vector(ready.waiting.begin(), ready.waiting.end())) {
         if (place_task(pass, ready, {key, index}, true) != placement_result::deferred) {
             return;
@@ -194,10 +194,10 @@
 }
 
 dispatcher::placement_result dispatcher::place_task(placing_pass& pass, ready_step& ready,
-                                                    const task_key& task, bool is_starving) {
+                                                    const task_key& task, bool is_job_starving) {
     auto request = make_request(ready, task, pass.now);
-    request.is_starving = is_starving;
-    request.is_overdue = request.is_overdue || is_starving;
+    request.is_starving = is_job_starving;
+    request.is_overdue = request.is_overdue || is_job_starving;
     const bool wants_own = request.wants_own_worker();
     if (!m_suspects.may_start(task, pass.now) || (wants_own && pass.probations_left == 0)) {
         return placement_result::deferred;
