--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -21,7 +21,7 @@
     0.05; // own load of serving tasks that is kept free on top of the measured load
 constexpr double pacing_share = 1.0;      // of a target; filling tasks are paced from here on
 constexpr double tail_smoothing_s = 0.35; // a tail reported after a change moves by two thirds in this time
-constexpr double default_phase = 0.5;     // of a filling task that has not reported its use yet
+constexpr double default_interference_share = 0.5; // of a filling task that has not reported its use yet
 constexpr double negligible_share = 0.003;
 constexpr duration first_sample_span =
     milliseconds{500}; // the time that the first measurement of a task stands for
@@ -53,8 +53,9 @@
         if (!spec.is_serving()) {
             continue;
         }
-        const auto room = m_pressure.get_room(track.image, static_cast<double>(spec.target_ms), placing_share,
-                                              track.own_load.load + prediction_time_s * track.own_load.trend);
+        const auto allowed =
+            m_pressure.get_allowed_slowdown(track.image, static_cast<double>(spec.target_ms), placing_share,
+                                            track.own_load.load + prediction_time_s * track.own_load.trend);
         const auto load = std::min(track.own_load.load + load_margin, 1.0);
         worker.serving_unused_millicores +=
             static_cast<std::int64_t>(static_cast<double>(spec.millicores) * (1 - load));
@@ -62,9 +63,9 @@
             return item.job == track.key.task.step.job;
         });
         if (group == groups.end()) {
-            groups.push_back({track.image, track.key.task.step.job, room, 0});
+            groups.push_back({track.image, track.key.task.step.job, allowed, 0});
         } else {
-            group->room = std::min(group->room, room);
+            group->allowed_slowdown = std::min(group->allowed_slowdown, allowed);
         }
     }
     for (const auto& [key, run] : worker.runs) {
@@ -96,10 +97,11 @@
             continue;
         }
         const auto requested = static_cast<double>(spec.millicores) * track.pace / 100;
-        const auto phase = track.level > 0
-                               ? pressure_model::get_phase(static_cast<double>(track.level), requested)
-                               : default_phase;
-        const auto share = worker.get_share(spec.millicores) * phase * track.pace / 100;
+        const auto interference_share =
+            track.level > 0
+                ? pressure_model::get_interference_share(static_cast<double>(track.level), requested)
+                : default_interference_share;
+        const auto share = worker.get_share(spec.millicores) * interference_share * track.pace / 100;
         auto item = std::find_if(worker.fill_shares.begin(), worker.fill_shares.end(),
                                  [&](const image_share& other) { return other.image == track.image; });
         if (item == worker.fill_shares.end()) {
@@ -217,9 +219,10 @@
         slowdowns.push_back({fill, slowdown});
         total += slowdown * fill->planned_pace / 100;
     }
-    const double room = m_pressure.get_room(serving.image, target, pacing_share, serving.own_load.load);
-    double excess =
-        std::max(total - room, total * serving.watch.get_pressure_reduction()); // whatever the model expects
+    const double allowed =
+        m_pressure.get_allowed_slowdown(serving.image, target, pacing_share, serving.own_load.load);
+    double excess = std::max(total - allowed,
+                             total * serving.watch.get_pressure_reduction()); // whatever the model expects
     if (excess <= 0) {
         return;
     }
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -44,7 +44,7 @@
     double highest = 0;
     for (const auto& group : worker.pressure.groups) {
         const auto slowdown = request.factors[group.image] * share;
-        highest = std::max(highest, (group.slowdown + slowdown) / group.room);
+        highest = std::max(highest, (group.slowdown + slowdown) / group.allowed_slowdown);
     }
     return highest;
 }
@@ -120,7 +120,7 @@
     const auto capacity = static_cast<double>(worker.report.capacity.millicores);
     for (const auto& group : worker.pressure.groups) {
         const auto factor = request.factors[group.image];
-        const auto spare = group.room - group.slowdown;
+        const auto spare = group.allowed_slowdown - group.slowdown;
         if (spare <= 0) {
             return no_room;
         }
--- a/poplarpitch/dispatch/pressure_model.cpp
+++ b/poplarpitch/dispatch/pressure_model.cpp
@@ -28,8 +28,8 @@
     trend = (load - smoothed_load) / trend_smoothing_s;
 }
 
-double pressure_model::get_phase(double used_millicores, double asked_millicores) {
-    const double use = used_millicores / std::max(asked_millicores, 1.0);
+double pressure_model::get_interference_share(double used_millicores, double requested_millicores) {
+    const double use = used_millicores / std::max(requested_millicores, 1.0);
     return std::clamp((use - light_use) / (1 - light_use), light_phase, 1.0);
 }
 
@@ -59,7 +59,8 @@
     return found == m_lowest_tails.end() ? assumed : std::min(assumed, found->second * min_base_share);
 }
 
-double pressure_model::get_room(image_number image, double target_ms, double share, double load) const {
+double pressure_model::get_allowed_slowdown(image_number image, double target_ms, double share,
+                                            double load) const {
     const double rise = target_ms * share / get_base(image, target_ms);
     return rise / (1 + load * rise) - 1;
 }
--- a/poplarpitch/dispatch/pressure_model.h
+++ b/poplarpitch/dispatch/pressure_model.h
@@ -60,7 +60,8 @@
 
     /// Returns the slowdown that filling tasks may cause, as sum of factor x share, before the tail of a
     /// serving task exceeds `share` of its target. Negative when the tail exceeds it without them.
-    [[nodiscard]] double get_room(image_number image, double target_ms, double share, double load) const;
+    [[nodiscard]] double get_allowed_slowdown(image_number image, double target_ms, double share,
+                                              double load) const;
     /// Returns the expected factor of a pair.
     [[nodiscard]] double get_factor(image_number serving, image_number filling) const;
     /// Returns the number of an image. Assigns a new one to an unknown image.
@@ -72,7 +73,7 @@
     [[nodiscard]] double get_conservative_factor(image_number serving, image_number filling) const;
     /// Returns the current share of a filling task's interference. Filling tasks have light and heavy phases
     /// that last for seconds, and in a light one use about two thirds of the requested processor time.
-    [[nodiscard]] static double get_phase(double used_millicores, double asked_millicores);
+    [[nodiscard]] static double get_interference_share(double used_millicores, double requested_millicores);
 
 private:
     struct factor {
--- a/poplarpitch/dispatch/worker_pressure.h
+++ b/poplarpitch/dispatch/worker_pressure.h
@@ -11,8 +11,9 @@
 /// Serving tasks of one job on a worker, as they matter to the filling tasks beside them.
 struct serving_group {
     image_number image = 0;
-    job_id job = 0;      ///< the load of the tasks of one job varies together
-    double room = 0;     ///< slowdown that filling tasks may cause before a tail comes close to its target
+    job_id job = 0; ///< the load of the tasks of one job varies together
+    double allowed_slowdown =
+        0;               ///< slowdown that filling tasks may cause before a tail comes close to its target
     double slowdown = 0; ///< estimated slowdown by the filling tasks assigned to the worker
 
     friend bool operator==(const serving_group&, const serving_group&) = default;
--- a/unit_tests/dispatch/pressure_model_test.cpp
+++ b/unit_tests/dispatch/pressure_model_test.cpp
@@ -89,17 +89,17 @@
 TEST(pressure_model, leaves_less_room_the_higher_the_load) {
     pressure_model model;
     const auto serving = model.get_image_number("serving");
-    const auto low = model.get_room(serving, target_ms, 0.9, 0.25);
-    const auto high = model.get_room(serving, target_ms, 0.9, 0.65);
+    const auto low = model.get_allowed_slowdown(serving, target_ms, 0.9, 0.25);
+    const auto high = model.get_allowed_slowdown(serving, target_ms, 0.9, 0.65);
     EXPECT_GT(low, 1.0);
     EXPECT_GT(high, 0.0);
     EXPECT_LT(high, 0.3);
-    EXPECT_LT(model.get_room(serving, target_ms, 0.9, 0.85), 0.0);
+    EXPECT_LT(model.get_allowed_slowdown(serving, target_ms, 0.9, 0.85), 0.0);
 }
 
 TEST(pressure_model, treats_a_filling_task_that_uses_two_thirds_as_in_a_light_phase) {
-    EXPECT_NEAR(pressure_model::get_phase(8000, 8000), 1.0, 0.01);
-    EXPECT_LT(pressure_model::get_phase(5360, 8000), 0.35);
+    EXPECT_NEAR(pressure_model::get_interference_share(8000, 8000), 1.0, 0.01);
+    EXPECT_LT(pressure_model::get_interference_share(5360, 8000), 0.35);
 }
 
 } // namespace
