--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -177,9 +177,9 @@
     auto& ready = m_ready[key.step];
     if (ready.job == nullptr) {
         ready.job = record->job;
-        const auto lengths = m_forecast.get_step_durations_ms(*record->job, key.step.occurrence);
-        ready.objective_ms = to_milliseconds(record->job->get_objective(lengths));
-        ready.remaining_ms = record->job->get_remaining_path_ms(key.step.step, lengths);
+        const auto durations = m_forecast.get_step_durations_ms(*record->job, key.step.occurrence);
+        ready.objective_ms = to_milliseconds(record->job->get_objective(durations));
+        ready.remaining_ms = record->job->get_remaining_path_ms(key.step.step, durations);
     }
     ready.since = ready.waiting.empty() ? now : ready.since;
     ready.waiting.insert(key.index);
--- a/poplarpitch/dispatch/dispatcher_copies.cpp
+++ b/poplarpitch/dispatch/dispatcher_copies.cpp
@@ -19,8 +19,8 @@
 
 bool dispatcher::may_copy(const run_track& track, time_point now) const {
     const auto& spec = track.get_spec();
-    const bool is_kind = spec.speculative && !spec.gang && !spec.long_running;
-    if (!is_kind || track.stage != run_stage::running || track.is_ending || track.is_stop_wanted) {
+    const bool allows_copies = spec.speculative && !spec.gang && !spec.long_running;
+    if (!allows_copies || track.stage != run_stage::running || track.is_ending || track.is_stop_wanted) {
         return false;
     }
     // A second run of a task that crashed its worker would crash another one before the first loss is known.
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -46,7 +46,7 @@
         return std::nullopt; // an earlier leader started it
     }
     const auto& worker = *track.host;
-    const auto begin = track.confirmed_at == time_point{} ? track.claimed_at : track.confirmed_at;
+    const auto begin = track.confirmed_at == time_point{} ? track.assigned_at : track.confirmed_at;
     const auto end = worker.hold_failures > 0 ? worker.failing_since : now;
     return std::max(end - begin, duration{0});
 }
@@ -161,14 +161,14 @@
 /// Which workers the former leader reserved is not known. A worker was not reserved if a suspect runs there
 /// beside other runs.
 void dispatcher::limit_probations() {
-    const auto most = get_max_probations(m_workers.get_all().size());
-    std::size_t kept = 0;
+    const auto max_probations = get_max_probations(m_workers.get_all().size());
+    std::size_t reserved = 0;
     for (auto* worker : m_workers.get_all()) {
         if (worker->probations == 0) {
             continue;
         }
-        if (worker->runs.size() == 1 && kept < most) {
-            ++kept;
+        if (worker->runs.size() == 1 && reserved < max_probations) {
+            ++reserved;
             continue;
         }
         for (const auto& [key, track] : worker->runs) {
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -145,13 +145,14 @@
     if (ready.waiting.empty()) {
         return;
     }
-    const bool is_plain = refused_shapes::is_plain(spec) && !ready.job->queue.advice.has_value();
-    if (is_plain && pass.refused.covers(ready.job->queue.pool, spec)) {
+    const bool is_limited_by_size_only =
+        refused_shapes::is_limited_by_size_only(spec) && !ready.job->queue.advice.has_value();
+    if (is_limited_by_size_only && pass.refused.covers(ready.job->queue.pool, spec)) {
         return;
     }
     const auto failed = m_failed_on.lower_bound(task_key{key, 0});
     const bool has_failed = failed != m_failed_on.end() && failed->first.step == key;
-    if (!is_plain || has_failed) {
+    if (!is_limited_by_size_only || has_failed) {
         place_each(pass, ready, key, {ready.waiting.begin(), ready.waiting.end()});
         return;
     }
--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -18,7 +18,7 @@
 constexpr double share_with_backlog = 1.1;
 constexpr double prediction_time_s = 0.5; // filling tasks take 1 to 4 s
 constexpr double load_margin =
-    0.05; // own load of serving tasks that is kept free on top of the measured load
+    0.05; // own load of serving tasks that is decay_factor free on top of the measured load
 constexpr double pacing_share = 1.0;      // of a target; filling tasks are paced from here on
 constexpr double tail_smoothing_s = 0.35; // a tail reported after a change moves by two thirds in this time
 constexpr double default_interference_share = 0.5; // of a filling task that has not reported its use yet
@@ -85,10 +85,10 @@
 /// match.
 void dispatcher::smooth_fill_shares(worker_state& worker, time_point now) {
     const auto passed = std::min(to_seconds(now - worker.fill_shares_at), 10.0);
-    const auto kept = std::exp(-passed / tail_smoothing_s);
+    const auto decay_factor = std::exp(-passed / tail_smoothing_s);
     worker.fill_shares_at = now;
     for (auto& item : worker.fill_shares) {
-        item.share *= kept;
+        item.share *= decay_factor;
     }
     for (const auto& [key, run] : worker.runs) {
         const auto& track = *run;
@@ -108,7 +108,7 @@
             worker.fill_shares.push_back({track.image, 0});
             item = worker.fill_shares.end() - 1;
         }
-        item->share += (1 - kept) * share;
+        item->share += (1 - decay_factor) * share;
     }
     std::erase_if(worker.fill_shares, [](const image_share& item) { return item.share < negligible_share; });
 }
--- a/poplarpitch/dispatch/dispatcher_reports.cpp
+++ b/poplarpitch/dispatch/dispatcher_reports.cpp
@@ -31,17 +31,17 @@
         return;
     }
     const auto& job = *record->job;
-    const auto length = now - found->second.accepted;
+    const auto total_time = now - found->second.accepted;
     const auto objective = job.get_objective(m_forecast.get_step_durations_ms(job, 0));
     const auto what = record->phase == job_phase::completed ? job_timing::kind::completed
                       : record->phase == job_phase::failed  ? job_timing::kind::failed
                                                             : job_timing::kind::cancelled;
-    m_timings.push_back({what, job.queue.name, length, length <= objective});
+    m_timings.push_back({what, job.queue.name, total_time, total_time <= objective});
     log_event(log_level::info, "job_ended")
         .add("job", format_job_id(id))
         .add("queue", job.queue.name)
         .add("phase", get_phase_name(record->phase))
-        .add("took_ms", to_milliseconds(length))
+        .add("took_ms", to_milliseconds(total_time))
         .add("objective_ms", to_milliseconds(objective));
 }
 
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -25,7 +25,7 @@
     track.job = std::move(job);
     track.assigned_to = worker;
     track.stage = stage;
-    track.claimed_at = now;
+    track.assigned_at = now;
     track.isolation = isolation;
     auto& state = get_or_add_worker(worker, now);
     track.host = &state;
@@ -49,11 +49,12 @@
         job->second.runs.erase(key);
         job->second.idle_since = now;
     }
-    const bool matters = found->second.get_spec().is_filling || found->second.get_spec().is_serving();
+    const bool affects_pressure =
+        found->second.get_spec().is_filling || found->second.get_spec().is_serving();
     auto& worker = *found->second.host;
     count_run(worker, found->second, -1);
     m_tracks.erase(found);
-    if (matters) {
+    if (affects_pressure) {
         refresh_pressure(worker);
     }
 }
--- a/poplarpitch/dispatch/duration_model.cpp
+++ b/poplarpitch/dispatch/duration_model.cpp
@@ -19,12 +19,12 @@
     }
     const double x = std::log(static_cast<double>(estimate_ms));
     const double y = std::log(static_cast<double>(actual_ms)) - x;
-    auto& seen = m_queues[queue];
-    seen.count += 1;
-    seen.x += x;
-    seen.xx += x * x;
-    seen.y += y;
-    seen.xy += x * y;
+    auto& observed = m_queues[queue];
+    observed.count += 1;
+    observed.x += x;
+    observed.xx += x * x;
+    observed.y += y;
+    observed.xy += x * y;
 }
 
 std::int64_t duration_model::predict(const std::string& queue, std::int64_t estimate_ms) const {
@@ -32,13 +32,13 @@
     if (found == m_queues.end() || estimate_ms < 1) {
         return estimate_ms;
     }
-    const auto& seen = found->second;
-    const double usual = seen.x / seen.count;
-    const double spread = seen.xx - seen.x * usual;
-    const double slope = (seen.xy - seen.y * usual) / (spread + prior_slope);
-    const double level = seen.y / (seen.count + prior_level);
+    const auto& observed = found->second;
+    const double mean_x = observed.x / observed.count;
+    const double deviation_sum = observed.xx - observed.x * mean_x;
+    const double slope = (observed.xy - observed.y * mean_x) / (deviation_sum + prior_slope);
+    const double level = observed.y / (observed.count + prior_level);
     const double x = std::log(static_cast<double>(estimate_ms));
-    return std::max<std::int64_t>(std::llround(std::exp(x + level + slope * (x - usual))), 1);
+    return std::max<std::int64_t>(std::llround(std::exp(x + level + slope * (x - mean_x))), 1);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/history_log.cpp
+++ b/poplarpitch/dispatch/history_log.cpp
@@ -12,7 +12,7 @@
     auto line = log_event(log_level::info, "run_started", log_weight::history);
     add_run(line, track.key);
     add_worker(line, track.host->report.incarnation)
-        .add("wait_ms", to_milliseconds(now - track.claimed_at))
+        .add("wait_ms", to_milliseconds(now - track.assigned_at))
         .add("ground", reason)
         .add("term", term)
         .add("fence", track.start_fence)
--- a/poplarpitch/dispatch/order_backoff.cpp
+++ b/poplarpitch/dispatch/order_backoff.cpp
@@ -14,9 +14,9 @@
 
 } // namespace
 
-duration get_backoff(std::uint32_t failures, duration shortest, std::uint64_t spread) {
+duration get_backoff(std::uint32_t failures, duration shortest, std::uint64_t jitter_seed) {
     const auto doublings = std::min(failures - 1, max_doublings);
-    std::minstd_rand random(static_cast<std::uint32_t>(spread + failures));
+    std::minstd_rand random(static_cast<std::uint32_t>(jitter_seed + failures));
     random.discard(1); // the first number is too closely correlated with the seed
     const auto fraction = static_cast<double>(random()) / static_cast<double>(std::minstd_rand::max());
     const auto pause = shortest * (1U << doublings);
@@ -33,14 +33,14 @@
     return std::exchange(m_failures, 0) > 0;
 }
 
-void order_backoff::on_failure(time_point now, duration shortest, std::uint64_t spread) {
+void order_backoff::on_failure(time_point now, duration shortest, std::uint64_t jitter_seed) {
     const bool is_same_loss = m_failures > 0 && now - m_failed_at < shortest;
     if (is_same_loss) {
         return; // orders that were in flight together
     }
     ++m_failures;
     m_failed_at = now;
-    m_next = now + get_backoff(m_failures, shortest, spread);
+    m_next = now + get_backoff(m_failures, shortest, jitter_seed);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/order_backoff.h
+++ b/poplarpitch/dispatch/order_backoff.h
@@ -17,9 +17,9 @@
     void on_sent(time_point now, duration timeout);
     /// Records any answer and ends the backoff. Returns true when orders were held back before.
     bool on_answer();
-    /// Records an unanswered order. `shortest` is the first pause. `spread` is the worker's seed for the
+    /// Records an unanswered order. `shortest` is the first pause. `jitter_seed` is the worker's seed for the
     /// jitter.
-    void on_failure(time_point now, duration shortest, std::uint64_t spread);
+    void on_failure(time_point now, duration shortest, std::uint64_t jitter_seed);
     /// Returns true while no order may be sent.
     [[nodiscard]] bool is_closed(time_point now) const { return m_failures > 0 && now < m_next; }
     /// Returns true when the last order was the first without an answer. The next order then uses a new
@@ -35,8 +35,8 @@
 };
 
 /// Returns the pause after this many consecutive failures. It doubles up to eight times `shortest`, and
-/// jitter by `spread` makes it up to a quarter shorter or longer. Precondition: `failures` > 0. Thread
+/// jitter by `jitter_seed` makes it up to a quarter shorter or longer. Precondition: `failures` > 0. Thread
 /// safety: any thread.
-[[nodiscard]] duration get_backoff(std::uint32_t failures, duration shortest, std::uint64_t spread);
+[[nodiscard]] duration get_backoff(std::uint32_t failures, duration shortest, std::uint64_t jitter_seed);
 
 } // namespace poplarpitch
--- a/poplarpitch/dispatch/pressure_model.cpp
+++ b/poplarpitch/dispatch/pressure_model.cpp
@@ -23,8 +23,8 @@
 } // namespace
 
 void serving_load::update_trend(double seconds) {
-    const double kept = std::exp(-seconds / trend_smoothing_s);
-    smoothed_load = kept * smoothed_load + (1 - kept) * load;
+    const double decay_factor = std::exp(-seconds / trend_smoothing_s);
+    smoothed_load = decay_factor * smoothed_load + (1 - decay_factor) * load;
     trend = (load - smoothed_load) / trend_smoothing_s;
 }
 
@@ -98,19 +98,19 @@
     auto& lowest = m_lowest_tails.try_emplace(image, tail_ms).first->second;
     lowest = std::min(lowest, tail_ms);
     own_load.variance = std::min(own_load.variance + drift_variance * seconds_since_last, max_load_variance);
-    const double seen = std::min(1.0, get_base(image, target_ms) / tail_ms);
-    double slow = 1;
+    const double base_ratio = std::min(1.0, get_base(image, target_ms) / tail_ms);
+    double slowdown = 1;
     for (const auto& other : others) {
-        slow += m_factors[{image, other.image}].mean * other.share;
+        slowdown += m_factors[{image, other.image}].mean * other.share;
     }
-    const double noise = tail_noise * seen;
+    const double noise = tail_noise * base_ratio;
     double variance = own_load.variance + model_variance + noise * noise;
     for (const auto& other : others) {
-        const double slope = other.share / (slow * slow);
+        const double slope = other.share / (slowdown * slowdown);
         variance += m_factors[{image, other.image}].variance * slope * slope;
     }
-    const double error = seen - (1 / slow - own_load.load);
-    if (seen < saturated_ratio && error > 0) {
+    const double error = base_ratio - (1 / slowdown - own_load.load);
+    if (base_ratio < saturated_ratio && error > 0) {
         return; // the sample is saturated and adds no information
     }
     const double gain = own_load.variance / variance;
@@ -119,7 +119,7 @@
     own_load.update_trend(seconds_since_last);
     for (const auto& other : others) {
         auto& known = m_factors[{image, other.image}];
-        const double slope = -other.share / (slow * slow);
+        const double slope = -other.share / (slowdown * slowdown);
         const double own_gain = known.variance * slope / variance;
         known.mean = std::clamp(known.mean + own_gain * error, 0.0, max_factor);
         known.variance = std::max(known.variance * (1 - own_gain * slope), min_factor_variance);
--- a/poplarpitch/dispatch/refused_shapes.h
+++ b/poplarpitch/dispatch/refused_shapes.h
@@ -41,7 +41,7 @@
     }
 
     /// Returns true when only size and image may rule out a task of `spec`.
-    [[nodiscard]] static bool is_plain(const step_spec& spec) {
+    [[nodiscard]] static bool is_limited_by_size_only(const step_spec& spec) {
         return spec.required_label.empty() && spec.affinity_rack.empty() && spec.max_per_worker == 0 &&
                !spec.gang && !spec.long_running;
     }
--- a/poplarpitch/dispatch/run_track.h
+++ b/poplarpitch/dispatch/run_track.h
@@ -46,7 +46,7 @@
     time_point start_sent{};       ///< when the start was last sent; zero before
     std::uint64_t start_fence = 0; ///< fence of that start
     std::uint32_t starts = 0;      ///< number of times that the start was sent
-    time_point claimed_at{};
+    time_point assigned_at{};
     time_point confirmed_at{};    ///< when the start was answered or first listed; zero before
     bool has_known_start = false; ///< the start was answered, so the run began at `confirmed_at`
     time_point stop_answered_at{};
--- a/poplarpitch/dispatch/work_forecast.cpp
+++ b/poplarpitch/dispatch/work_forecast.cpp
@@ -45,13 +45,13 @@
     std::vector<std::int64_t> durations;
     durations.reserve(job.steps.size());
     for (std::uint32_t number = 0; number < job.steps.size(); ++number) {
-        const auto seen = m_steps.find(step_key{job.id, occurrence, number});
+        const auto found = m_steps.find(step_key{job.id, occurrence, number});
         const auto expected = m_durations.predict(job.queue.name, job.steps[number].estimate_ms);
-        if (seen == m_steps.end()) {
+        if (found == m_steps.end()) {
             durations.push_back(expected);
             continue;
         }
-        const auto& times = seen->second;
+        const auto& times = found->second;
         const bool is_known = times.is_done && times.longest_ms > 0;
         const auto work = is_known ? times.longest_ms : std::max(expected, times.longest_ms);
         durations.push_back(work + times.get_max_failed_time_ms());
--- a/poplarpitch/dispatch/worker_table.h
+++ b/poplarpitch/dispatch/worker_table.h
@@ -50,7 +50,7 @@
     /// Returns the position of an incarnation in `m_all`, or where it would be inserted.
     [[nodiscard]] std::vector<worker_state*>::const_iterator
     find_position(const worker_incarnation& incarnation) const;
-    void renumber_from(std::size_t place);
+    void renumber_from(std::size_t position);
 
     std::map<worker_incarnation, worker_state> m_workers;
     absl::flat_hash_map<worker_incarnation, worker_state*> m_by_incarnation;
