--- a/poplarpitch/dispatch/copy_need.cpp
+++ b/poplarpitch/dispatch/copy_need.cpp
@@ -4,8 +4,9 @@
 namespace {
 
 constexpr double overdue_multiple =
-    1.8; // of the estimate; a run on a sound worker takes up to 1.5 times the estimate
-constexpr double new_run_multiple = 1.3; // of the estimate; expected time of a new run, including its start
+    1.8; // multiple of the estimate; on a sound worker a run takes at most 1.5 times its estimate
+constexpr double new_run_multiple =
+    1.3; // multiple of the estimate; expected time of a new run, including its start
 constexpr std::int64_t full_percent = 100;
 
 } // namespace
--- a/poplarpitch/dispatch/copy_need.h
+++ b/poplarpitch/dispatch/copy_need.h
@@ -18,7 +18,7 @@
 /// Returns true when a second run of the task, started now on another worker, would probably end first.
 ///
 /// Load pattern: a tenth to a sixth of the workers become slow (5 to 8 times) or stall for 5 to 8 s, and
-/// estimates are off by half in either direction. A run is therefore left alone until it has clearly exceeded
+/// estimates are off by 50% in either direction. A run is therefore left alone until it has clearly exceeded
 /// its estimate. After that, the decision uses the speed that the run has shown. Thread safety: any thread.
 [[nodiscard]] bool needs_copy(const run_progress& progress);
 
--- a/poplarpitch/dispatch/dispatch_counts.h
+++ b/poplarpitch/dispatch/dispatch_counts.h
@@ -20,7 +20,7 @@
     std::uint64_t hold_orders = 0;   ///< requests for a worker's run list
     std::uint64_t lost_runs = 0;     ///< runs ended because their worker was lost
     std::uint64_t crashes = 0;       ///< crashes of a worker, counted once for each task that ran there
-    std::uint64_t jobs_given_up = 0; ///< of `crashes`, those after which the task's job was given up
+    std::uint64_t jobs_given_up = 0; ///< those of `crashes` after which the task's job was given up
     std::uint64_t failed_runs = 0;
     std::uint64_t done_runs = 0;
     std::uint64_t stuck_tasks = 0; ///< gauge, at the last audit: tasks that nothing will complete
--- a/poplarpitch/dispatch/dispatcher.cpp
+++ b/poplarpitch/dispatch/dispatcher.cpp
@@ -1,4 +1,4 @@
-// Lifecycle of jobs: opening, readiness, occurrences, ends.
+// Lifecycle of jobs: when they are accepted, when their steps and occurrences may begin, and how they end.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/erase_job.h"
@@ -14,8 +14,9 @@
 namespace {
 
 constexpr duration place_interval = milliseconds{100}; // while tasks wait; otherwise events trigger a pass
-// Between checks of all workers and runs for what is due. A turn is run for each message, 2,000 a second with
-// 490 workers. Checking 490 workers and 5,000 runs in each turn took a tenth of the leader's time.
+// Time between two checks of all workers and runs for what is due. Each message runs a turn of the event
+// loop, 2,000 a second with 490 workers. Checking 490 workers and 5,000 runs in each turn took a tenth of the
+// leader's time.
 constexpr duration check_interval = milliseconds{5};
 // Heartbeats and relays report all live workers to a new leader sooner than this. Only the others are sent a
 // hold before they have reported.
@@ -59,7 +60,7 @@
                   count_waiting_tasks()});
 }
 
-/// Makes the worker of a run known that was assigned before this leader's term. An incarnation that ended
+/// Adds the worker of a run that was assigned before this leader's term. An incarnation that ended
 /// together with the former leader never sends a heartbeat. When a hold is sent to its address, the next
 /// incarnation answers, and its runs need not wait for their lease to expire.
 void dispatcher::adopt_worker(const assigned_run& run, time_point now) {
@@ -368,7 +369,7 @@
         send_scheduled_orders(now);
     }
     if (!m_ready.empty() && now >= m_next_place) {
-        m_must_place = true; // a worker that was set aside may be usable again
+        m_must_place = true; // a worker that got no tasks for a time may be usable again
         m_next_place = now + place_interval;
     }
     if (can_commit) {
--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -71,7 +71,7 @@
     /// Returns the term in which it leads, or 0 while it does not lead.
     [[nodiscard]] log_term get_term() const { return m_term; }
 
-    /// Updates the load of the leader's thread. Under strain, checks that only tune the pacing become rarer.
+    /// Updates the load of the leader's thread. Under strain, checks that only adjust paces become rarer.
     /// When the leader lags too far behind, it accepts no new jobs.
     void on_load(const leader_load& load) { m_load = load; }
     /// Decides whether a job is accepted. An accepted job counts as such until `cancel_admission` is called
@@ -80,8 +80,8 @@
     /// Called when a job that `admit` accepted was certainly not committed.
     void cancel_admission(job_id job);
 
-    /// Processes a heartbeat. Returns true when the worker is draining and that is not committed yet. The
-    /// heartbeat must then be answered only after the commit.
+    /// Processes a heartbeat. Returns true when the worker is draining and its draining is not committed yet.
+    /// The heartbeat must then be answered only after the commit.
     bool on_heartbeat(const worker_report& report, time_point now);
     /// Processes a heartbeat that only refers to an earlier report. Returns false when that report is not the
     /// one known here; a full heartbeat is then required.
@@ -147,7 +147,7 @@
         absl::btree_map<run_key, run_track*> runs; ///< assigned and not ended
         time_point idle_since{}; ///< since when it has no runs; only meaningful while it has none
         std::map<std::uint32_t, time_point>
-            due; ///< begin of each occurrence that has begun; empty for a job that runs once
+            due; ///< start time of each occurrence that has begun; empty for a job that runs once
     };
     /// The tasks of a step that wait for a worker.
     struct ready_step {
@@ -172,7 +172,7 @@
     /// Result of an attempt to place a task.
     enum class placement_result : std::uint8_t {
         placed,
-        deferred, ///< the task waits for a condition of its own and does not block others
+        deferred, ///< the task waits for a condition that concerns only itself; others may be placed
         no_room,  ///< the tasks behind it are blocked too
     };
     /// A worker with room for a task. The one with the least cost is best, and the first of those with equal
@@ -257,6 +257,7 @@
     void schedule_hold(worker_state& worker, time_point when);
     /// Returns the latest time of the worker's next check.
     [[nodiscard]] time_point get_next_check(const worker_state& worker, time_point now) const;
+    /// Adds a run to the worker's runs and amounts, or removes it with `sign` -1.
     void count_run(worker_state& worker, run_track& track, int sign);
     /// Updates the time until which the worker's reported room is considered valid.
     void update_room_expiry(worker_state& worker) const;
@@ -274,9 +275,9 @@
     void grant_lease(worker_state& worker, time_point now);
     /// Assumes that the worker holds a lease of the maximum length.
     void grant_max_lease(worker_state& worker, time_point now);
-    /// Returns how long after it was sent a lease may be valid at its worker, by this leader's clock.
+    /// Returns how long a lease may be valid at its worker after it was sent, by this leader's clock.
     [[nodiscard]] duration get_lease_span(duration lease) const;
-    /// Returns until when a run may exist on an unreachable worker.
+    /// Returns the time until which a run may exist on an unreachable worker.
     [[nodiscard]] time_point get_lease_end(const run_track& track) const;
     void on_worker_lost(worker_state& worker, end_reason reason, time_point now);
     static void add_loss_fields(log_event& line, const run_track& track, time_point now);
@@ -311,11 +312,12 @@
     void mark_lost(worker_state& worker, const char* reason, time_point now);
     void move_run(run_track& track, worker_state& successor, const run_loss& loss, time_point now);
     void mark_run_lost(run_track& track, end_reason reason, const run_loss& loss, time_point now);
-    /// Detects that another incarnation took an order, by a clock that restarted.
+    /// Detects by a clock that restarted that another incarnation received an order.
     void check_clock_reset(worker_state& worker, std::int64_t clock_ms, time_point now);
 
     // tasks that crash their workers
-    /// Returns the maximum age of the run when its worker ceased to answer, or nothing while that is unknown.
+    /// Returns the maximum age of the run when its worker stopped answering, or nothing while that is
+    /// unknown.
     [[nodiscard]] static std::optional<duration> get_age_at_loss(const run_track& track, time_point now);
     /// Returns what the loss of its worker says about a run, if the worker crashed.
     [[nodiscard]] run_loss assess_loss(const run_track& track, time_point now) const;
@@ -387,6 +389,7 @@
     /// Returns how many members of a gang wait for workers of their own.
     [[nodiscard]] std::size_t count_own_workers(const ready_step& ready, const step_key& key, time_point now);
     void measure_short_task_demand(const placing_pass& pass);
+    /// Returns true when enough other workers without serving tasks remain for the short tasks.
     [[nodiscard]] bool may_take_first_serving_task(const worker_state& worker) const;
     [[nodiscard]] placement_request make_request(const ready_step& ready, const task_key& key,
                                                  time_point now);
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -7,11 +7,10 @@
 namespace {
 
 constexpr duration pool_interval = milliseconds{500}; // between measurements of the use of the pools
-constexpr double backlog_weight =
-    0.2; // of a new measurement: two thirds in 2.5 s, longer than a burst of new jobs waits
+constexpr double backlog_weight = 0.2; // weight of a new measurement: two thirds of a change in 2.5 s, longer
+                                       // than a burst of new jobs waits
 
-constexpr duration overload_wait =
-    seconds{2}; // a turn that is late by 0.4 s has some seconds of work ahead of it
+constexpr duration overload_wait = seconds{2}; // when timers are 0.4 s late, some seconds of work are queued
 constexpr std::uint64_t overload_spread_ms =
     2000; // spreads the retries of callers that were refused together
 
--- a/poplarpitch/dispatch/dispatcher_advice.cpp
+++ b/poplarpitch/dispatch/dispatcher_advice.cpp
@@ -1,4 +1,5 @@
-// Queues whose policy allows only some workers: calls to the advice service, and tickets.
+// Queues whose policy restricts the workers. The advice service, an external service, decides which workers
+// may run a step and issues a ticket for each of them.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/placement.h"
@@ -9,10 +10,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_workers_per_advice_call =
-    30; // workers per call, whose duration grows with each of them
+constexpr std::size_t max_workers_per_advice_call = 30; // each worker makes the call longer
 constexpr std::size_t spare_workers_per_advice_call =
-    4;                                              // more than there are tasks, since some will be denied
+    4;                                              // in addition to one per task, since some will be denied
 constexpr duration retry_pause = milliseconds{200}; // after a call that got no answer
 constexpr duration answer_slack = seconds{1};       // added to the time that the queue's policy allows
 constexpr duration ticket_margin =
@@ -96,7 +96,8 @@
         return;
     }
     auto& advice = m_advice[request.step];
-    // Counted from the start of the call, since the service may have decided then.
+    // The validity counts from the start of the call, since the service may have decided then. The call is
+    // taken to have lasted for the time that the queue's policy allows.
     const auto expires = now + record->job->queue.advice->ticket_validity - request.timeout + answer_slack;
     for (const auto& worker : request.workers) {
         const auto found = std::find_if(outcome.allowed.begin(), outcome.allowed.end(),
--- a/poplarpitch/dispatch/dispatcher_copies.cpp
+++ b/poplarpitch/dispatch/dispatcher_copies.cpp
@@ -1,4 +1,4 @@
-// Second runs of tasks whose callers allow copies.
+// Copies: second runs of slow tasks whose callers allow them.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/copy_need.h"
@@ -10,8 +10,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration copy_interval = milliseconds{200}; // workers send a list each 350 ms to 1 s
-// A run that was older than this when its worker ceased to answer is unlikely to have caused that.
+constexpr duration copy_interval = milliseconds{200}; // workers send a list every 350 ms to 1 s
+// A run that was older than this when its worker stopped answering is unlikely to have caused that.
 constexpr duration suspicious_age = seconds{1};
 constexpr std::size_t max_copies = 1; // in addition to the first run
 
@@ -31,7 +31,7 @@
            needs_copy({now - track.confirmed_at, track.percent, spec.estimate_ms});
 }
 
-/// Copies use only room that no task waits for, since they discard what the slower run has done.
+/// Starts copies only while no task waits, since a copy discards the work of the slower run.
 void dispatcher::start_copies(time_point now) {
     if (now < m_next_copies || !m_ready.empty()) {
         return;
--- a/poplarpitch/dispatch/dispatcher_crashes.cpp
+++ b/poplarpitch/dispatch/dispatcher_crashes.cpp
@@ -11,10 +11,11 @@
 namespace poplarpitch {
 namespace {
 
-// A run whose worker crashed this soon after its start has just begun. It is rare that this holds for a
-// neighbour twice in a row, since tasks run for seconds. Nor can the run have completed without being listed.
+// Maximum age of a run that counts as just begun when its worker crashes. Tasks run for seconds, so a task
+// that only ran beside the cause is rarely that young at two crashes in a row. Nor can a run of this age have
+// completed without being listed.
 constexpr duration just_begun_age = milliseconds{250};
-constexpr std::int64_t just_begun_part = 4; // of its estimate, which may be off by half
+constexpr std::int64_t just_begun_part = 4; // part of the estimate, which may be off by 50%
 
 /// Returns true when the run may have existed on its worker.
 bool may_have_begun(const run_track& track) {
@@ -51,8 +52,8 @@
     return std::max(end - begin, duration{0});
 }
 
-/// A worker that announced that it leaves has not crashed, whatever happened to it. A worker that was cut off
-/// may have crashed at any time since then, or its runs may have ended. A confirmed run certainly existed
+/// A draining worker has not crashed, whatever happened to it. A worker that became unreachable may have
+/// crashed at any time since then, or its runs may have ended. A confirmed run certainly existed at the crash
 /// only if the last connection broke, as it does when the process ends.
 run_loss dispatcher::assess_loss(const run_track& track, time_point now) const {
     const auto& worker = *track.host;
@@ -81,7 +82,8 @@
         }
     }
     const auto* task = m_job_state.find_task(track.key.task);
-    // The true age of a run that was first seen in a list is unknown; it is counted from that list.
+    // The true age of a run that was first seen in a list is unknown; it is counted from the time of that
+    // list.
     const bool is_quick =
         age.has_value() && track.has_known_start && task != nullptr &&
         has_just_begun(std::max<duration>(*age, milliseconds{task->crash.longest_ms}), track.get_spec());
--- a/poplarpitch/dispatch/dispatcher_incarnations.cpp
+++ b/poplarpitch/dispatch/dispatcher_incarnations.cpp
@@ -1,4 +1,4 @@
-// Determines which incarnation of a worker is alive, and what becomes of runs assigned to earlier ones.
+// Determines which incarnation of a worker is alive, and ends or moves the runs assigned to earlier ones.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/run_log.h"
@@ -106,7 +106,7 @@
     }
     const auto listed = answer.get_listed_runs();
     for (auto* other : others) {
-        // The addressed one was known before, even if only since the same moment.
+        // The addressed incarnation was known when the hold was sent, even if only since the same moment.
         const bool was_known = other == &addressed || other->known_since < addressed.hold_sent;
         if (!other->is_lost && was_known) {
             end_former_incarnation(*other, worker, {listed, addressed.hold_sent}, now);
@@ -130,7 +130,7 @@
         auto& track = *former.runs.at(run.run);
         const auto loss = is_surely_other ? run.loss : run_loss{};
         const bool is_listed = std::binary_search(list.runs.begin(), list.runs.end(), run.run);
-        // Its start may have reached the successor after the list was written.
+        // The run's start may have reached the successor after the list was written.
         const bool is_newer = track.confirmed_at >= list.requested_at;
         if (track.may_yet_start() || is_listed || is_newer) {
             move_run(track, successor, loss, now);
@@ -149,15 +149,15 @@
     track.stage = run_stage::adopting;
     track.loss_of_former_incarnation = loss;
     track.is_order_pending = false;
-    track.is_stop_answered = false; // at most by the former incarnation
+    track.is_stop_answered = false; // only the former incarnation may have answered it
     track.stop_answered_at = {};
     track.next_order = now;
     schedule_order(track);
     count_run(successor, track, 1);
     refresh_pressure(former);
     refresh_pressure(successor);
-    // The start's lease was computed for the former incarnation's clock. At the successor only the maximum
-    // lease length bounds it.
+    // The start's lease was computed for the former incarnation's clock. At the successor, only the maximum
+    // lease length bounds its validity.
     grant_max_lease(successor, now);
 }
 
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -13,33 +13,37 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::int64_t priority_weight_ms = 10'000'000;   // a better priority outranks any deadline
-constexpr double demand_smoothing_s = 8;                  // bursts last 4 to 6 s
-constexpr double peak_factor = 1.5;                       // of the smoothed demand, which varies by half
-constexpr double min_non_serving_share = 0.05;            // of all processor time, before any demand is known
+constexpr std::int64_t priority_weight_ms = 10'000'000; // a better priority outranks any deadline
+constexpr double demand_smoothing_s = 8;       // time constant; longer than bursts, which last 4 to 6 s
+constexpr double peak_factor = 1.5;            // multiple of the smoothed demand, which varies by 50%
+constexpr double min_non_serving_share = 0.05; // of all processor time, before any demand is known
 constexpr duration max_serving_wait = milliseconds{1800}; // maximum wait of a serving task that could run
-constexpr std::int64_t retry_bonus_ms = 4000; // a failed task delays everything that its job has done so far
-constexpr std::int64_t started_bonus_ms = 3000; // a job that has begun outranks new ones with as much slack
+constexpr std::int64_t retry_bonus_ms =
+    4000; // a failed task holds up a job in which work has already been invested
+constexpr std::int64_t started_bonus_ms =
+    3000; // a job that has started outranks new jobs whose slack is smaller by up to this
 constexpr std::int64_t long_running_bonus_ms =
     100'000; // long-running tasks that have waited outrank all others of their priority
 constexpr std::int64_t starving_bonus_ms = 5'000'000; // a starving job outranks all others of its priority
-// Nothing of the job runs and less than half of its pool is reserved. At most 3 s are allowed for this.
+// A job starves when none of its tasks has run for this long although less than half of its pool is reserved.
+// At most 3 s are allowed for that; this is half of them.
 constexpr duration starving_after = milliseconds{1500};
 constexpr std::int64_t long_running_rank_ms =
     2000; // rank of a long-running task among others of its priority
 constexpr duration max_long_running_wait =
-    milliseconds{1800};                      // a long-running task that could run may wait for 3 s at most
+    milliseconds{1800};                      // a long-running task that could run must start within 3 s
 constexpr std::size_t many_ready_steps = 50; // a pass over fewer steps costs under 0.2 ms
 constexpr duration busy_pass_interval =
     milliseconds{15}; // between passes over many steps; uses a tenth of a core of a small instance
 constexpr duration idle_pass_interval =
-    milliseconds{100};                              // while nothing waits, since only the demand is measured
+    milliseconds{100}; // while no task waits; the pass then only measures the demand
 constexpr std::int64_t late_penalty_ms = 1'000'000; // a late job ranks behind all that are not late
-constexpr std::int64_t late_multiple = 3; // a job later than this multiple of its objective has no value
+constexpr std::int64_t late_multiple =
+    3; // a job expected to take longer than this multiple of its objective ranks last
 
 /// Ranks by least slack. A job that can no longer meet its objective ranks behind those that still can. Load
-/// pattern: a burst of 2.6 times the usual load for seconds. With ranking by deadline alone, every job behind
-/// it is late.
+/// pattern: a burst has 2.6 times the usual load for seconds. With ranking by deadline alone, every job that
+/// arrives after the burst is late.
 std::int64_t rank_by_time(std::int64_t allowed_ms, std::int64_t age_ms, std::int64_t remaining_ms) {
     const auto slack = allowed_ms - age_ms - remaining_ms;
     if (slack >= 0) {
@@ -83,8 +87,8 @@
     return ranked;
 }
 
-/// Load pattern: the remains of an overload after its callers have gone. Hundreds of tasks wait that are all
-/// too late to matter, the least late ones take every gap, and some jobs get nothing for minutes.
+/// Load pattern: after an overload, hundreds of tasks wait that can no longer meet their objectives. The
+/// least late ones get all room that becomes free, and some jobs get none for minutes.
 bool dispatcher::is_starving(const open_job& job, const std::string& pool, time_point now) const {
     return job.runs.empty() && now - job.idle_since > starving_after && m_underused_pools.contains(pool);
 }
@@ -129,7 +133,9 @@
         if (is_usable(*worker, now)) {
             pass.usable[worker->report.pool].push_back(worker);
             ++usable;
-            probations += worker->probations > 0 ? 1 : 0; // a worker that ceased to answer is lost anyway
+            probations += worker->probations > 0
+                              ? 1
+                              : 0; // a worker that does not answer is not usable and is lost in any case
         }
     }
     const auto max_probations = get_max_probations(usable);
@@ -213,7 +219,7 @@
     return placement_result::placed;
 }
 
-/// Places tasks that differ only by their index with one examination of all workers. A placed task changes
+/// Places tasks that differ only in their index. All workers are examined once, since a placed task changes
 /// only the cost of its own worker. Load pattern: jobs of 20 to 30 tasks a step, 1,400 starts a second on 490
 /// workers. Examining all workers for each task took a quarter of the leader's time.
 void dispatcher::place_identical(placing_pass& pass, ready_step& ready, const step_key& key,
@@ -254,9 +260,10 @@
     }
 }
 
-/// Short tasks need whole cores at once, while serving tasks leave a few on each worker, which is too little
-/// to be of use. Load pattern: long-running serving tasks reserve nine tenths of a pool before the first
-/// short task arrives.
+/// Measures the processor time that short tasks, which neither serve nor fill, use and wait for. Workers
+/// without serving tasks are kept free for them. A short task needs several whole cores at once, while a
+/// worker with serving tasks has only a few cores left. Load pattern: long-running serving tasks reserve nine
+/// tenths of a pool before the first short task arrives.
 void dispatcher::measure_short_task_demand(const placing_pass& pass) {
     m_non_serving_millicores = 0;
     m_total_millicores = 0;
@@ -343,7 +350,7 @@
 void dispatcher::place_gang(placing_pass& pass, ready_step& ready, const step_key& key) {
     const auto& spec = ready.job->steps[key.step];
     if (ready.waiting.size() != spec.count) {
-        return; // some tasks of the last run have not ended
+        return; // some members of the previous run of the gang have not ended
     }
     for (std::uint32_t index = 0; index < spec.count; ++index) {
         if (!m_suspects.may_start({key, index}, pass.now)) {
--- a/poplarpitch/dispatch/dispatcher_pressure.cpp
+++ b/poplarpitch/dispatch/dispatcher_pressure.cpp
@@ -1,4 +1,5 @@
-// Filling tasks beside serving tasks: what is learned, and how filling tasks are paced and moved.
+// Filling tasks beside serving tasks: learns their interference, and slows, stops or moves filling tasks when
+// tail latencies come close to their targets.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/run_log.h"
@@ -10,31 +11,32 @@
 namespace poplarpitch {
 namespace {
 
-// Share of a target up to which filling tasks are placed beside a serving one. Load pattern: an overload in
-// which as many cores of filling tasks wait as run. Then a tail that is sometimes over its target costs less
-// than jobs that are never done. On quiet days it is the other way round (a quiet day loses 0.012 with 1.1,
-// disturbed days gain 0.012).
+// Share of the tail latency target up to which filling tasks are placed beside a serving task. Load pattern:
+// in an overload, as many cores of filling tasks wait as run. A tail latency that is sometimes over its
+// target then costs less than jobs that are never completed. On quiet days it is the other way round
+// (with 1.1, a quiet day loses 0.012 and disturbed days gain 0.012).
 constexpr double share_without_backlog = 0.9;
 constexpr double share_with_backlog = 1.1;
 constexpr double prediction_time_s = 0.5; // filling tasks take 1 to 4 s
-constexpr double load_margin =
-    0.05; // own load of serving tasks that is decay_factor free on top of the measured load
-constexpr double pacing_share = 1.0;      // of a target; filling tasks are paced from here on
-constexpr double tail_smoothing_s = 0.35; // a tail reported after a change moves by two thirds in this time
-constexpr double default_interference_share = 0.5; // of a filling task that has not reported its use yet
+constexpr double load_margin = 0.05; // of the serving tasks' capacity, reserved on top of their measured load
+constexpr double pacing_share = 1.0; // share of the target from which filling tasks are slowed
+constexpr double tail_smoothing_s =
+    0.35; // a reported tail latency moves by two thirds of a change in this time
+constexpr double default_interference_share = 0.5; // for a filling task that has not reported its use yet
 constexpr double negligible_share = 0.003;
 constexpr duration first_sample_span =
     milliseconds{500}; // the time that the first measurement of a task stands for
 constexpr duration repeated_sample_limit =
-    milliseconds{600};                        // a value that stays the same for longer is a new measurement
-constexpr std::int64_t unsound_multiple = 14; // of a target; filling tasks lengthen tails to 12 times at most
+    milliseconds{600}; // a value that stays the same for longer is a new measurement
+constexpr std::int64_t unsound_multiple =
+    14; // multiple of the target; filling tasks lengthen tails to 12 times at most
 constexpr std::int64_t nearly_done_percent =
-    85;                                     // at a sixth of the speed, the rest takes as long as a new run
-constexpr int min_pace_change_percent = 20; // smaller changes are not worth an order
-constexpr int min_useful_pace_percent = 30; // a task that is slower than this is moved
-constexpr duration move_after = milliseconds{500}; // for this long below the useful pace
+    85; // at a sixth of the speed, the remaining work takes as long as a new run
+constexpr int min_pace_change_percent = 20;        // smaller changes are not worth an order
+constexpr int min_useful_pace_percent = 30;        // a task that is slower than this is moved
+constexpr duration move_after = milliseconds{500}; // time below the useful pace after which a task is moved
 constexpr std::int64_t max_lost_percent =
-    25; // of a task without checkpoints: progress that a move may discard
+    25; // progress that a move of a task without checkpoints may discard
 
 } // namespace
 
@@ -81,8 +83,8 @@
     }
 }
 
-/// Tails are smoothed over time. The pressure beside them is smoothed with the same constant, so that the two
-/// match.
+/// Reported tail latencies are smoothed over time. The shares of filling tasks are smoothed with the same
+/// time constant, so that the two match.
 void dispatcher::smooth_fill_shares(worker_state& worker, time_point now) {
     const auto passed = std::min(to_seconds(now - worker.fill_shares_at), 10.0);
     const auto decay_factor = std::exp(-passed / tail_smoothing_s);
@@ -113,7 +115,7 @@
     std::erase_if(worker.fill_shares, [](const image_share& item) { return item.share < negligible_share; });
 }
 
-/// Filling tasks alone can lengthen a tail only up to a bound. A tail far above it is a fault of the worker.
+/// Filling tasks lengthen a tail latency only up to a bound. A tail far above it is a fault of the worker.
 bool dispatcher::is_unsound(const worker_state& worker) const {
     return std::any_of(worker.runs.begin(), worker.runs.end(), [](const auto& item) {
         const auto& track = *item.second;
@@ -123,8 +125,8 @@
 }
 
 /// Load pattern: a tenth to a sixth of the workers become slow (5 to 8 times) or stall for 5 to 8 s, and with
-/// 16 tasks a job, nearly every job has one there. The tasks are moved at once, from their checkpoints where
-/// they have some. A task that is nearly done stays.
+/// 16 tasks a job, nearly every job has a task on such a worker. The tasks are moved at once and resume from
+/// their checkpoints if they have any. A task that is nearly done stays.
 void dispatcher::leave_unsound(worker_state& worker, time_point now) {
     if (!worker.trust.is_set_aside(now)) {
         auto line = log_event(log_level::warn, "worker_unsound");
@@ -222,7 +224,7 @@
     const double allowed =
         m_pressure.get_allowed_slowdown(serving.image, target, pacing_share, serving.own_load.load);
     double excess = std::max(total - allowed,
-                             total * serving.watch.get_pressure_reduction()); // whatever the model expects
+                             total * serving.watch.get_pressure_reduction()); // regardless of the model
     if (excess <= 0) {
         return;
     }
--- a/poplarpitch/dispatch/dispatcher_reports.cpp
+++ b/poplarpitch/dispatch/dispatcher_reports.cpp
@@ -1,4 +1,4 @@
-// What the dispatcher reports: load, timings, counts, and the learned factors.
+// Reports of the dispatcher: load, timings, counts, and the learned interference factors.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/placement.h"
@@ -45,7 +45,8 @@
         .add("objective_ms", to_milliseconds(objective));
 }
 
-/// Learning the factors takes ten seconds of disturbed tails, so they are committed for the next leader.
+/// Learning the factors takes ten seconds of tail latencies under interference, so they are committed for the
+/// next leader.
 void dispatcher::save_pressure(time_point now) {
     if (now < m_next_pressure_save) {
         return;
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -136,7 +136,7 @@
 void dispatcher::send_start(run_track& track, time_point now) {
     auto& worker = *track.host;
     if (!worker.has_report || worker.clock_ms == 0 || !worker.is_confirmed) {
-        return; // the run's lease decides
+        return; // retried until it can be sent or the run's lease expires
     }
     if (worker.is_draining) { // announced after the task was assigned
         return_to_queue(track, now);
@@ -184,7 +184,7 @@
 void dispatcher::send_stop(run_track& track, time_point now) {
     auto& worker = *track.host;
     if (worker.report.address.empty() || worker.awaits_fence) {
-        return; // the run's lease decides
+        return; // retried until it can be sent or the run's lease expires
     }
     ++m_counts.stops;
     stop_order order;
@@ -245,7 +245,7 @@
         return;
     }
     if (track->is_stop_wanted) {
-        return; // the stop in flight decides
+        return; // the answer to the stop determines how the run ends
     }
     handle_order_answer(*track, answer, now);
     check_clock_reset(*track->host, answer.clock_ms, now);
@@ -284,7 +284,7 @@
         schedule_order(track);
         return;
     case order_failure::stale_run:
-        // An earlier start of this run was executed and the run has ended. The list says how.
+        // An earlier start of this run was executed and the run has ended. The worker's list shows how.
         log_run_started(track, "old_run", m_term, now);
         track.stage = run_stage::running;
         track.confirmed_at = now;
@@ -311,7 +311,7 @@
         ++m_counts.refused_other;
         break;
     }
-    schedule_hold(worker, now); // its list shows what it considers running
+    schedule_hold(worker, now); // the worker's list shows which runs it has
     if (failure == order_failure::no_capacity) {
         worker.trust.on_refusal(now);
     }
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -1,4 +1,5 @@
-// State of workers: heartbeats, lists, leases, losses.
+// State of workers: heartbeats, and holds. A hold is a long poll that renews a worker's lease, acknowledges
+// the ends of runs that it reported, and returns the list of its runs.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/history_log.h"
@@ -12,14 +13,16 @@
 namespace poplarpitch {
 namespace {
 
-// A hold that is sent before the listed ends are committed returns at once with the same ends. Leases still
-// have to be renewed, even if the log makes no progress.
+// Pause after a hold while the ends of runs that the worker listed are being committed. A hold that is sent
+// before they are committed returns at once with the same ends. The pause is short, since leases have to be
+// renewed even if the log makes no progress.
 constexpr duration commit_hold_pause = milliseconds{500};
 constexpr double hold_pause_growth_at_full_strain =
-    5; // maximum growth of the pause between holds; ends then arrive in batches
+    5; // at full strain the pause grows by this multiple of itself; ends of runs then arrive in batches
 constexpr duration hold_slack = milliseconds{800}; // added to the requested wait
 
-/// Returns why the answer to a hold cannot be used to identify the worker's incarnation, or nothing.
+/// Returns the failure of a hold, or nothing. An answer without a start time counts as unanswered when the
+/// worker's report has one, since the answer does not show which incarnation sent it.
 std::optional<order_failure> get_hold_failure(const worker_state& worker, const order_outcome& outcome) {
     const bool omits_start_time =
         outcome.answer.process_start_ms == 0 && worker.report.incarnation.process_start_ms != 0;
@@ -74,7 +77,8 @@
     auto& worker = get_or_add_worker(report.incarnation, now);
     if (worker.has_report && report.sequence <= worker.report.sequence) {
         return worker.is_draining &&
-               !m_job_state.is_retired(report.incarnation); // late; only the request to drain counts
+               !m_job_state.is_retired(report.incarnation); // an older heartbeat that arrived late; only its
+                                                            // request to drain is still considered
     }
     const bool is_new = !worker.has_report;
     worker.report = report;
@@ -95,7 +99,7 @@
             .add("memory_mb", report.capacity.memory_mb);
         for (const auto& incarnation : m_workers.add_address(worker)) {
             if (auto* other = find_worker(incarnation); other != nullptr && other != &worker) {
-                schedule_hold(*other, now); // its answer shows which of the two is alive
+                schedule_hold(*other, now); // the answer shows which of the two is alive
             }
         }
     }
@@ -113,9 +117,10 @@
     return is_draining && !m_job_state.is_retired(report.incarnation);
 }
 
-/// Heartbeats of one worker may arrive through several relays. Each relay compares them with the reports that
-/// it has sent itself, and these may have been lost. Every unchanged report therefore names the full report
-/// it refers to.
+/// A relay replaces a heartbeat whose contents have not changed by an unchanged report. Heartbeats of one
+/// worker may arrive through several relays. Each relay compares them with the reports that it has sent
+/// itself, and these may have been lost. Every unchanged report therefore names the full report that it
+/// refers to.
 bool dispatcher::on_unchanged_report(const unchanged_report& report, time_point now) {
     if (!is_leading() || is_stale(report.worker)) {
         return true;
@@ -125,7 +130,7 @@
         return false;
     }
     if (report.sequence <= worker->report.sequence) {
-        return true; // late
+        return true; // a later heartbeat arrived before it
     }
     if (report.full_report_sequence != worker->report_sequence) {
         return false;
@@ -163,7 +168,7 @@
     add_worker(line, incarnation).add("runs", static_cast<std::uint64_t>(worker->runs.size()));
     worker->is_draining = true;
     worker->leaves_at = now;
-    worker->next_hold = now; // its answer, or the lack of one, shows when it has ended
+    worker->next_hold = now; // the answer to the hold, or the lack of one, shows when the worker has ended
     m_workers.schedule_check(*worker, now);
 }
 
@@ -180,7 +185,7 @@
 void dispatcher::grant_lease(worker_state& worker, time_point now) {
     worker.granted_at = now;
     worker.lease_end = std::max(worker.lease_end, now + get_lease_span(m_settings.lease));
-    // The grant may reach another incarnation of that id, which applies it to its own clock.
+    // Another incarnation with the same worker id may receive the grant and apply it to its own clock.
     for (auto* other : m_workers.find_other_incarnations(worker.report.incarnation)) {
         grant_max_lease(*other, now);
     }
@@ -195,8 +200,8 @@
            m_settings.lease_margin;
 }
 
-/// Holds of workers with both serving and filling tasks only tune the paces, so they are the first to become
-/// rarer when the leader's thread is overloaded.
+/// On a worker with both serving and filling tasks, a shorter wait only serves to adjust the pace of the
+/// filling tasks. It is therefore the first to be lengthened when the leader's thread is overloaded.
 duration dispatcher::get_hold_wait(const worker_state& worker) const {
     const bool is_mixed = worker.serving_runs > 0 && worker.filling_runs > 0;
     if (!is_mixed) {
@@ -238,7 +243,9 @@
         return;
     }
     worker->is_hold_pending = false;
-    m_workers.schedule_check(*worker, now); // in the next turn, when its requests are known
+    m_workers.schedule_check(
+        *worker,
+        now); // in the next turn of the event loop, when the orders that follow from this answer are known
     if (worker->is_lost) {
         return;
     }
@@ -249,7 +256,7 @@
             return;
         }
         worker->acknowledged_sent = 0;            // the last acknowledgement may have been lost
-        if (failure == order_failure::not_sent) { // says nothing about the worker
+        if (failure == order_failure::not_sent) { // this says nothing about the worker
             ++m_counts.not_sent;
             worker->next_hold = now + get_backoff(1, m_settings.retry_pause, worker->worker_hash);
             return;
@@ -278,7 +285,7 @@
         auto line = log_event(log_level::info, "worker_heard_again");
         add_worker(line, incarnation);
     }
-    worker->lapsed_runs.clear(); // it was out of reach and has not crashed
+    worker->lapsed_runs.clear(); // the worker was unreachable and has not crashed
     worker->hold_failures = 0;
     retry_delayed_orders(*worker, now);
     if (outcome.answer.clock_ms > 0) {
@@ -319,7 +326,7 @@
             continue;
         }
         if (track->stage == run_stage::committing) {
-            continue; // impossible: nothing was sent
+            continue; // cannot happen: no start was sent
         }
         if (track->stage != run_stage::running) {
             if (track->stage == run_stage::adopting) {
@@ -336,7 +343,7 @@
         track->percent = row.percent;
         track->level = row.level;
     }
-    // Ends are acknowledged up to a number, so none of them may be skipped.
+    // Ends are acknowledged up to a sequence number, so they are processed in order and none may be skipped.
     auto ended = answer.ended;
     std::sort(ended.begin(), ended.end());
     for (const auto& row : ended) {
@@ -369,7 +376,7 @@
     worker.last_processed_end = row.number;
     if (track == nullptr || track->host != &worker || track->is_ending) {
         log_unknown_end(worker, track, row);
-        return; // assigned by an earlier leader, or given up before
+        return; // the run was assigned by an earlier leader, or was given up before
     }
     if (row.end == run_end::done) {
         worker.trust.on_success();
@@ -389,7 +396,8 @@
         if (track.is_ending || std::binary_search(listed.begin(), listed.end(), key)) {
             continue;
         }
-        // Under this leader's fence, a start of an earlier leader is refused from now on.
+        // For `never_came`: the worker has this leader's fence, so it refuses a late start of an earlier
+        // leader.
         const bool never_came = track.stage == run_stage::adopting;
         const bool was_there = track.stage == run_stage::running && track.confirmed_at != time_point{} &&
                                track.confirmed_at < worker.hold_sent;
--- a/poplarpitch/dispatch/duration_model.h
+++ b/poplarpitch/dispatch/duration_model.h
@@ -10,10 +10,10 @@
 /// Predicts how long steps take, learned for each queue from the steps that ended.
 ///
 /// Callers' estimates are often off by a factor of two and more in either direction, while the steps of one
-/// queue are much alike. A linear regression of log(actual / estimate) on log(estimate) finds how much an
-/// estimate is worth. Where estimates carry no information, the prediction is the queue's usual duration.
-/// Where they are exact, it is the estimate itself. Until a step has ended, the estimate is used unchanged.
-/// Thread safety: none, as for all methods.
+/// queue are much alike. A linear regression of log(actual / estimate) on log(estimate) determines how much
+/// information an estimate has. Where estimates carry no information, the prediction is the queue's usual
+/// duration. Where they are exact, it is the estimate itself. Until a step has ended, the estimate is used
+/// unchanged. Thread safety: none, as for all methods.
 class duration_model {
 public:
     /// Adds a step that took `actual_ms` and was estimated at `estimate_ms`. Durations under 1 ms are
--- a/poplarpitch/dispatch/end_evidence.h
+++ b/poplarpitch/dispatch/end_evidence.h
@@ -9,10 +9,11 @@
 
 /// Why a run is considered ended.
 enum class end_reason : std::uint8_t {
-    unknown,       ///< a former leader proposed the end
-    listed_end,    ///< the worker lists the run as ended
-    not_listed,    ///< the run was on the worker when a list was requested, and the list lacks it
-    never_came,    ///< a list under this leader's fence lacks a run of a former leader or incarnation
+    unknown,    ///< a former leader proposed the end
+    listed_end, ///< the worker lists the run as ended
+    not_listed, ///< the run was on the worker when a list was requested, and the list lacks it
+    never_came, ///< a list under this leader's fence lacks a run that was assigned under a former leader or
+                ///< incarnation
     stop_answered, ///< the worker answered the stop before a list was requested, and the list lacks the run
     given_back,    ///< the start was certainly not sent, or the worker refused it
     lease_lapsed,  ///< the worker was unreachable until its lease had certainly expired
--- a/poplarpitch/dispatch/long_running_quota.cpp
+++ b/poplarpitch/dispatch/long_running_quota.cpp
@@ -6,19 +6,24 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration initial_report_time = seconds{3}; // two heartbeats: workers send one each 1 to 1.5 s
+constexpr duration initial_report_time =
+    seconds{3}; // two heartbeat intervals; workers send a heartbeat every 1 to 1.5 s
 constexpr duration learning_time =
-    seconds{30};                    // observation time before the demand of other tasks is relied on
-constexpr double peak_decay_s = 60; // other demand varies by half within 20 s, and daily peaks last longer
-constexpr double peak_margin = 1.5; // of the peak of other demand, which is half again as high in a burst
-constexpr duration min_retry_after = seconds{5};      // a job that runs for a minute frees no room sooner
-constexpr duration max_retry_after = seconds{60};     // the caller may try again after this in any case
+    seconds{30}; // observation time before the demand of other tasks is relied on
+constexpr double peak_decay_s =
+    60; // time constant; other demand varies by 50% within 20 s, and daily peaks last longer
+constexpr double peak_margin =
+    1.5; // multiple of the peak of other demand; in a burst the demand is 1.5 times as high
+constexpr duration min_retry_after =
+    seconds{5}; // lower bound; a job that runs for a minute frees no room sooner
+constexpr duration max_retry_after =
+    seconds{60}; // upper bound before the jitter is added; the caller may always try again after this time
 constexpr duration default_retry_after = seconds{30}; // while no job has ended yet
 constexpr duration retry_after_while_reports_missing =
     seconds{1}; // while heartbeats of workers are still missing
 constexpr job_id retry_jitter_levels =
     16;                                  // distinct delays, so that refused callers do not all return at once
-constexpr double max_retry_jitter = 0.5; // the longest delay is half as long again
+constexpr double max_retry_jitter = 0.5; // the longest delay is 1.5 times the shortest
 
 } // namespace
 
--- a/poplarpitch/dispatch/long_running_quota.h
+++ b/poplarpitch/dispatch/long_running_quota.h
@@ -13,18 +13,18 @@
 ///
 /// A long-running task reserves its cores until its job is cancelled, however little it uses them. Load
 /// pattern: long-running jobs request 87 to 109% of a pool within a second, before any other job arrives.
-/// When all of them were accepted, they filled every gap. Short tasks, which need whole cores, waited 20 to
-/// 30 s. Serving tasks of four jobs and three images shared a worker, so its filling tasks had to suit all of
-/// them. The last long-running tasks never found room. Refusing what exceeds four fifths completes 4% more
-/// short and 10% more filling jobs in time, for 6% less time of serving jobs, and callers learn of the
-/// refusal at once. Where other jobs demand less than the remainder, more is accepted. Thread safety: none,
-/// as for all methods.
+/// When all of them were accepted, they took all room that became free. Short tasks, which need whole cores,
+/// waited 20 to 30 s. Serving tasks of four jobs and three images shared a worker, so its filling tasks had
+/// to suit all of them. The last long-running tasks never found room. Refusing what exceeds four fifths
+/// completes 4% more short and 10% more filling jobs in time, for 6% less time of serving jobs, and callers
+/// learn of the refusal at once. Where other jobs demand less than the remainder, more is accepted. Thread
+/// safety: none, as for all methods.
 class long_running_quota {
 public:
     /// The observed use of one pool.
     struct pool_use {
         std::int64_t capacity = 0;     ///< millicores of the usable workers
-        std::int64_t other_demand = 0; ///< millicores that tasks which end hold or wait for
+        std::int64_t other_demand = 0; ///< millicores that tasks which are not long-running use or wait for
 
         friend auto operator<=>(const pool_use&, const pool_use&) = default;
     };
@@ -37,7 +37,7 @@
     void clear(time_point now);
     /// Adds an accepted job that reserves `millicores` for as long as it lasts.
     void add(job_id job, const std::string& pool, std::int64_t millicores);
-    /// Removes a job that ended or was not accepted in the end. Unknown jobs are ignored.
+    /// Removes a job that ended or whose acceptance was withdrawn. Unknown jobs are ignored.
     void remove(job_id job);
     /// Updates the observed use of a pool.
     void observe(const std::string& pool, const pool_use& use, time_point now);
@@ -50,7 +50,7 @@
     [[nodiscard]] std::int64_t get_allowed(const std::string& pool, time_point now) const;
     [[nodiscard]] std::int64_t get_reserved(const std::string& pool) const;
     /// Returns the time after which a refused job should be submitted again. It is estimated from the rate at
-    /// which jobs have ended so far, and varies by job so that callers do not all return at once.
+    /// which jobs have ended so far, and varies by job so that callers do not all retry at once.
     [[nodiscard]] duration get_retry_after(job_id job, const std::string& pool, std::int64_t millicores,
                                            time_point now) const;
 
@@ -68,6 +68,7 @@
         time_point observed_at{};
     };
 
+    /// Returns true when all workers have had time to report since `clear`.
     [[nodiscard]] bool have_all_reported(time_point now) const;
 
     double m_share;
--- a/poplarpitch/dispatch/order_backoff.cpp
+++ b/poplarpitch/dispatch/order_backoff.cpp
@@ -7,10 +7,10 @@
 namespace poplarpitch {
 namespace {
 
-// Doublings of the pause. From 120 ms it grows to a second, a seventh of a lease, so a worker that becomes
-// reachable again is found while its runs still hold the lease.
+// Maximum number of doublings of the pause. It grows from 120 ms to a second, a seventh of a lease, so a
+// worker that becomes reachable again is found while its runs still hold the lease.
 constexpr std::uint32_t max_doublings = 3;
-constexpr double jitter_width = 0.5; // of the pause, half of it on either side
+constexpr double jitter_width = 0.5; // share of the pause; half of the jitter lies on either side of it
 
 } // namespace
 
--- a/poplarpitch/dispatch/order_backoff.h
+++ b/poplarpitch/dispatch/order_backoff.h
@@ -8,9 +8,9 @@
 
 /// Backoff for orders to a worker that left the last one unanswered.
 ///
-/// Load pattern: hundreds of workers are cut off at the same moment, each with up to 16 orders to retry. A
-/// single order per worker probes whether the worker is reachable again. The pause between these orders
-/// doubles, with jitter per worker. Thread safety: none, as for all methods.
+/// Load pattern: hundreds of workers are cut off at the same moment, each with up to 16 orders to retry. Only
+/// one order per worker is retried, to probe whether the worker is reachable again. The pause between these
+/// orders doubles, with jitter per worker. Thread safety: none, as for all methods.
 class order_backoff {
 public:
     /// Records an order that is sent now and is answered within `timeout`.
@@ -20,7 +20,7 @@
     /// Records an unanswered order. `shortest` is the first pause. `jitter_seed` is the worker's seed for the
     /// jitter.
     void on_failure(time_point now, duration shortest, std::uint64_t jitter_seed);
-    /// Returns true while no order may be sent.
+    /// Returns true during a pause, when no order may be sent.
     [[nodiscard]] bool is_closed(time_point now) const { return m_failures > 0 && now < m_next; }
     /// Returns true when the last order was the first without an answer. The next order then uses a new
     /// connection, since the open ones may be dead. Later orders find no open connection.
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -13,11 +13,12 @@
 constexpr double failed_there_cost = 3; // the task failed on this worker; another one may do better
 constexpr double doubtful_cost = 1.5;   // the worker's last run failed
 constexpr double beside_filling_cost = 0.3; // a serving task on a worker with filling tasks
-constexpr double no_serving_cost = 0.8;     // filling task where nothing serves: kept for high interference
-constexpr double fullness_weight = 0.3;     // of the used share of the spare processor time
-constexpr double first_serving_cost = 1.0;  // the first serving task of a worker
-constexpr double other_image_cost = 1.5;    // for each other job of another image that serves on the worker
-constexpr double other_job_cost = 0.3;      // for each other job that serves on the worker
+constexpr double no_serving_cost =
+    0.8; // a filling task on a worker without serving tasks, which is kept for high interference
+constexpr double fullness_weight = 0.3;    // of the used share of the spare processor time
+constexpr double first_serving_cost = 1.0; // the first serving task of a worker
+constexpr double other_image_cost = 1.5;   // for each other job of another image that serves on the worker
+constexpr double other_job_cost = 0.3;     // for each other job that serves on the worker
 constexpr std::int64_t no_room = -1; // millicores; less than any task requests, also one that requests none
 constexpr std::int64_t starving_divisor =
     2;                                 // of the request; a filling task at half speed still makes progress
@@ -61,8 +62,8 @@
     return cost;
 }
 
-/// Returns the room that a filling task requires, in millicores. A task of a starving job accepts less. Where
-/// nothing serves, this only slows the filling tasks, and elsewhere the task is paced.
+/// Returns the room that a filling task requires, in millicores. A task of a starving job accepts less. On
+/// a worker without serving tasks this only slows the filling tasks; on others the task is paced.
 std::int64_t get_least_room(const worker_state& worker, const placement_request& request) {
     const auto wanted = request.spec->millicores;
     if (!request.is_starving) {
@@ -71,7 +72,7 @@
     return worker.serving_runs == 0 ? std::numeric_limits<std::int64_t>::min() : wanted / starving_divisor;
 }
 
-/// Returns a cost for what another crash would end, and for how much harder its cause would be to identify.
+/// Returns a cost for the runs that another crash would end, and for the difficulty to identify its cause.
 double get_risk_cost(const worker_state& worker, isolation_level isolation) {
     if (isolation == isolation_level::none) {
         return worker.probations > 0 ? beside_kept_cost : worker.suspects > 0 ? beside_suspect_cost : 0;
--- a/poplarpitch/dispatch/placement.h
+++ b/poplarpitch/dispatch/placement.h
@@ -29,7 +29,7 @@
     bool is_last_attempt = false; ///< excludes workers whose last run failed
     bool is_starving = false;     ///< no task of the job runs: a filling task accepts less than it requests
     isolation_level isolation = isolation_level::none;
-    bool may_wait = false;       ///< a task to be placed alone waits for a worker without other runs
+    bool may_wait = false;       ///< a task that must run alone waits for a worker without other runs
     bool is_overdue = false;     ///< the task has waited too long: workers kept for a suspect are allowed too
     std::string rack;            ///< restricts the choice to this rack; empty for any
     worker_incarnation excluded; ///< this worker is not allowed: a copy has to run elsewhere
--- a/poplarpitch/dispatch/placement_obstacle.h
+++ b/poplarpitch/dispatch/placement_obstacle.h
@@ -22,7 +22,7 @@
     kept_for_suspect, ///< it runs a task that may crash it and is kept free of others
     not_empty,        ///< the task may crash it and waits for a worker without runs
     pressure,         ///< its serving tasks do not tolerate the task's interference
-    kept_for_short_tasks, ///< it serves nothing yet and is kept for short tasks
+    kept_for_short_tasks, ///< it has no serving task yet and is kept for short tasks
     ticket,               ///< the advice service has not allowed it
 };
 
--- a/poplarpitch/dispatch/pressure_model.cpp
+++ b/poplarpitch/dispatch/pressure_model.cpp
@@ -8,10 +8,10 @@
 
 constexpr double target_multiple = 5;      // a target is about five times the tail without load
 constexpr double min_base_share = 0.8;     // even the lowest observed tail contains some load
-constexpr double model_variance = 0.002;   // of base / tail: model error
-constexpr double tail_noise = 0.08;        // of a tail, relative measurement noise
-constexpr double drift_variance = 0.01;    // of the own load, each second: 0.1
-constexpr double max_load_variance = 0.06; // of the own load, which varies by half around its mean
+constexpr double model_variance = 0.002;   // variance of base / tail by the error of the model
+constexpr double tail_noise = 0.08;        // relative measurement noise of a tail latency
+constexpr double drift_variance = 0.01;    // of the own load, per second; a standard deviation of 0.1
+constexpr double max_load_variance = 0.06; // of the own load, which varies by 50% around its mean
 constexpr double saturated_ratio = 0.045;  // a lower base / tail only shows that the load is too high
 constexpr double max_factor = 8;
 constexpr double max_load = 0.9;
--- a/poplarpitch/dispatch/pressure_model.h
+++ b/poplarpitch/dispatch/pressure_model.h
@@ -43,7 +43,7 @@
 /// Filling tasks slow a serving task's answers by 1 + sum of factor x share of the worker, and queueing
 /// amplifies this. With `base` as the tail without load, own load `load` and slowdown `slow`, the tail is
 /// base x slow / (1 - load x slow). On workers of 64 and 96 cores, factors were observed below 0.8 for half
-/// of the pairs and at 2 to 6 for the others. They are the same at every load, while the load varies by half
+/// of the pairs and at 2 to 6 for the others. They are the same at every load, while the load varies by 50%
 /// within 14 to 20 s. An additive model fits a third worse. An extended Kalman filter with a diagonal
 /// covariance separates load and factors. It works on base / tail = 1 / slow - load, which is linear in the
 /// load. Loads drift, factors stay. Thread safety: none, as for all methods.
--- a/poplarpitch/dispatch/run_track.h
+++ b/poplarpitch/dispatch/run_track.h
@@ -32,7 +32,7 @@
     run_key key;
     std::shared_ptr<const step_job> job;
     worker_incarnation assigned_to; ///< by the replicated job state; a former incarnation of `host` where a
-                                    ///< later one took the start
+                                    ///< later one received the start
     worker_state* host = nullptr;   ///< the worker of the run; valid for as long as it has runs
     image_number image = 0;         ///< image of the run; only of runs that fill or serve
     run_stage stage = run_stage::committing;
@@ -46,15 +46,15 @@
     time_point start_sent{};       ///< when the start was last sent; zero before
     std::uint64_t start_fence = 0; ///< fence of that start
     std::uint32_t starts = 0;      ///< number of times that the start was sent
-    time_point assigned_at{};
-    time_point confirmed_at{};    ///< when the start was answered or first listed; zero before
-    bool has_known_start = false; ///< the start was answered, so the run began at `confirmed_at`
+    time_point assigned_at{};      ///< when this leader began to track the run
+    time_point confirmed_at{};     ///< when the start was answered or first listed; zero before
+    bool has_known_start = false;  ///< the start was answered, so the run began at `confirmed_at`
     time_point stop_answered_at{};
     time_point listed_at{};  ///< when the worker last listed the run or answered its start
     time_point next_order{}; ///< earliest time of the next start or stop
     std::optional<run_loss>
         loss_of_former_incarnation; ///< set while the run may belong to a former incarnation of the
-                                    ///< worker: what that one's loss says
+                                    ///< worker: what its loss says about the task
     bool may_start_late = false;    ///< a start got no answer and may be executed seconds later
     std::int64_t percent = 0;
     std::int64_t level = 0;       ///< as in `run_entry`
--- a/poplarpitch/dispatch/step_advice.h
+++ b/poplarpitch/dispatch/step_advice.h
@@ -10,7 +10,7 @@
 namespace poplarpitch {
 
 /// The advice service's answers for a step: which workers its queue's policy allows. The answer for a worker
-/// does not change, only its ticket expires. Thread safety: none, as for all methods.
+/// never changes, but its ticket expires. Thread safety: none, as for all methods.
 class step_advice {
 public:
     /// Records that `worker` may run the step with `ticket` until `expires`.
@@ -21,7 +21,7 @@
     void deny(const worker_incarnation& worker) { m_denied.insert(worker.id); }
     /// Removes a ticket that the worker refused.
     void drop(const worker_incarnation& worker) { m_tickets.erase(worker); }
-    /// Returns the ticket for `worker` that is valid at `when`, or an empty text.
+    /// Returns the ticket for `worker` that is valid at `when`, or an empty string.
     [[nodiscard]] std::string find_ticket(const worker_incarnation& worker, time_point when) const {
         const auto found = m_tickets.find(worker);
         return found == m_tickets.end() || found->second.expires <= when ? std::string{} : found->second.text;
--- a/poplarpitch/dispatch/suspect_watch.cpp
+++ b/poplarpitch/dispatch/suspect_watch.cpp
@@ -7,8 +7,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::uint32_t alone_after = 2;            // crashes; after one more the task is given up
-constexpr duration retry_pause = milliseconds{500}; // before a task that is to be alone is started again
+constexpr std::uint32_t alone_after = 2;            // crashes; the task is given up after one more
+constexpr duration retry_pause = milliseconds{500}; // before a task that must run alone is started again
 // Together with the pause it stays below the 3 s for which a job may have nothing running while there is free
 // room.
 constexpr duration max_alone_wait = milliseconds{2000};
--- a/poplarpitch/dispatch/suspect_watch.h
+++ b/poplarpitch/dispatch/suspect_watch.h
@@ -12,7 +12,7 @@
 /// How strictly a task is isolated that ran on workers when they crashed.
 enum class isolation_level : std::uint8_t {
     none,
-    apart, ///< away from other suspects, on the worker that has the least to lose
+    apart, ///< away from other suspects, on the worker where a crash would end the least work
     alone, ///< on a worker of its own, which takes no other tasks meanwhile
 };
 
@@ -41,7 +41,7 @@
 /// Thread safety: none, as for all methods.
 class suspect_watch {
 public:
-    /// Records that `crashes` workers in total crashed under the task, 0 for none.
+    /// Records that `crashes` workers in total crashed while they ran the task, 0 for none.
     void record_crashes(const task_key& task, std::uint32_t crashes, time_point now);
     /// Removes a task that is cleared of suspicion or has ended.
     void forget(const task_key& task) { m_suspects.erase(task); }
@@ -54,7 +54,7 @@
     [[nodiscard]] bool has_any(const step_key& step) const;
     /// Returns true when the pause after the task's last crash is over, and for a task that is no suspect.
     [[nodiscard]] bool may_start(const task_key& task, time_point now) const;
-    /// Returns true while a task that is to be alone waits for a worker of its own. Later it accepts any
+    /// Returns true while a task that must run alone waits for a worker of its own. Later it accepts any
     /// worker.
     [[nodiscard]] bool may_wait(const task_key& task, time_point now) const;
     [[nodiscard]] std::size_t get_size() const { return m_suspects.size(); }
--- a/poplarpitch/dispatch/tail_watch.cpp
+++ b/poplarpitch/dispatch/tail_watch.cpp
@@ -5,14 +5,15 @@
 namespace poplarpitch {
 namespace {
 
-constexpr double near_share = 0.95; // of a target; measured tails are off by about 8% in either direction
+constexpr double near_share =
+    0.95; // share of the target; measured tail latencies are off by about 8% in either direction
 constexpr double first_reduction =
-    0.7; // of all pressure; enough where the learned factors of the pairs are right
+    0.7; // share of all pressure; enough where the learned factors of the pairs are right
 // From here on all pressure on the tail is removed. This is a third of the time that a tail may stay over its
 // target, so that the stop, the next measurement and one more attempt fit in.
 constexpr duration full_stop_after = milliseconds{1400};
-constexpr duration max_counted = milliseconds{
-    2000}; // upper bound of the counted time, so that the filling tasks get another chance afterwards
+constexpr duration max_counted =
+    milliseconds{2000}; // upper bound of the counted time, so that filling tasks may run again afterwards
 
 } // namespace
 
--- a/poplarpitch/dispatch/worker_pressure.h
+++ b/poplarpitch/dispatch/worker_pressure.h
@@ -8,7 +8,7 @@
 
 namespace poplarpitch {
 
-/// Serving tasks of one job on a worker, as they matter to the filling tasks beside them.
+/// Serving tasks of one job on a worker, and the interference that they tolerate.
 struct serving_group {
     image_number image = 0;
     job_id job = 0; ///< the load of the tasks of one job varies together
--- a/poplarpitch/dispatch/worker_state.h
+++ b/poplarpitch/dispatch/worker_state.h
@@ -72,24 +72,25 @@
     time_point granted_at{}; ///< when a lease was last granted
     time_point lease_end{};  ///< when all leases of this leader and earlier ones have expired
 
-    std::uint64_t last_processed_end = 0; ///< highest sequence number of its ends that was processed
+    std::uint64_t last_processed_end =
+        0; ///< highest sequence number among the ends of runs that were processed
     std::uint64_t acknowledged_up_to = 0; ///< highest sequence number of an end that the worker may forget
     std::uint64_t acknowledged_sent = 0;  ///< highest acknowledgement sent; 0 if it may have been lost
-    std::size_t ends_being_committed = 0;
+    std::size_t ends_being_committed = 0; ///< ends of runs that it listed and that are being committed
 
     absl::btree_map<run_key, run_track*> runs;     ///< ordered, so that equal states lead to equal decisions
     std::map<step_key, std::uint32_t> step_counts; ///< runs of each step, for the limit per worker
     worker_amounts reserved;                       ///< by all tasks; filling tasks reserve no processor time
     std::int64_t filling_millicores = 0;           ///< millicores requested by filling tasks
     std::int64_t short_task_millicores = 0;        ///< millicores of tasks that neither fill nor serve
-    std::uint32_t filling_runs = 0;                ///< runs that fill
-    std::uint32_t serving_runs = 0;                ///< runs that serve
+    std::uint32_t filling_runs = 0;                ///< runs of filling tasks
+    std::uint32_t serving_runs = 0;                ///< runs of serving tasks
     std::uint32_t suspects = 0;                    ///< runs whose tasks may have crashed a worker before
     std::uint32_t probations = 0;                  ///< suspect runs that require this worker for themselves
-    std::vector<lapsed_run> lapsed_runs; ///< until the worker answers again or has certainly crashed
+    std::vector<lapsed_run> lapsed_runs; ///< kept until the worker answers again or has certainly crashed
     std::int64_t serving_unused_millicores =
         0; ///< millicores that serving tasks reserve and, by their own load, do not use
-    std::vector<image_share> fill_shares; ///< filling tasks' use by image, smoothed like the tails
+    std::vector<image_share> fill_shares; ///< filling tasks' use by image, smoothed like the tail latencies
     time_point fill_shares_at{};
     worker_pressure pressure;
     worker_trust trust;
--- a/poplarpitch/dispatch/worker_table.h
+++ b/poplarpitch/dispatch/worker_table.h
@@ -14,8 +14,8 @@
 /// All workers that the leader knows, and when each is due for a check.
 ///
 /// A worker's address in memory is stable while it is known, so that runs can point to it. The check times
-/// are stored in one dense array, and a pass over thousands of workers reads only that. Load pattern: 1,800
-/// workers of which 20 are due in a turn. Iterating over all of them in an ordered map took an eighth of the
+/// are stored in one dense array, and a pass over thousands of workers reads only that. Load pattern: of
+/// 1,800 workers, 20 are due in a turn. Iterating over all of them in an ordered map took an eighth of the
 /// leader's time. Thread safety: none, as for all methods.
 class worker_table {
 public:
--- a/poplarpitch/dispatch/worker_trust.cpp
+++ b/poplarpitch/dispatch/worker_trust.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr duration failure_pause =
-    milliseconds{100}; // after one failure; 5% of 160 runs a second fail through their own fault
+    milliseconds{100}; // after one failure; of 160 runs a second, 5% fail through a fault of the task
 constexpr duration first_set_aside = seconds{2}; // after the second failure; doubled each time
 constexpr std::uint32_t max_doublings = 2;       // 8 s at most; faults of this kind last 5 to 8 s
 constexpr duration unsound_pause =
--- a/poplarpitch/dispatch/worker_trust.h
+++ b/poplarpitch/dispatch/worker_trust.h
@@ -9,7 +9,7 @@
 
 /// Decides from the outcome of earlier runs whether a worker may be given work.
 ///
-/// Load pattern: some workers fail everything at once, so they look empty and attract the next tasks, while a
+/// Load pattern: some workers fail every run at once. They look empty and so attract the next tasks, while a
 /// task has only two to four attempts. A single failure may be the task's own fault (0.5 to 5% of all runs,
 /// and all runs of a job that can never succeed), so it only pauses the worker for a moment. Failures of two
 /// different jobs without a success in between set it aside, longer each time. Thread safety: none, as for
