--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -133,9 +133,7 @@
         if (is_usable(*worker, now)) {
             pass.usable[worker->report.pool].push_back(worker);
             ++usable;
-            probations += worker->probations > 0
-                              ? 1
-                              : 0; // a worker that does not answer is not usable and is lost in any case
+            probations += worker->probations > 0 ? 1 : 0; // workers that do not answer are lost anyway
         }
     }
     const auto max_probations = get_max_probations(usable);
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -243,9 +243,7 @@
         return;
     }
     worker->is_hold_pending = false;
-    m_workers.schedule_check(
-        *worker,
-        now); // in the next turn of the event loop, when the orders that follow from this answer are known
+    m_workers.schedule_check(*worker, now); // in the next turn, when the orders that follow are known
     if (worker->is_lost) {
         return;
     }
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -72,7 +72,7 @@
     return worker.serving_runs == 0 ? std::numeric_limits<std::int64_t>::min() : wanted / starving_divisor;
 }
 
-/// Returns a cost for the runs that another crash would end, and for the difficulty to identify its cause.
+/// Returns a cost for the runs that another crash would end, and for the difficulty of identifying its cause.
 double get_risk_cost(const worker_state& worker, isolation_level isolation) {
     if (isolation == isolation_level::none) {
         return worker.probations > 0 ? beside_kept_cost : worker.suspects > 0 ? beside_suspect_cost : 0;
