--- a/poplarpitch/dispatch/dispatcher.h
+++ b/poplarpitch/dispatch/dispatcher.h
@@ -71,7 +71,7 @@
     /// Returns the term in which it leads, or 0 while it does not lead.
     [[nodiscard]] log_term get_term() const { return m_term; }
 
-    /// Updates the load of the leader's thread. Under strain, checks that only tune the pacing become rarer.
+    /// Updates the load of the leader's thread. Under strain, checks that only adjust paces become rarer.
     /// When the leader lags too far behind, it accepts no new jobs.
     void on_load(const leader_load& load) { m_load = load; }
     /// Decides whether a job is accepted. An accepted job counts as such until `cancel_admission` is called
@@ -80,8 +80,8 @@
     /// Called when a job that `admit` accepted was certainly not committed.
     void cancel_admission(job_id job);
 
-    /// Processes a heartbeat. Returns true when the worker is draining and that is not committed yet. The
-    /// heartbeat must then be answered only after the commit.
+    /// Processes a heartbeat. Returns true when the worker is draining and its draining is not committed yet.
+    /// The heartbeat must then be answered only after the commit.
     bool on_heartbeat(const worker_report& report, time_point now);
     /// Processes a heartbeat that only refers to an earlier report. Returns false when that report is not the
     /// one known here; a full heartbeat is then required.
@@ -98,7 +98,7 @@
     /// Processes the answer to a pace order.
     void on_pace(const run_key& key, int percent, const order_answer& answer, time_point now);
     /// Processes the answer of the advice service.
-    void on_advice(const advise_order& request, const advice_outcome& outcome, time_point now);
+    void on_advice(const advice_request& request, const advice_outcome& outcome, time_point now);
     /// Processes the effects of a committed command.
     void on_event(const job_state_event& event, time_point now, std::int64_t wall_ms);
     /// Performs everything that is due: leases, retries, occurrences, placement. Nothing is placed while
@@ -147,7 +147,7 @@
         absl::btree_map<run_key, run_track*> runs; ///< assigned and not ended
         time_point idle_since{}; ///< since when it has no runs; only meaningful while it has none
         std::map<std::uint32_t, time_point>
-            due; ///< begin of each occurrence that has begun; empty for a job that runs once
+            due; ///< start time of each occurrence that has begun; empty for a job that runs once
     };
     /// The tasks of a step that wait for a worker.
     struct ready_step {
@@ -172,18 +172,18 @@
     /// Result of an attempt to place a task.
     enum class placement_result : std::uint8_t {
         placed,
-        deferred, ///< the task waits for a condition of its own and does not block others
+        deferred, ///< the task waits for a condition that concerns only itself; others may be placed
         no_room,  ///< the tasks behind it are blocked too
     };
     /// A worker with room for a task. The one with the least cost is best, and the first of those with equal
     /// cost.
     struct candidate {
         double cost = 0;
-        std::size_t place = 0; ///< index in the order of workers
+        std::size_t position = 0; ///< index in the order of workers
         worker_state* worker = nullptr;
 
         friend auto operator<=>(const candidate& left, const candidate& right) {
-            return std::tie(left.cost, left.place) <=> std::tie(right.cost, right.place);
+            return std::tie(left.cost, left.position) <=> std::tie(right.cost, right.position);
         }
     };
 
@@ -248,7 +248,7 @@
     void return_to_queue(run_track& track, time_point now);
     void on_start_refused(run_track& track, order_failure failure, time_point now);
     /// Ends the backoff of a worker that has answered and releases the orders that waited for it.
-    void release_orders(worker_state& worker, time_point now);
+    void retry_delayed_orders(worker_state& worker, time_point now);
     void handle_order_answer(run_track& track, const order_answer& answer, time_point now);
 
     // workers
@@ -257,7 +257,8 @@
     void schedule_hold(worker_state& worker, time_point when);
     /// Returns the latest time of the worker's next check.
     [[nodiscard]] time_point get_next_check(const worker_state& worker, time_point now) const;
-    void add_load(worker_state& worker, run_track& track, int sign);
+    /// Adds a run to the worker's runs and amounts, or removes it with `sign` -1.
+    void count_run(worker_state& worker, run_track& track, int sign);
     /// Updates the time until which the worker's reported room is considered valid.
     void update_room_expiry(worker_state& worker) const;
     /// Updates a worker's clock from a heartbeat, which may be late.
@@ -266,7 +267,7 @@
     /// Returns how long a worker may delay its answer to a hold.
     [[nodiscard]] duration get_hold_wait(const worker_state& worker) const;
     [[nodiscard]] bool needs_hold(const worker_state& worker) const;
-    void process_list(worker_state& worker, const hold_answer& answer, time_point now);
+    void process_run_list(worker_state& worker, const hold_answer& answer, time_point now);
     void process_end(worker_state& worker, const run_end_entry& row, time_point now);
     /// Ends runs that are missing from the worker's list. Precondition: `listed` is sorted.
     void end_missing_runs(worker_state& worker, const std::vector<run_key>& listed, time_point now);
@@ -274,12 +275,12 @@
     void grant_lease(worker_state& worker, time_point now);
     /// Assumes that the worker holds a lease of the maximum length.
     void grant_max_lease(worker_state& worker, time_point now);
-    /// Returns how long after it was sent a lease may be valid at its worker, by this leader's clock.
+    /// Returns how long a lease may be valid at its worker after it was sent, by this leader's clock.
     [[nodiscard]] duration get_lease_span(duration lease) const;
-    /// Returns until when a run may exist on an unreachable worker.
+    /// Returns the time until which a run may exist on an unreachable worker.
     [[nodiscard]] time_point get_lease_end(const run_track& track) const;
     void on_worker_lost(worker_state& worker, end_reason reason, time_point now);
-    static void add_loss(log_event& line, const run_track& track, time_point now);
+    static void add_loss_fields(log_event& line, const run_track& track, time_point now);
     void evacuate(worker_state& worker, time_point now);
     void check_workers(time_point now);
     /// Returns true when the worker's state may be removed.
@@ -311,19 +312,21 @@
     void mark_lost(worker_state& worker, const char* reason, time_point now);
     void move_run(run_track& track, worker_state& successor, const run_loss& loss, time_point now);
     void mark_run_lost(run_track& track, end_reason reason, const run_loss& loss, time_point now);
-    /// Detects that another incarnation took an order, by a clock that restarted.
+    /// Detects by a clock that restarted that another incarnation received an order.
     void check_clock_reset(worker_state& worker, std::int64_t clock_ms, time_point now);
 
     // tasks that crash their workers
-    /// Returns the maximum age of the run when its worker ceased to answer, or nothing while that is unknown.
+    /// Returns the maximum age of the run when its worker stopped answering, or nothing while that is
+    /// unknown.
     [[nodiscard]] static std::optional<duration> get_age_at_loss(const run_track& track, time_point now);
     /// Returns what the loss of its worker says about a run, if the worker crashed.
     [[nodiscard]] run_loss assess_loss(const run_track& track, time_point now) const;
     [[nodiscard]] crash_evidence compare_with_neighbours(const run_track& track,
                                                          std::optional<duration> age) const;
     /// Returns the assessment of all runs of a worker that have not ended.
-    [[nodiscard]] std::vector<lapsed_run> assess_runs(const worker_state& worker, time_point now) const;
-    void propose_crash(const lapsed_run& lapsed, const worker_incarnation& worker);
+    [[nodiscard]] std::vector<lapsed_run> assess_crash_evidence(const worker_state& worker,
+                                                                time_point now) const;
+    void propose_crash_record(const lapsed_run& lapsed, const worker_incarnation& worker);
     void on_task_crashed(const job_state_event& event, time_point now);
     void clear_suspects(worker_state& worker, time_point now);
     /// Releases workers that are reserved for suspects by a former leader, except as many as may be reserved.
@@ -345,8 +348,8 @@
     [[nodiscard]] std::string find_ticket(const step_key& step, const worker_incarnation& worker,
                                           time_point now) const;
     void request_advice(const std::vector<std::pair<std::int64_t, step_key>>& ranked, time_point now);
-    std::vector<worker_incarnation> pick_workers_to_advise(const ready_step& ready, const step_key& key,
-                                                           time_point now);
+    std::vector<worker_incarnation> pick_workers_to_ask_about(const ready_step& ready, const step_key& key,
+                                                              time_point now);
 
     // interference of filling tasks with serving ones
     void refresh_pressure(worker_state& worker);
@@ -356,7 +359,7 @@
     void leave_unsound(worker_state& worker, time_point now);
     void plan_paces(worker_state& worker, time_point now);
     void slow_fills_for(const worker_state& worker, const run_track& serving,
-                        const std::vector<run_track*>& fills);
+                        const std::vector<run_track*>& filling_tracks);
     void order_pace(worker_state& worker, run_track& fill, time_point now);
 
     // placement
@@ -369,9 +372,10 @@
     void place_tasks(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Places the first waiting task of a step that finds room. A filling task of a starving job accepts less
     /// room than it requests.
-    void place_starving(placing_pass& pass, ready_step& ready, const step_key& key);
+    void place_task_of_starving_job(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Places a waiting task.
-    placement_result place_task(placing_pass& pass, ready_step& ready, const task_key& task, bool starves);
+    placement_result place_task(placing_pass& pass, ready_step& ready, const task_key& task,
+                                bool is_job_starving);
     /// Returns the waiting tasks of a step that have this isolation level.
     [[nodiscard]] std::vector<std::uint32_t> find_waiting(const ready_step& ready, const step_key& key,
                                                           isolation_level isolation) const;
@@ -384,8 +388,9 @@
     void place_gang(placing_pass& pass, ready_step& ready, const step_key& key);
     /// Returns how many members of a gang wait for workers of their own.
     [[nodiscard]] std::size_t count_own_workers(const ready_step& ready, const step_key& key, time_point now);
-    void measure_short_demand(const placing_pass& pass);
-    [[nodiscard]] bool may_open(const worker_state& worker) const;
+    void measure_short_task_demand(const placing_pass& pass);
+    /// Returns true when enough other workers without serving tasks remain for the short tasks.
+    [[nodiscard]] bool may_take_first_serving_task(const worker_state& worker) const;
     [[nodiscard]] placement_request make_request(const ready_step& ready, const task_key& key,
                                                  time_point now);
     worker_state* choose(const placing_pass& pass, const ready_step& ready, const placement_request& request);
@@ -393,8 +398,8 @@
     [[nodiscard]] placement_obstacle find_policy_obstacle(const worker_state& worker, const ready_step& ready,
                                                           const placement_request& request,
                                                           time_point now) const;
-    void claim(const ready_step& ready, const task_key& key, worker_state& worker, isolation_level isolation,
-               time_point now);
+    void assign_task(const ready_step& ready, const task_key& key, worker_state& worker,
+                     isolation_level isolation, time_point now);
     /// Returns true when a second run of the task is allowed and would probably end first.
     [[nodiscard]] bool may_copy(const run_track& track, time_point now) const;
     void start_copies(time_point now);
@@ -414,7 +419,7 @@
     std::map<task_key, std::vector<worker_incarnation>> m_failed_on; ///< workers on which a task failed
     suspect_watch m_suspects;
     std::map<step_key, step_advice> m_advice;
-    bool m_is_advising = false; ///< a call to the advice service is in flight
+    bool m_is_advice_pending = false; ///< a call to the advice service is in flight
     time_point m_next_advice{};
     std::multimap<std::int64_t, step_key> m_due; ///< wall time -> job and occurrence (step 0)
     std::multimap<time_point, job_id> m_ended;   ///< when ended jobs are forgotten
@@ -431,9 +436,9 @@
     double m_filling_backlog =
         0; ///< cores of waiting filling tasks as a share of those of running ones, 0 to 1; smoothed
     bool m_must_place = false;
-    double m_short_millicores = 0;       ///< demand of tasks that neither serve nor fill, smoothed
-    std::int64_t m_open_millicores = 0;  ///< capacity of the usable workers without serving tasks
-    std::int64_t m_total_millicores = 0; ///< capacity of the usable workers
+    double m_short_task_millicores = 0;        ///< demand of tasks that neither serve nor fill, smoothed
+    std::int64_t m_non_serving_millicores = 0; ///< capacity of the usable workers without serving tasks
+    std::int64_t m_total_millicores = 0;       ///< capacity of the usable workers
     time_point m_measured_at{};
     time_point m_last_place{};
     time_point m_next_place{};
--- a/poplarpitch/dispatch/dispatcher_admission.cpp
+++ b/poplarpitch/dispatch/dispatcher_admission.cpp
@@ -7,11 +7,10 @@
 namespace {
 
 constexpr duration pool_interval = milliseconds{500}; // between measurements of the use of the pools
-constexpr double backlog_weight =
-    0.2; // of a new measurement: two thirds in 2.5 s, longer than a burst of new jobs waits
+constexpr double backlog_weight = 0.2; // weight of a new measurement: two thirds of a change in 2.5 s, longer
+                                       // than a burst of new jobs waits
 
-constexpr duration overload_wait =
-    seconds{2}; // a turn that is late by 0.4 s has some seconds of work ahead of it
+constexpr duration overload_wait = seconds{2}; // when timers are 0.4 s late, some seconds of work are queued
 constexpr std::uint64_t overload_spread_ms =
     2000; // spreads the retries of callers that were refused together
 
@@ -71,7 +70,7 @@
         if (worker->has_report && !worker->is_lost && !worker->is_draining) {
             auto& use = pools[worker->report.pool];
             use.capacity += worker->report.capacity.millicores;
-            use.other_demand += worker->short_millicores + worker->fill_millicores;
+            use.other_demand += worker->short_task_millicores + worker->filling_millicores;
             reserved[worker->report.pool] += worker->reserved.millicores;
         }
     }
@@ -94,7 +93,7 @@
     std::int64_t running = 0; // millicores of filling tasks
     std::int64_t waiting = 0;
     for (const auto* worker : m_workers.get_all()) {
-        running += worker->fill_millicores;
+        running += worker->filling_millicores;
     }
     for (const auto& [key, ready] : m_ready) {
         waiting += ready.job->steps[key.step].is_filling ? ready.get_wanted(key) : 0;
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -12,7 +12,7 @@
 
 constexpr duration max_check_interval = milliseconds{500}; // between checks of a worker that sends nothing
 constexpr duration leaving_check_interval =
-    milliseconds{20};                               // the same while the worker is draining and has runs
+    milliseconds{20};                               // between checks of a draining worker that still has runs
 constexpr duration leave_slack = milliseconds{300}; // before a draining worker's deadline
 
 } // namespace
@@ -30,16 +30,16 @@
 }
 
 bool dispatcher::may_forget(const worker_state& worker, time_point now) const {
-    const bool is_idle = worker.runs.empty() && worker.ends_committing == 0;
-    const auto kept =
-        worker.lapsed.empty() ? m_settings.worker_removal_delay : m_settings.lapsed_worker_removal_delay;
-    const bool is_silent = now - worker.last_heartbeat > kept;
-    return is_idle && (worker.is_lost || is_silent) && !worker.is_hold_pending;
+    const bool is_idle = worker.runs.empty() && worker.ends_being_committed == 0;
+    const auto retention =
+        worker.lapsed_runs.empty() ? m_settings.worker_removal_delay : m_settings.lapsed_worker_removal_delay;
+    const bool has_no_heartbeats = now - worker.last_heartbeat > retention;
+    return is_idle && (worker.is_lost || has_no_heartbeats) && !worker.is_hold_pending;
 }
 
-/// Adds the fields that distinguish a task that crashes its worker from its neighbours and from a network
-/// cut: the age of the run, and the number of runs on the worker.
-void dispatcher::add_loss(log_event& line, const run_track& track, time_point now) {
+/// Adds the age of the run and the number of runs on the worker. They help to tell a task that crashes its
+/// worker from a task that only ran beside it, and a crash from a network failure.
+void dispatcher::add_loss_fields(log_event& line, const run_track& track, time_point now) {
     add_run(line, track.key);
     add_worker(line, track.host->report.incarnation);
     if (const auto age = get_age_at_loss(track, now); age.has_value()) {
@@ -51,26 +51,26 @@
 void dispatcher::mark_lost(worker_state& worker, const char* reason, time_point now) {
     worker.is_lost = true;
     worker.awaits_fence = false;
-    worker.ends_committing = 0;
+    worker.ends_being_committed = 0;
     m_lost_workers.insert(worker.report.incarnation);
     m_workers.schedule_check(worker, now);
     auto line = log_event(log_level::warn, "worker_lost");
     add_worker(line, worker.report.incarnation)
         .add("reason", reason)
         .add("runs", static_cast<std::uint64_t>(worker.runs.size()));
-    for (const auto& run : worker.lapsed) {
+    for (const auto& run : worker.lapsed_runs) {
         if (run.loss.crash != crash_evidence::none) {
-            propose_crash(run, worker.report.incarnation);
+            propose_crash_record(run, worker.report.incarnation);
         }
     }
-    worker.lapsed.clear();
+    worker.lapsed_runs.clear();
 }
 
 void dispatcher::mark_run_lost(run_track& track, end_reason reason, const run_loss& loss, time_point now) {
     ++m_counts.lost_runs;
     auto line = log_event(log_level::warn, "run_lost", log_class::history);
     line.add("reason", get_end_reason_name(reason));
-    add_loss(line, track, now);
+    add_loss_fields(line, track, now);
     propose_end(track, run_end::lost, {reason, {}, 0}, now, {}, loss);
 }
 
@@ -78,17 +78,18 @@
     if (worker.is_lost) {
         return;
     }
-    const auto assessed = assess_runs(worker, now);
+    const auto assessed = assess_crash_evidence(worker, now);
     mark_lost(worker, get_end_reason_name(reason), now);
     for (const auto& run : assessed) {
         mark_run_lost(*worker.runs.at(run.run), reason, run.loss, now);
     }
 }
 
-/// Where worker ids are kept across restarts, a start may have reached a later incarnation than the one it
-/// names, even an answered start if that incarnation went unnoticed. The clock there restarts, so only the
-/// maximum lease length bounds the run. A long-running task stays at a worker for long and has to be
-/// restarted within seconds. For it, this counts only while the outcome of its start is unknown.
+/// A worker may keep its id when it restarts. A start may then have reached a later incarnation than the one
+/// that it names. If the leader has not noticed that incarnation, this holds even for an answered start. The
+/// clock of the later incarnation starts anew, so only the maximum lease length bounds the run there. A
+/// long-running task stays at a worker for long and has to be restarted within seconds. It is exempt from
+/// this bound once the outcome of its start is known.
 time_point dispatcher::get_lease_end(const run_track& track) const {
     const auto& worker = *track.host;
     const bool is_start_known = !track.may_yet_start() && track.stage != run_stage::adopting;
@@ -110,21 +111,21 @@
     if (!is_out_of_reach || worker.runs.empty() || now <= worker.lease_end) {
         return;
     }
-    for (const auto& run : assess_runs(worker, now)) {
+    for (const auto& run : assess_crash_evidence(worker, now)) {
         auto& track = *worker.runs.at(run.run);
         if (track.stage == run_stage::committing || now <= get_lease_end(track)) {
             continue;
         }
         ++m_counts.lost_runs;
         auto line = log_event(log_level::warn, "lease_lapsed", log_class::history);
-        add_loss(line, track, now);
+        add_loss_fields(line, track, now);
         if (worker.listed_at != time_point{}) {
             line.add("listed_ms", to_milliseconds(now - worker.listed_at));
         }
         propose_end(track, run_end::lost, {end_reason::lease_lapsed, {}, 0}, now, {},
                     {crash_evidence::none, run.loss.age_ms});
         const auto crash = std::min(run.loss.crash, crash_evidence::possible);
-        worker.lapsed.push_back({run.run, {crash, run.loss.age_ms}});
+        worker.lapsed_runs.push_back({run.run, {crash, run.loss.age_ms}});
     }
 }
 
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -13,40 +13,44 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::int64_t priority_weight_ms = 10'000'000;   // a better priority outranks any deadline
-constexpr double demand_smoothing_s = 8;                  // bursts last 4 to 6 s
-constexpr double demand_peak = 1.5;                       // of the smoothed demand, which varies by half
-constexpr double min_open_share = 0.05;                   // of all processor time, before any demand is known
+constexpr std::int64_t priority_weight_ms = 10'000'000; // a better priority outranks any deadline
+constexpr double demand_smoothing_s = 8;       // time constant; longer than bursts, which last 4 to 6 s
+constexpr double peak_factor = 1.5;            // multiple of the smoothed demand, which varies by 50%
+constexpr double min_non_serving_share = 0.05; // of all processor time, before any demand is known
 constexpr duration max_serving_wait = milliseconds{1800}; // maximum wait of a serving task that could run
-constexpr std::int64_t retry_bonus_ms = 4000; // a failed task delays everything that its job has done so far
-constexpr std::int64_t started_bonus_ms = 3000; // a job that has begun outranks new ones with as much slack
+constexpr std::int64_t retry_bonus_ms =
+    4000; // a failed task holds up a job in which work has already been invested
+constexpr std::int64_t started_bonus_ms =
+    3000; // a job that has started outranks new jobs whose slack is smaller by up to this
 constexpr std::int64_t long_running_bonus_ms =
     100'000; // long-running tasks that have waited outrank all others of their priority
 constexpr std::int64_t starving_bonus_ms = 5'000'000; // a starving job outranks all others of its priority
-// Nothing of the job runs and less than half of its pool is reserved. At most 3 s are allowed for this.
+// A job starves when none of its tasks has run for this long although less than half of its pool is reserved.
+// At most 3 s are allowed for that; this is half of them.
 constexpr duration starving_after = milliseconds{1500};
 constexpr std::int64_t long_running_rank_ms =
     2000; // rank of a long-running task among others of its priority
 constexpr duration max_long_running_wait =
-    milliseconds{1800};                      // a long-running task that could run may wait for 3 s at most
+    milliseconds{1800};                      // a long-running task that could run must start within 3 s
 constexpr std::size_t many_ready_steps = 50; // a pass over fewer steps costs under 0.2 ms
 constexpr duration busy_pass_interval =
     milliseconds{15}; // between passes over many steps; uses a tenth of a core of a small instance
 constexpr duration idle_pass_interval =
-    milliseconds{100};                              // while nothing waits, since only the demand is measured
+    milliseconds{100}; // while no task waits; the pass then only measures the demand
 constexpr std::int64_t late_penalty_ms = 1'000'000; // a late job ranks behind all that are not late
-constexpr std::int64_t late_multiple = 3; // a job later than this multiple of its objective has no value
+constexpr std::int64_t late_multiple =
+    3; // a job expected to take longer than this multiple of its objective ranks last
 
 /// Ranks by least slack. A job that can no longer meet its objective ranks behind those that still can. Load
-/// pattern: a burst of 2.6 times the usual load for seconds. With ranking by deadline alone, every job behind
-/// it is late.
+/// pattern: a burst has 2.6 times the usual load for seconds. With ranking by deadline alone, every job that
+/// arrives after the burst is late.
 std::int64_t rank_by_time(std::int64_t allowed_ms, std::int64_t age_ms, std::int64_t remaining_ms) {
     const auto slack = allowed_ms - age_ms - remaining_ms;
     if (slack >= 0) {
         return slack;
     }
-    const bool is_worthless = age_ms + remaining_ms > late_multiple * allowed_ms;
-    return (is_worthless ? 2 : 1) * late_penalty_ms + slack;
+    const bool is_past_late_limit = age_ms + remaining_ms > late_multiple * allowed_ms;
+    return (is_past_late_limit ? 2 : 1) * late_penalty_ms + slack;
 }
 
 } // namespace
@@ -83,8 +87,8 @@
     return ranked;
 }
 
-/// Load pattern: the remains of an overload after its callers have gone. Hundreds of tasks wait that are all
-/// too late to matter, the least late ones take every gap, and some jobs get nothing for minutes.
+/// Load pattern: after an overload, hundreds of tasks wait that can no longer meet their objectives. The
+/// least late ones get all room that becomes free, and some jobs get none for minutes.
 bool dispatcher::is_starving(const open_job& job, const std::string& pool, time_point now) const {
     return job.runs.empty() && now - job.idle_since > starving_after && m_underused_pools.contains(pool);
 }
@@ -96,7 +100,7 @@
     m_must_place = false;
     m_last_place = now;
     auto pass = begin_pass(now);
-    measure_short_demand(pass);
+    measure_short_task_demand(pass);
     const auto ranked = rank_ready(now);
     for (const auto& [rank, key] : ranked) {
         const auto found = m_ready.find(key);
@@ -129,29 +133,30 @@
         if (is_usable(*worker, now)) {
             pass.usable[worker->report.pool].push_back(worker);
             ++usable;
-            probations += worker->probations > 0 ? 1 : 0; // a worker that ceased to answer is lost anyway
+            probations += worker->probations > 0 ? 1 : 0; // workers that do not answer are lost anyway
         }
     }
-    const auto most = get_max_probations(usable);
-    pass.probations_left = most > probations ? most - probations : 0;
+    const auto max_probations = get_max_probations(usable);
+    pass.probations_left = max_probations > probations ? max_probations - probations : 0;
     return pass;
 }
 
 void dispatcher::place_tasks(placing_pass& pass, ready_step& ready, const step_key& key) {
     const auto& spec = ready.job->steps[key.step];
     if (is_starving(m_jobs.at(key.job), ready.job->queue.pool, pass.now)) {
-        place_starving(pass, ready, key);
+        place_task_of_starving_job(pass, ready, key);
     }
     if (ready.waiting.empty()) {
         return;
     }
-    const bool is_plain = refused_shapes::is_plain(spec) && !ready.job->queue.advice.has_value();
-    if (is_plain && pass.refused.covers(ready.job->queue.pool, spec)) {
+    const bool is_limited_by_size_only =
+        refused_shapes::is_limited_by_size_only(spec) && !ready.job->queue.advice.has_value();
+    if (is_limited_by_size_only && pass.refused.covers(ready.job->queue.pool, spec)) {
         return;
     }
     const auto failed = m_failed_on.lower_bound(task_key{key, 0});
     const bool has_failed = failed != m_failed_on.end() && failed->first.step == key;
-    if (!is_plain || has_failed) {
+    if (!is_limited_by_size_only || has_failed) {
         place_each(pass, ready, key, {ready.waiting.begin(), ready.waiting.end()});
         return;
     }
@@ -185,7 +190,7 @@
     }
 }
 
-void dispatcher::place_starving(placing_pass& pass, ready_step& ready, const step_key& key) {
+void dispatcher::place_task_of_starving_job(placing_pass& pass, ready_step& ready, const step_key& key) {
     for (const auto index : std::vector(ready.waiting.begin(), ready.waiting.end())) {
         if (place_task(pass, ready, {key, index}, true) != placement_result::deferred) {
             return;
@@ -194,10 +199,10 @@
 }
 
 dispatcher::placement_result dispatcher::place_task(placing_pass& pass, ready_step& ready,
-                                                    const task_key& task, bool starves) {
+                                                    const task_key& task, bool is_job_starving) {
     auto request = make_request(ready, task, pass.now);
-    request.is_starving = starves;
-    request.is_overdue = request.is_overdue || starves;
+    request.is_starving = is_job_starving;
+    request.is_overdue = request.is_overdue || is_job_starving;
     const bool wants_own = request.wants_own_worker();
     if (!m_suspects.may_start(task, pass.now) || (wants_own && pass.probations_left == 0)) {
         return placement_result::deferred;
@@ -207,12 +212,12 @@
         return wants_own ? placement_result::deferred : placement_result::no_room;
     }
     pass.probations_left -= wants_own ? 1 : 0;
-    claim(ready, task, *worker, request.get_run_isolation(), pass.now);
+    assign_task(ready, task, *worker, request.get_run_isolation(), pass.now);
     ready.waiting.erase(task.index);
     return placement_result::placed;
 }
 
-/// Places tasks that differ only by their index with one examination of all workers. A placed task changes
+/// Places tasks that differ only in their index. All workers are examined once, since a placed task changes
 /// only the cost of its own worker. Load pattern: jobs of 20 to 30 tasks a step, 1,400 starts a second on 490
 /// workers. Examining all workers for each task took a quarter of the leader's time.
 void dispatcher::place_identical(placing_pass& pass, ready_step& ready, const step_key& key,
@@ -224,16 +229,16 @@
     const auto request = make_request(ready, {key, indexes.front()}, pass.now);
     std::int64_t most_room = 0;
     std::priority_queue<candidate, std::vector<candidate>, std::greater<>> candidates;
-    std::size_t place = 0;
+    std::size_t position = 0;
     for (auto* worker : pass.usable[pool]) {
-        ++place;
+        ++position;
         const auto room = get_room(*worker, request);
         most_room = std::max(most_room, room);
         if (room < request.spec->millicores) {
             continue;
         }
         if (const auto cost = get_placement_cost(*worker, request); cost.has_value()) {
-            candidates.push({*cost, place, worker});
+            candidates.push({*cost, position, worker});
         }
     }
     auto next = indexes.begin();
@@ -241,7 +246,7 @@
         auto best = candidates.top();
         candidates.pop();
         const task_key task{key, *next++};
-        claim(ready, task, *best.worker, request.get_run_isolation(), pass.now);
+        assign_task(ready, task, *best.worker, request.get_run_isolation(), pass.now);
         ready.waiting.erase(task.index);
         if (const auto cost = get_placement_cost(*best.worker, request); cost.has_value()) {
             best.cost = *cost;
@@ -253,18 +258,19 @@
     }
 }
 
-/// Short tasks need whole cores at once, while serving tasks leave a few on each worker, which is too little
-/// to be of use. Load pattern: long-running serving tasks reserve nine tenths of a pool before the first
-/// short task arrives.
-void dispatcher::measure_short_demand(const placing_pass& pass) {
-    m_open_millicores = 0;
+/// Measures the processor time that short tasks, which neither serve nor fill, use and wait for. Workers
+/// without serving tasks are kept free for them. A short task needs several whole cores at once, while a
+/// worker with serving tasks has only a few cores left. Load pattern: long-running serving tasks reserve nine
+/// tenths of a pool before the first short task arrives.
+void dispatcher::measure_short_task_demand(const placing_pass& pass) {
+    m_non_serving_millicores = 0;
     m_total_millicores = 0;
     double wanted = 0;
     for (const auto& [pool, workers] : pass.usable) {
         for (const auto* worker : workers) {
             m_total_millicores += worker->report.capacity.millicores;
-            m_open_millicores += worker->servings == 0 ? worker->report.capacity.millicores : 0;
-            wanted += static_cast<double>(worker->short_millicores);
+            m_non_serving_millicores += worker->serving_runs == 0 ? worker->report.capacity.millicores : 0;
+            wanted += static_cast<double>(worker->short_task_millicores);
         }
     }
     for (const auto& [key, ready] : m_ready) {
@@ -273,15 +279,15 @@
             wanted += static_cast<double>(ready.get_wanted(key));
         }
     }
-    const auto kept = std::exp(-to_seconds(pass.now - m_measured_at) / demand_smoothing_s);
+    const auto decay_factor = std::exp(-to_seconds(pass.now - m_measured_at) / demand_smoothing_s);
     m_measured_at = pass.now;
-    m_short_millicores = kept * m_short_millicores + (1 - kept) * wanted;
+    m_short_task_millicores = decay_factor * m_short_task_millicores + (1 - decay_factor) * wanted;
 }
 
-bool dispatcher::may_open(const worker_state& worker) const {
-    const auto kept_free =
-        std::max(m_short_millicores * demand_peak, min_open_share * static_cast<double>(m_total_millicores));
-    return static_cast<double>(m_open_millicores - worker.report.capacity.millicores) >= kept_free;
+bool dispatcher::may_take_first_serving_task(const worker_state& worker) const {
+    const auto kept_free = std::max(m_short_task_millicores * peak_factor,
+                                    min_non_serving_share * static_cast<double>(m_total_millicores));
+    return static_cast<double>(m_non_serving_millicores - worker.report.capacity.millicores) >= kept_free;
 }
 
 placement_request dispatcher::make_request(const ready_step& ready, const task_key& key, time_point now) {
@@ -307,8 +313,8 @@
 placement_obstacle dispatcher::find_policy_obstacle(const worker_state& worker, const ready_step& ready,
                                                     const placement_request& request, time_point now) const {
     const bool may_wait = request.spec->is_serving() && now - ready.since < max_serving_wait;
-    if (may_wait && worker.servings == 0 && !may_open(worker)) {
-        return placement_obstacle::kept_open;
+    if (may_wait && worker.serving_runs == 0 && !may_take_first_serving_task(worker)) {
+        return placement_obstacle::kept_for_short_tasks;
     }
     const bool needs_ticket = ready.job->queue.advice.has_value();
     if (needs_ticket && find_ticket(request.step, worker.report.incarnation, now).empty()) {
@@ -342,7 +348,7 @@
 void dispatcher::place_gang(placing_pass& pass, ready_step& ready, const step_key& key) {
     const auto& spec = ready.job->steps[key.step];
     if (ready.waiting.size() != spec.count) {
-        return; // some tasks of the last run have not ended
+        return; // some members of the previous run of the gang have not ended
     }
     for (std::uint32_t index = 0; index < spec.count; ++index) {
         if (!m_suspects.may_start({key, index}, pass.now)) {
@@ -404,12 +410,12 @@
     return count;
 }
 
-void dispatcher::claim(const ready_step& ready, const task_key& key, worker_state& worker,
-                       isolation_level isolation, time_point now) {
+void dispatcher::assign_task(const ready_step& ready, const task_key& key, worker_state& worker,
+                             isolation_level isolation, time_point now) {
     const auto* task = m_job_state.find_task(key);
     const run_key run{key, task == nullptr ? 1 : task->last_run + 1};
-    if (ready.job->steps[key.step.step].is_serving() && worker.servings == 0) {
-        m_open_millicores -= worker.report.capacity.millicores;
+    if (ready.job->steps[key.step.step].is_serving() && worker.serving_runs == 0) {
+        m_non_serving_millicores -= worker.report.capacity.millicores;
     }
     add_track(run, ready.job, worker.report.incarnation, run_stage::committing, isolation, now);
     propose_assignment(run, worker);
--- a/poplarpitch/dispatch/dispatcher_reports.cpp
+++ b/poplarpitch/dispatch/dispatcher_reports.cpp
@@ -1,4 +1,4 @@
-// What the dispatcher reports: load, timings, counts, and the learned factors.
+// Reports of the dispatcher: load, timings, counts, and the learned interference factors.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/placement.h"
@@ -31,21 +31,22 @@
         return;
     }
     const auto& job = *record->job;
-    const auto length = now - found->second.accepted;
-    const auto objective = job.get_objective(m_forecast.get_lengths_ms(job, 0));
+    const auto total_time = now - found->second.accepted;
+    const auto objective = job.get_objective(m_forecast.get_step_durations_ms(job, 0));
     const auto what = record->phase == job_phase::completed ? job_timing::kind::completed
                       : record->phase == job_phase::failed  ? job_timing::kind::failed
                                                             : job_timing::kind::cancelled;
-    m_timings.push_back({what, job.queue.name, length, length <= objective});
+    m_timings.push_back({what, job.queue.name, total_time, total_time <= objective});
     log_event(log_level::info, "job_ended")
         .add("job", format_job_id(id))
         .add("queue", job.queue.name)
         .add("phase", get_phase_name(record->phase))
-        .add("took_ms", to_milliseconds(length))
+        .add("took_ms", to_milliseconds(total_time))
         .add("objective_ms", to_milliseconds(objective));
 }
 
-/// Learning the factors takes ten seconds of disturbed tails, so they are committed for the next leader.
+/// Learning the factors takes ten seconds of tail latencies under interference, so they are committed for the
+/// next leader.
 void dispatcher::save_pressure(time_point now) {
     if (now < m_next_pressure_save) {
         return;
@@ -73,11 +74,11 @@
     std::int64_t filling = 0;
     for (const auto* worker : m_workers.get_all()) {
         usable += is_usable(*worker, now) ? 1 : 0;
-        serving += worker->servings > 0 ? 1 : 0;
-        mixed += worker->servings > 0 && worker->fills > 0 ? 1 : 0;
+        serving += worker->serving_runs > 0 ? 1 : 0;
+        mixed += worker->serving_runs > 0 && worker->filling_runs > 0 ? 1 : 0;
         capacity += worker->report.capacity;
         reserved += worker->reserved;
-        filling += worker->fill_millicores;
+        filling += worker->filling_millicores;
     }
     log_event(log_level::info, "load")
         .add("workers", static_cast<std::uint64_t>(m_workers.get_all().size()))
--- a/poplarpitch/dispatch/dispatcher_runs.cpp
+++ b/poplarpitch/dispatch/dispatcher_runs.cpp
@@ -25,11 +25,11 @@
     track.job = std::move(job);
     track.assigned_to = worker;
     track.stage = stage;
-    track.claimed_at = now;
+    track.assigned_at = now;
     track.isolation = isolation;
     auto& state = get_or_add_worker(worker, now);
     track.host = &state;
-    add_load(state, track, 1);
+    count_run(state, track, 1);
     if (const auto job = m_jobs.find(key.task.step.job); job != m_jobs.end()) {
         job->second.runs.emplace(key, &track);
     }
@@ -49,11 +49,12 @@
         job->second.runs.erase(key);
         job->second.idle_since = now;
     }
-    const bool matters = found->second.get_spec().is_filling || found->second.get_spec().is_serving();
+    const bool affects_pressure =
+        found->second.get_spec().is_filling || found->second.get_spec().is_serving();
     auto& worker = *found->second.host;
-    add_load(worker, found->second, -1);
+    count_run(worker, found->second, -1);
     m_tracks.erase(found);
-    if (matters) {
+    if (affects_pressure) {
         refresh_pressure(worker);
     }
 }
@@ -135,7 +136,7 @@
 void dispatcher::send_start(run_track& track, time_point now) {
     auto& worker = *track.host;
     if (!worker.has_report || worker.clock_ms == 0 || !worker.is_confirmed) {
-        return; // the run's lease decides
+        return; // retried until it can be sent or the run's lease expires
     }
     if (worker.is_draining) { // announced after the task was assigned
         return_to_queue(track, now);
@@ -183,7 +184,7 @@
 void dispatcher::send_stop(run_track& track, time_point now) {
     auto& worker = *track.host;
     if (worker.report.address.empty() || worker.awaits_fence) {
-        return; // the run's lease decides
+        return; // retried until it can be sent or the run's lease expires
     }
     ++m_counts.stops;
     stop_order order;
@@ -206,7 +207,7 @@
     }
 }
 
-void dispatcher::release_orders(worker_state& worker, time_point now) {
+void dispatcher::retry_delayed_orders(worker_state& worker, time_point now) {
     if (!worker.backoff.on_answer()) {
         return;
     }
@@ -228,7 +229,7 @@
     const bool has_answered = !answer.failure.has_value() || (answer.failure != order_failure::unanswered &&
                                                               answer.failure != order_failure::unreachable);
     if (has_answered) {
-        release_orders(worker, now);
+        retry_delayed_orders(worker, now);
         return;
     }
     ++m_counts.unanswered;
@@ -244,7 +245,7 @@
         return;
     }
     if (track->is_stop_wanted) {
-        return; // the stop in flight decides
+        return; // the answer to the stop determines how the run ends
     }
     handle_order_answer(*track, answer, now);
     check_clock_reset(*track->host, answer.clock_ms, now);
@@ -283,7 +284,7 @@
         schedule_order(track);
         return;
     case order_failure::stale_run:
-        // An earlier start of this run was executed and the run has ended. The list says how.
+        // An earlier start of this run was executed and the run has ended. The worker's list shows how.
         log_run_started(track, "old_run", m_term, now);
         track.stage = run_stage::running;
         track.confirmed_at = now;
@@ -310,7 +311,7 @@
         ++m_counts.refused_other;
         break;
     }
-    schedule_hold(worker, now); // its list shows what it considers running
+    schedule_hold(worker, now); // the worker's list shows which runs it has
     if (failure == order_failure::no_capacity) {
         worker.trust.on_refusal(now);
     }
--- a/poplarpitch/dispatch/placement.cpp
+++ b/poplarpitch/dispatch/placement.cpp
@@ -13,11 +13,12 @@
 constexpr double failed_there_cost = 3; // the task failed on this worker; another one may do better
 constexpr double doubtful_cost = 1.5;   // the worker's last run failed
 constexpr double beside_filling_cost = 0.3; // a serving task on a worker with filling tasks
-constexpr double no_serving_cost = 0.8;     // filling task where nothing serves: kept for high interference
-constexpr double fullness_weight = 0.3;     // of the used share of the spare processor time
-constexpr double first_serving_cost = 1.0;  // the first serving task of a worker
-constexpr double other_image_cost = 1.5;    // for each other job of another image that serves on the worker
-constexpr double other_job_cost = 0.3;      // for each other job that serves on the worker
+constexpr double no_serving_cost =
+    0.8; // a filling task on a worker without serving tasks, which is kept for high interference
+constexpr double fullness_weight = 0.3;    // of the used share of the spare processor time
+constexpr double first_serving_cost = 1.0; // the first serving task of a worker
+constexpr double other_image_cost = 1.5;   // for each other job of another image that serves on the worker
+constexpr double other_job_cost = 0.3;     // for each other job that serves on the worker
 constexpr std::int64_t no_room = -1; // millicores; less than any task requests, also one that requests none
 constexpr std::int64_t starving_divisor =
     2;                                 // of the request; a filling task at half speed still makes progress
@@ -44,7 +45,7 @@
     double highest = 0;
     for (const auto& group : worker.pressure.groups) {
         const auto slowdown = request.factors[group.image] * share;
-        highest = std::max(highest, (group.slowdown + slowdown) / group.room);
+        highest = std::max(highest, (group.slowdown + slowdown) / group.allowed_slowdown);
     }
     return highest;
 }
@@ -61,23 +62,23 @@
     return cost;
 }
 
-/// Returns the room that a filling task requires, in millicores. A task of a starving job accepts less. Where
-/// nothing serves, this only slows the filling tasks, and elsewhere the task is paced.
+/// Returns the room that a filling task requires, in millicores. A task of a starving job accepts less. On
+/// a worker without serving tasks this only slows the filling tasks; on others the task is paced.
 std::int64_t get_least_room(const worker_state& worker, const placement_request& request) {
     const auto wanted = request.spec->millicores;
     if (!request.is_starving) {
         return wanted;
     }
-    return worker.servings == 0 ? std::numeric_limits<std::int64_t>::min() : wanted / starving_divisor;
+    return worker.serving_runs == 0 ? std::numeric_limits<std::int64_t>::min() : wanted / starving_divisor;
 }
 
-/// Returns a cost for what another crash would end, and for how much harder its cause would be to identify.
+/// Returns a cost for the runs that another crash would end, and for the difficulty of identifying its cause.
 double get_risk_cost(const worker_state& worker, isolation_level isolation) {
     if (isolation == isolation_level::none) {
         return worker.probations > 0 ? beside_kept_cost : worker.suspects > 0 ? beside_suspect_cost : 0;
     }
     return neighbour_cost * static_cast<double>(worker.runs.size()) +
-           serving_neighbour_cost * static_cast<double>(worker.servings) +
+           serving_neighbour_cost * static_cast<double>(worker.serving_runs) +
            other_suspect_cost * static_cast<double>(worker.suspects);
 }
 
@@ -120,7 +121,7 @@
     const auto capacity = static_cast<double>(worker.report.capacity.millicores);
     for (const auto& group : worker.pressure.groups) {
         const auto factor = request.factors[group.image];
-        const auto spare = group.room - group.slowdown;
+        const auto spare = group.allowed_slowdown - group.slowdown;
         if (spare <= 0) {
             return no_room;
         }
@@ -173,9 +174,10 @@
         cost += get_slowdown_cost(worker, request) + fullness_weight * get_fill_cost(worker);
     } else if (spec.is_serving()) {
         cost += get_pack_cost(worker) + get_mixing_cost(worker, request) +
-                (worker.fills > 0 ? beside_filling_cost : 0) + (worker.servings > 0 ? 0 : first_serving_cost);
+                (worker.filling_runs > 0 ? beside_filling_cost : 0) +
+                (worker.serving_runs > 0 ? 0 : first_serving_cost);
     } else {
-        cost += get_pack_cost(worker) + (worker.fills > 0 ? short_beside_filling_cost : 0);
+        cost += get_pack_cost(worker) + (worker.filling_runs > 0 ? short_beside_filling_cost : 0);
     }
     if (!spec.affinity_rack.empty() && worker.report.rack != spec.affinity_rack) {
         cost += remote_data_cost;
--- a/poplarpitch/dispatch/pressure_model.cpp
+++ b/poplarpitch/dispatch/pressure_model.cpp
@@ -8,10 +8,10 @@
 
 constexpr double target_multiple = 5;      // a target is about five times the tail without load
 constexpr double min_base_share = 0.8;     // even the lowest observed tail contains some load
-constexpr double model_variance = 0.002;   // of base / tail: model error
-constexpr double tail_noise = 0.08;        // of a tail, relative measurement noise
-constexpr double drift_variance = 0.01;    // of the own load, each second: 0.1
-constexpr double max_load_variance = 0.06; // of the own load, which varies by half around its mean
+constexpr double model_variance = 0.002;   // variance of base / tail by the error of the model
+constexpr double tail_noise = 0.08;        // relative measurement noise of a tail latency
+constexpr double drift_variance = 0.01;    // of the own load, per second; a standard deviation of 0.1
+constexpr double max_load_variance = 0.06; // of the own load, which varies by 50% around its mean
 constexpr double saturated_ratio = 0.045;  // a lower base / tail only shows that the load is too high
 constexpr double max_factor = 8;
 constexpr double max_load = 0.9;
@@ -23,13 +23,13 @@
 } // namespace
 
 void serving_load::update_trend(double seconds) {
-    const double kept = std::exp(-seconds / trend_smoothing_s);
-    smoothed_load = kept * smoothed_load + (1 - kept) * load;
+    const double decay_factor = std::exp(-seconds / trend_smoothing_s);
+    smoothed_load = decay_factor * smoothed_load + (1 - decay_factor) * load;
     trend = (load - smoothed_load) / trend_smoothing_s;
 }
 
-double pressure_model::get_phase(double used_millicores, double asked_millicores) {
-    const double use = used_millicores / std::max(asked_millicores, 1.0);
+double pressure_model::get_interference_share(double used_millicores, double requested_millicores) {
+    const double use = used_millicores / std::max(requested_millicores, 1.0);
     return std::clamp((use - light_use) / (1 - light_use), light_phase, 1.0);
 }
 
@@ -59,7 +59,8 @@
     return found == m_lowest_tails.end() ? assumed : std::min(assumed, found->second * min_base_share);
 }
 
-double pressure_model::get_room(image_number image, double target_ms, double share, double load) const {
+double pressure_model::get_allowed_slowdown(image_number image, double target_ms, double share,
+                                            double load) const {
     const double rise = target_ms * share / get_base(image, target_ms);
     return rise / (1 + load * rise) - 1;
 }
@@ -97,19 +98,19 @@
     auto& lowest = m_lowest_tails.try_emplace(image, tail_ms).first->second;
     lowest = std::min(lowest, tail_ms);
     own_load.variance = std::min(own_load.variance + drift_variance * seconds_since_last, max_load_variance);
-    const double seen = std::min(1.0, get_base(image, target_ms) / tail_ms);
-    double slow = 1;
+    const double base_ratio = std::min(1.0, get_base(image, target_ms) / tail_ms);
+    double slowdown = 1;
     for (const auto& other : others) {
-        slow += m_factors[{image, other.image}].mean * other.share;
+        slowdown += m_factors[{image, other.image}].mean * other.share;
     }
-    const double noise = tail_noise * seen;
+    const double noise = tail_noise * base_ratio;
     double variance = own_load.variance + model_variance + noise * noise;
     for (const auto& other : others) {
-        const double slope = other.share / (slow * slow);
+        const double slope = other.share / (slowdown * slowdown);
         variance += m_factors[{image, other.image}].variance * slope * slope;
     }
-    const double error = seen - (1 / slow - own_load.load);
-    if (seen < saturated_ratio && error > 0) {
+    const double error = base_ratio - (1 / slowdown - own_load.load);
+    if (base_ratio < saturated_ratio && error > 0) {
         return; // the sample is saturated and adds no information
     }
     const double gain = own_load.variance / variance;
@@ -118,7 +119,7 @@
     own_load.update_trend(seconds_since_last);
     for (const auto& other : others) {
         auto& known = m_factors[{image, other.image}];
-        const double slope = -other.share / (slow * slow);
+        const double slope = -other.share / (slowdown * slowdown);
         const double own_gain = known.variance * slope / variance;
         known.mean = std::clamp(known.mean + own_gain * error, 0.0, max_factor);
         known.variance = std::max(known.variance * (1 - own_gain * slope), min_factor_variance);
--- a/poplarpitch/dispatch/worker_table.h
+++ b/poplarpitch/dispatch/worker_table.h
@@ -14,8 +14,8 @@
 /// All workers that the leader knows, and when each is due for a check.
 ///
 /// A worker's address in memory is stable while it is known, so that runs can point to it. The check times
-/// are stored in one dense array, and a pass over thousands of workers reads only that. Load pattern: 1,800
-/// workers of which 20 are due in a turn. Iterating over all of them in an ordered map took an eighth of the
+/// are stored in one dense array, and a pass over thousands of workers reads only that. Load pattern: of
+/// 1,800 workers, 20 are due in a turn. Iterating over all of them in an ordered map took an eighth of the
 /// leader's time. Thread safety: none, as for all methods.
 class worker_table {
 public:
@@ -50,7 +50,7 @@
     /// Returns the position of an incarnation in `m_all`, or where it would be inserted.
     [[nodiscard]] std::vector<worker_state*>::const_iterator
     find_position(const worker_incarnation& incarnation) const;
-    void renumber_from(std::size_t place);
+    void renumber_from(std::size_t position);
 
     std::map<worker_incarnation, worker_state> m_workers;
     absl::flat_hash_map<worker_incarnation, worker_state*> m_by_incarnation;
