--- a/poplarpitch/config/ini_document.cpp
+++ b/poplarpitch/config/ini_document.cpp
@@ -37,7 +37,7 @@
     if (first != sections.end()) {
         state.document.errors.push_back(
             {state.line,
-             absl::StrCat("section [", to_absl(header), "] is defined twice, first in line ", first->line)});
+             absl::StrCat("section [", to_absl(header), "] stands twice, first in line ", first->line)});
     }
     state.document.sections.push_back(std::move(section));
 }
@@ -59,7 +59,7 @@
         line = "";
     }
     if (line.find('\0') != std::string_view::npos) {
-        state.document.errors.push_back({state.line, "line contains a NUL byte"});
+        state.document.errors.push_back({state.line, "line holds a NUL byte"});
         line = "";
     }
     const auto stripped = strip(line);
@@ -80,8 +80,7 @@
 int on_value(void* user, const char* /*section*/, const char* name, const char* value) {
     auto& state = *static_cast<reader_state*>(user);
     if (state.document.sections.empty()) {
-        state.document.errors.push_back(
-            {state.line, absl::StrCat("'", name, "' appears before any section")});
+        state.document.errors.push_back({state.line, absl::StrCat("'", name, "' stands before any section")});
         return 1;
     }
     auto& entries = state.document.sections.back().entries;
@@ -92,7 +91,7 @@
     if (first != entries.end()) {
         state.document.errors.push_back(
             {state.line,
-             absl::StrCat("'", name, "' is defined twice in its section, first in line ", first->line)});
+             absl::StrCat("'", name, "' stands twice in its section, first in line ", first->line)});
     }
     entries.push_back({name, value, state.line});
     return 1;
--- a/poplarpitch/consensus/consensus_error.cpp
+++ b/poplarpitch/consensus/consensus_error.cpp
@@ -16,19 +16,19 @@
         case consensus_errc::overloaded:
             return "too many uncommitted changes";
         case consensus_errc::transfer_in_progress:
-            return "a leadership transfer is in progress";
+            return "leadership is being transferred";
         case consensus_errc::change_in_progress:
             return "a membership change is in progress";
         case consensus_errc::no_commit_in_term:
-            return "the leader has not committed an entry in its own term yet";
+            return "the leader has not committed in its own term yet";
         case consensus_errc::unknown_node:
             return "the node is not a member";
         case consensus_errc::not_caught_up:
-            return "the learner's log is too far behind";
+            return "the learner has not caught up";
         case consensus_errc::last_voter:
             return "the last voter cannot be removed";
         case consensus_errc::already_member:
-            return "the node is already a member";
+            return "the node is a member already";
         }
         return "unknown error";
     }
--- a/poplarpitch/entry/announcement_codec.cpp
+++ b/poplarpitch/entry/announcement_codec.cpp
@@ -32,7 +32,7 @@
         return {};
     }
     if (!found->is_string()) {
-        throw field_error(std::string("'") + key + "' must be a string");
+        throw field_error(std::string("'") + key + "' must be a text");
     }
     auto text = found->get<std::string>();
     const bool is_bad = text.size() > max_name_bytes || text.find_first_of(" \t\r\n\"/") != std::string::npos;
@@ -102,7 +102,7 @@
         return {};
     }
     if (!found->is_string()) {
-        throw field_error(std::string("'") + key + "' must be a string");
+        throw field_error(std::string("'") + key + "' must be a text");
     }
     auto text = found->get<std::string>();
     if (text.size() > limit) {
@@ -154,7 +154,7 @@
         running_task task{read_name(item, "job", true), read_number(item, "attempt"),
                           milliseconds{read_amount(item, "unsaved_ms")}};
         if (!jobs.insert(task.job).second) {
-            throw field_error("task '" + task.job + "' is listed twice");
+            throw field_error("task '" + task.job + "' stands twice");
         }
         value.tasks.push_back(std::move(task));
     }
@@ -209,7 +209,7 @@
     } catch (const field_error& error) {
         return codec_error{error.what()};
     } catch (const json::exception& error) {
-        return codec_error{std::string("the body is not valid JSON: ") + error.what()};
+        return codec_error{std::string("the body is no valid JSON: ") + error.what()};
     }
 }
 
--- a/poplarpitch/entry/call_handler.cpp
+++ b/poplarpitch/entry/call_handler.cpp
@@ -132,10 +132,10 @@
     const bool is_own = known.request_id() == own_id && known.entry() == m_entry_id &&
                         known.phase() == static_cast<std::uint32_t>(intent_phase::begun);
     if (code == state_errc::key_conflict) {
-        return make_refused(422, "key_conflict", "the key was already used with a different request", {});
+        return make_refused(422, "key_conflict", "the key was used with another request", {});
     }
     if (code == state_errc::intents_full) {
-        return make_refused(503, "keys_full", "the table of idempotency keys is full", default_retry_after);
+        return make_refused(503, "keys_full", "too many keys are remembered at present", default_retry_after);
     }
     if (outcome.code() != 0 && !is_own) {
         if (known.phase() == static_cast<std::uint32_t>(intent_phase::answered)) {
@@ -291,7 +291,7 @@
     if (is_cancelled && exchange.progress != exchange_progress::answered) {
         const bool is_sent = exchange.progress == exchange_progress::maybe_sent;
         m_state.finish(grant, is_sent ? attempt_result::abandoned : attempt_result::refused, latency);
-        return {make_unknown("cancelled", "another copy of the request was answered first"), false};
+        return {make_unknown("cancelled", "another copy was faster"), false};
     }
     if (exchange.progress == exchange_progress::not_sent) {
         m_state.finish(grant, attempt_result::not_sent, latency);
@@ -308,7 +308,7 @@
         const auto* code = is_foreign ? "foreign_answer" : "no_answer";
         return {make_unknown(code, exchange.error == transport_errc::too_large
                                        ? "the answer is too large"
-                                       : "no complete answer arrived in time"),
+                                       : "no whole answer came in time"),
                 call.is_idempotent, 1};
     }
     const auto refused = exchange.response.headers.get(header_refused);
@@ -348,16 +348,14 @@
     // The other entry answers by the deadline; the margin leaves time for that answer to arrive.
     auto exchange = m_targets.send(decision.address, outgoing, call.deadline + milliseconds{50}, choice);
     if (exchange.progress == exchange_progress::not_sent) {
-        return make_refused(503, "entry_unreachable",
-                            "the entry that the request was forwarded to could not be reached",
+        return make_refused(503, "entry_unreachable", "the owning entry could not be reached",
                             default_retry_after);
     }
     const bool is_own_answer = exchange.progress == exchange_progress::answered &&
                                exchange.response.headers.get(header_request_id) == call.request_id;
     if (!is_own_answer) {
         m_targets.drop(decision.address);
-        return make_unknown("no_answer",
-                            "the entry that the request was forwarded to did not answer in time");
+        return make_unknown("no_answer", "the owning entry did not answer in time");
     }
     call_result result;
     const auto outcome = exchange.response.headers.get(header_outcome);
--- a/poplarpitch/entry/call_reader.cpp
+++ b/poplarpitch/entry/call_reader.cpp
@@ -39,14 +39,14 @@
     call.path_suffix = end == std::string::npos ? "" : rest.substr(end);
     const auto* service = settings.find_service(call.service);
     if (service == nullptr) {
-        return refuse("unknown_service", absl::StrCat("unknown service '", call.service, "'"), 404);
+        return refuse("unknown_service", absl::StrCat("no service is called '", call.service, "'"), 404);
     }
     call.tenant = request.headers.get(header_tenant);
     if (call.tenant.empty()) {
         call.tenant = default_tenant;
     } else if (settings.find_tenant(call.tenant) == nullptr) {
         return refuse("unknown_tenant",
-                      absl::StrCat("unknown tenant '", call.tenant.substr(0, max_key_length), "'"));
+                      absl::StrCat("no tenant is called '", call.tenant.substr(0, max_key_length), "'"));
     }
     call.deadline = now + service->deadline;
     if (request.headers.has(header_deadline)) {
@@ -80,13 +80,12 @@
         call.lost_attempts = std::max(lost_attempts, 0);
     }
     if (call.key.empty() && !call.is_idempotent && service->require_key && !call.is_forwarded) {
-        return refuse("key_required", absl::StrCat("service '", call.service, "' requires an ", header_key,
+        return refuse("key_required", absl::StrCat("service '", call.service, "' wants an ", header_key,
                                                    " for requests that are not idempotent"));
     }
     call.request_id = request.headers.get(header_request_id);
     if (!call.request_id.empty() && !is_name(call.request_id)) {
-        return refuse("bad_request_id",
-                      absl::StrCat(header_request_id, " must consist of visible characters"));
+        return refuse("bad_request_id", absl::StrCat(header_request_id, " must be visible characters"));
     }
     return call;
 }
--- a/poplarpitch/entry/entry_daemon.cpp
+++ b/poplarpitch/entry/entry_daemon.cpp
@@ -108,7 +108,7 @@
         const auto path = request.get_path();
         if (path == "/v1/targets/announce" && request.method == "POST") {
             if (!m_is_serving) {
-                return make_error_response(503, "not_ready", "this entry is starting or stopping");
+                return make_error_response(503, "not_ready", "this entry starts or stops");
             }
             return m_announcements->handle(request);
         }
--- a/poplarpitch/entry/entry_state.cpp
+++ b/poplarpitch/entry/entry_state.cpp
@@ -166,7 +166,7 @@
         return std::move(*self.grant);
     }
     m_dispatcher.cancel_wait(call.service, wait.ticket);
-    return refusal{503, "too_late", "no slot became free in time", m_dispatcher.get_median(call.service)};
+    return refusal{503, "too_late", "no slot came free in time", m_dispatcher.get_median(call.service)};
 }
 
 void entry_state::grant_waiting(time_point now) {
--- a/poplarpitch/entry/job_codec.cpp
+++ b/poplarpitch/entry/job_codec.cpp
@@ -68,7 +68,7 @@
 std::variant<wire::job, codec_error> decode_job(const std::string& text, const configuration& settings) {
     const auto object = json::parse(text, nullptr, false);
     if (object.is_discarded() || !object.is_object()) {
-        return codec_error{"the body is not a JSON object"};
+        return codec_error{"the body is no JSON object"};
     }
     const auto unknown = find_unknown_key(object);
     if (!unknown.empty()) {
@@ -85,12 +85,12 @@
     }
     job.set_tenant(get_text("tenant"));
     if (settings.find_tenant(job.tenant()) == nullptr) {
-        return codec_error{absl::StrCat("unknown tenant '", job.tenant(), "'")};
+        return codec_error{absl::StrCat("no tenant is called '", job.tenant(), "'")};
     }
     job.set_batch(get_text("batch"));
     const auto* batch = settings.find_batch(job.batch());
     if (batch == nullptr) {
-        return codec_error{absl::StrCat("unknown batch class '", job.batch(), "'")};
+        return codec_error{absl::StrCat("no batch class is called '", job.batch(), "'")};
     }
     job.set_payload(get_text("payload"));
     if (job.payload().size() > max_payload_bytes) {
--- a/poplarpitch/entry/job_handler.cpp
+++ b/poplarpitch/entry/job_handler.cpp
@@ -125,7 +125,7 @@
         return make_control_error(answer.error());
     }
     if (!answer.value().found()) {
-        return make_error_response(404, "unknown_job", absl::StrCat("unknown job '", id, "'"));
+        return make_error_response(404, "unknown_job", absl::StrCat("no job is called '", id, "'"));
     }
     http_response response;
     response.body = encode_job(answer.value().jobs(0)) + "\n";
@@ -213,7 +213,7 @@
         if (id.is_string()) {
             commands.push_back(make_cancel(id.get<std::string>()));
         } else {
-            refused.push_back(describe_refusal("", 400, "bad_id", "an id must be a string"));
+            refused.push_back(describe_refusal("", 400, "bad_id", "an id must be a text"));
         }
     }
     return commit_job_commands(std::move(commands), std::move(refused));
--- a/poplarpitch/entry/operator_answers.cpp
+++ b/poplarpitch/entry/operator_answers.cpp
@@ -19,8 +19,8 @@
     const bool is_unknown = error == make_error_code(transport_errc::timed_out);
     if (is_unknown) {
         return make_error_response(504, "unknown",
-                                   "control did not answer: the change may still be accepted; send it "
-                                   "again with the same id to find out");
+                                   "no answer from control: the change may yet be accepted; send it again "
+                                   "with the same id to find out");
     }
     return make_error_response(503, "no_control", error.message());
 }
--- a/poplarpitch/entry/operator_handler.cpp
+++ b/poplarpitch/entry/operator_handler.cpp
@@ -102,7 +102,7 @@
     response.content_type = "text/plain";
     if (!answer.value().found()) {
         if (version != 0) {
-            return make_error_response(404, "unknown_version", "this version is not stored");
+            return make_error_response(404, "unknown_version", "this version is not kept");
         }
         response.headers.add("ETag", "\"0\"");
         return response;
@@ -116,10 +116,10 @@
     std::uint64_t base = 0;
     if (!read_version(request.headers.get("If-Match"), base)) {
         return make_error_response(428, "version_required",
-                                   "If-Match must contain the version that this change is based on");
+                                   "If-Match must name the version this change was made for");
     }
     if (request.body.size() > max_config_bytes) {
-        return make_error_response(413, "body_too_large", "a configuration may have at most 1 MB");
+        return make_error_response(413, "body_too_large", "a configuration has at most 1 MB");
     }
     const auto parsed = parse_configuration(request.body);
     if (!parsed.errors.empty()) {
@@ -265,7 +265,7 @@
 
 http_response operator_handler::change_entry(const std::string& entry, const std::string& verb) {
     if (verb != "drain" && verb != "resume") {
-        return make_error_response(404, "unknown_verb", "the actions for an entry are drain and resume");
+        return make_error_response(404, "unknown_verb", "an entry takes drain and resume");
     }
     wire::query_request query;
     query.set_kind(wire::query_members);
@@ -287,9 +287,9 @@
         }
         return outcome.value().code() == 0 ? make_json({{"done", true}}) : make_state_error(outcome.value());
     }
-    return make_error_response(404, "unknown_member",
-                               absl::StrCat("no entry has a session with the id '", entry,
-                                            "'; control instances are identified by their number"));
+    return make_error_response(
+        404, "unknown_member",
+        absl::StrCat("no entry has a session as '", entry, "'; control instances are named by their number"));
 }
 
 http_response operator_handler::change_control(std::uint64_t node, const std::string& verb) {
--- a/poplarpitch/entry/request_dispatcher.cpp
+++ b/poplarpitch/entry/request_dispatcher.cpp
@@ -46,7 +46,7 @@
 admission_decision request_dispatcher::admit(const call_info& call, time_point now) {
     const auto found = m_services.find(call.service);
     if (found == m_services.end() || m_settings->find_service(call.service) == nullptr) {
-        return refusal{404, "unknown_service", absl::StrCat("unknown service '", call.service, "'"), {}};
+        return refusal{404, "unknown_service", absl::StrCat("no service is called '", call.service, "'"), {}};
     }
     auto& state = found->second;
     if (call.deadline <= now) {
@@ -67,16 +67,15 @@
     const auto* tenant = m_settings->find_tenant(call.tenant);
     const auto limit = tenant == nullptr ? tenant_settings{}.max_in_flight : tenant->max_in_flight;
     if (m_tenant_requests[call.tenant] >= limit) {
-        return refusal{
-            429, "tenant_limit",
-            absl::StrCat("tenant '", call.tenant, "' already has ", limit, " requests at this entry"),
-            min_retry_after};
+        return refusal{429, "tenant_limit",
+                       absl::StrCat("tenant '", call.tenant, "' has ", limit, " requests here"),
+                       min_retry_after};
     }
     const auto missing = m_dependencies->find_unavailable(
         call.service, [this](const std::string& need) { return can_serve(need); });
     if (!missing.empty()) {
         return make_retryable_refusal(state, "dependency_down",
-                                      absl::StrCat("the required service '", missing, "' is unavailable"));
+                                      absl::StrCat("service '", missing, "', which it needs, is down"));
     }
     return std::nullopt;
 }
@@ -104,14 +103,14 @@
             return forward_decision{entry->id, entry->address};
         }
         return make_retryable_refusal(state, "no_target",
-                                      absl::StrCat("no target currently serves '", call.service, "'"));
+                                      absl::StrCat("no target serves '", call.service, "' at present"));
     }
     if (static_cast<std::int64_t>(state.queue.get_size()) >= state.settings.max_queue) {
-        return make_retryable_refusal(state, "queue_full", "too many requests are already waiting");
+        return make_retryable_refusal(state, "queue_full", "too many requests wait already");
     }
     const auto expected_end = now + estimate_wait(state, call.deadline) + state.latency.get_p99();
     if (expected_end > call.deadline) {
-        return make_retryable_refusal(state, "too_late", "the request could not finish before its deadline");
+        return make_retryable_refusal(state, "too_late", "it could not end before its deadline");
     }
     const admission_ticket ticket{++m_last_ticket, call.tenant, call.deadline};
     state.queue.push(ticket);
--- a/poplarpitch/entry/task_agent_events.cpp
+++ b/poplarpitch/entry/task_agent_events.cpp
@@ -57,8 +57,7 @@
             const bool is_due = now - task.since >= m_settings.resend_after;
             if (task.phase == task_phase::to_start &&
                 (worker.is_leaving || now - task.since > m_settings.capacity_wait)) {
-                events.push_back(
-                    make_event(task, id, wire::event_refused, "no capacity on the worker", wall_ms));
+                events.push_back(make_event(task, id, wire::event_refused, "no room on the worker", wall_ms));
             } else if (worker.is_silent && task.phase != task_phase::ended && !task.is_lost_in_log &&
                        is_due) {
                 // A task whose start was never sent is not lost; it is returned to control as refused.
@@ -100,8 +99,7 @@
     if (answer != start_result::started) {
         m_fleet.end_task(*worker, task);
         task.phase = task_phase::ended;
-        return {
-            make_event(task, action.worker, wire::event_refused, "the worker refused the start", wall_ms)};
+        return {make_event(task, action.worker, wire::event_refused, "the worker refused it", wall_ms)};
     }
     if (task.phase == task_phase::starting) {
         task.phase = task_phase::running;
@@ -217,8 +215,8 @@
         const bool is_same_process = task.incarnation == message.incarnation;
         if (task.phase == task_phase::withdrawing && is_same_process && !task.is_running_in_log) {
             if (task.is_stop_answered && message.sequence > task.stop_sequence) {
-                events.push_back({0, make_event(task, message.id, wire::event_refused,
-                                                "the worker refused the start", wall_ms)});
+                events.push_back(
+                    {0, make_event(task, message.id, wire::event_refused, "the worker refused it", wall_ms)});
             }
             continue;
         }
@@ -232,7 +230,7 @@
             events.push_back({0, make_event(task, message.id, wire::event_absent, "", wall_ms)});
         } else if (!is_same_process || now - task.since > m_settings.missing_task_wait) {
             events.push_back({0, is_same_process ? make_event(task, message.id, wire::event_lost,
-                                                              "its worker does not list it", wall_ms)
+                                                              "its worker does not know it", wall_ms)
                                                  : make_crash_event(task, message.id, wall_ms)});
         }
     }
--- a/poplarpitch/gateway/gateway_daemon.cpp
+++ b/poplarpitch/gateway/gateway_daemon.cpp
@@ -132,13 +132,11 @@
             add_retry_after(response, outcome.retry_after);
             return response;
         case relay_outcome::kind::not_read:
-            response = make_error_response(
-                503, "no_answer", "no answer from the leader; nothing was changed, repeat the request");
+            response = make_error_response(503, "no_answer", "nothing was changed: ask again");
             add_retry_after(response, outcome.retry_after);
             return response;
         case relay_outcome::kind::unknown:
-            return make_error_response(504, "unknown",
-                                       "no answer from the leader; repeat the request with the same id");
+            return make_error_response(504, "unknown", "no answer came; send it again under the same id");
         }
         return response;
     }
--- a/poplarpitch/scheduler/control_service.h
+++ b/poplarpitch/scheduler/control_service.h
@@ -85,7 +85,7 @@
                 respond(make_response(200, body));
                 return;
             }
-            respond(make_error_response(503, "unknown", "leadership was lost; retry the request"));
+            respond(make_error_response(503, "unknown", "leadership was lost; send it again"));
         };
     }
 
@@ -136,8 +136,7 @@
         m_parts.log.read([this, respond = std::move(respond)](bool is_confirmed) {
             const auto& configuration = m_parts.job_state.get_configuration();
             if (!is_confirmed || configuration.version == 0) {
-                respond(
-                    make_error_response(503, "unsure", "the newest configuration cannot be confirmed here"));
+                respond(make_error_response(503, "unsure", "the newest configuration is not known here"));
                 return;
             }
             respond(make_response(200, configuration.document));
--- a/poplarpitch/state/state_error.cpp
+++ b/poplarpitch/state/state_error.cpp
@@ -12,7 +12,7 @@
     [[nodiscard]] std::string message(int code) const override {
         switch (static_cast<state_errc>(code)) {
         case state_errc::version_conflict:
-            return "the configuration version has changed";
+            return "the configuration has another version by now";
         case state_errc::invalid_config:
             return "the configuration text has errors";
         case state_errc::unknown_session:
@@ -20,7 +20,7 @@
         case state_errc::unknown_worker:
             return "no such worker";
         case state_errc::stale_epoch:
-            return "the worker's owner has changed";
+            return "the worker has another owner by now";
         case state_errc::unknown_job:
             return "no such job";
         case state_errc::stale_attempt:
@@ -34,23 +34,23 @@
         case state_errc::unknown_batch:
             return "no batch class has this name";
         case state_errc::not_allowed:
-            return "the state of the record does not allow this command";
+            return "the record's state does not allow this";
         case state_errc::key_in_use:
             return "the idempotency key is in use";
         case state_errc::key_conflict:
-            return "the idempotency key was used with a different request";
+            return "the idempotency key was used with another request";
         case state_errc::unknown_intent:
             return "no request with this idempotency key is known";
         case state_errc::intents_full:
-            return "the table of idempotency keys is full";
+            return "too many idempotency keys are remembered";
         case state_errc::malformed:
-            return "the command is malformed";
+            return "the command cannot be read";
         case state_errc::never_fits:
             return "no worker could ever hold the job";
         case state_errc::address_taken:
             return "another target uses this id";
         case state_errc::jobs_full:
-            return "the table of jobs has no room; retry when some have ended";
+            return "the records of all jobs take all the room there is; come back when some have ended";
         }
         return "unknown error";
     }
--- a/poplarpitch/transport/transport_error.cpp
+++ b/poplarpitch/transport/transport_error.cpp
@@ -18,11 +18,11 @@
         case transport_errc::no_leader:
             return "no control instance leads";
         case transport_errc::refused:
-            return "the peer refused the request";
+            return "the peer refused";
         case transport_errc::too_large:
             return "the answer is too large";
         case transport_errc::bad_answer:
-            return "the answer cannot be parsed";
+            return "the answer cannot be read";
         case transport_errc::listen_failed:
             return "cannot listen on the address";
         }
--- a/unit_tests/entry/call_handler_test.cpp
+++ b/unit_tests/entry/call_handler_test.cpp
@@ -97,8 +97,7 @@
 
     http_response answer_as_entry(const http_request& request) {
         ++m_other_calls;
-        auto response =
-            make_error_response(503, "too_late", "the request could not finish before its deadline");
+        auto response = make_error_response(503, "too_late", "it could not end before its deadline");
         response.headers.add(header_outcome, outcome_not_run);
         response.headers.add(header_request_id, request.headers.get(header_request_id));
         return response;
