--- a/poplarpitch/config/configuration_parser.cpp
+++ b/poplarpitch/config/configuration_parser.cpp
@@ -149,7 +149,7 @@
             for (const auto& name : service.depends) {
                 if (m_parsed.value.find_service(name) == nullptr) {
                     m_parsed.errors.push_back({m_dependency_lines[service.name],
-                                               absl::StrCat("depends: no service is called '", name, "'")});
+                                               absl::StrCat("depends: no service is named '", name, "'")});
                 }
             }
         }
