--- a/performance_test/control_slopes.cpp
+++ b/performance_test/control_slopes.cpp
@@ -1,6 +1,6 @@
 // Measures how memory use, snapshot and session renewals of control grow with the size of the replicated
 // state, for docs/CAPACITY.md.
-#include "poplarpitch/control/renew_answerer.h"
+#include "poplarpitch/control/renew_answer_builder.h"
 #include "poplarpitch/control/session_registry.h"
 #include "poplarpitch/state/state_machine.h"
 
--- a/performance_test/decision_benchmark.cpp
+++ b/performance_test/decision_benchmark.cpp
@@ -3,7 +3,7 @@
 #include "poplarpitch/config/configuration_parser.h"
 #include "poplarpitch/control/job_scheduler.h"
 #include "poplarpitch/control/leader_duties.h"
-#include "poplarpitch/control/renew_answerer.h"
+#include "poplarpitch/control/renew_answer_builder.h"
 #include "poplarpitch/entry/owned_fleet.h"
 #include "poplarpitch/policy/admission_queue.h"
 #include "poplarpitch/policy/best_fit_router.h"
--- a/poplarpitch/control/control_node_calls.cpp
+++ b/poplarpitch/control/control_node_calls.cpp
@@ -2,8 +2,8 @@
 // answer of the control thread.
 #include "poplarpitch/control/control_node.h"
 
-#include "poplarpitch/control/query_answerer.h"
-#include "poplarpitch/control/renew_answerer.h"
+#include "poplarpitch/control/query_answer_builder.h"
+#include "poplarpitch/control/renew_answer_builder.h"
 #include "poplarpitch/core/answer_slot.h"
 #include "poplarpitch/telemetry/log_event.h"
 
--- a/poplarpitch/control/job_scheduler.cpp
+++ b/poplarpitch/control/job_scheduler.cpp
@@ -180,7 +180,7 @@
 bool job_scheduler::is_known_unplaceable(const placement_request& request) const {
     return std::any_of(m_unplaceable.begin(), m_unplaceable.end(), [&](const unplaceable_need& unplaceable) {
         return unplaceable.batch == request.batch && unplaceable.is_urgent == request.is_urgent &&
-               request.need.holds(unplaceable.need);
+               request.need.can_fit(unplaceable.need);
     });
 }
 
@@ -222,12 +222,12 @@
     std::optional<wire::job> victim;
     for (std::size_t index = 0; index < m_candidates.size(); ++index) {
         const auto& candidate = m_candidates[index];
-        if (!candidate.is_open || !candidate.capacity.holds(need)) {
+        if (!candidate.is_open || !candidate.capacity.can_fit(need)) {
             continue;
         }
         state.get_jobs().for_each_active_on(m_candidate_ids[index], 0, [&](const wire::job& job) {
             const bool is_ending = job.evict_requested() || job.cancel_requested();
-            const bool is_enough = (candidate.free + decode(job.reserved())).holds(need);
+            const bool is_enough = (candidate.free + decode(job.reserved())).can_fit(need);
             if (job.urgent() || is_ending || !is_enough || job.state() != wire::job_running) {
                 return;
             }
@@ -274,7 +274,8 @@
         }
         const auto job = best->pop_head();
         const auto need = decode(job.need());
-        if (!state.get_fleet().get_workers().empty() && !state.get_fleet().can_ever_hold(need)) {
+        if (!state.get_fleet().get_workers().empty() &&
+            !state.get_fleet().has_worker_with_capacity_for(need)) {
             wire::command command;
             auto& event = *command.mutable_event();
             event.set_job(job.id());
--- a/poplarpitch/control/query_answerer.cpp
+++ b/poplarpitch/control/query_answer_builder.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/control/query_answerer.h"
+#include "poplarpitch/control/query_answer_builder.h"
 
 #include "poplarpitch/state/state_machine.h"
 
--- a/poplarpitch/control/renew_answerer.cpp
+++ b/poplarpitch/control/renew_answer_builder.cpp
@@ -1,4 +1,4 @@
-#include "poplarpitch/control/renew_answerer.h"
+#include "poplarpitch/control/renew_answer_builder.h"
 
 #include "poplarpitch/control/session_registry.h"
 #include "poplarpitch/state/state_machine.h"
--- a/poplarpitch/core/resources.h
+++ b/poplarpitch/core/resources.h
@@ -15,7 +15,7 @@
     friend bool operator==(const resources&, const resources&) = default;
 
     /// Returns true when `part` fits into this amount in every dimension. Thread safety: any thread.
-    [[nodiscard]] constexpr bool holds(const resources& part) const noexcept {
+    [[nodiscard]] constexpr bool can_fit(const resources& part) const noexcept {
         return part.slots <= slots && part.millicores <= millicores && part.memory <= memory &&
                part.accelerators <= accelerators;
     }
--- a/poplarpitch/entry/call_handler.cpp
+++ b/poplarpitch/entry/call_handler.cpp
@@ -10,7 +10,7 @@
 #include "poplarpitch/state/intent_table.h"
 #include "poplarpitch/telemetry/metrics_registry.h"
 #include "poplarpitch/transport/control_client.h"
-#include "poplarpitch/transport/http_cancel.h"
+#include "poplarpitch/transport/http_cancel_token.h"
 #include "poplarpitch/transport/http_client_pool.h"
 #include "poplarpitch/transport/transport_error.h"
 
@@ -231,7 +231,7 @@
 
 call_handler::attempt_outcome call_handler::send_attempt(const call_info& call, const http_request& request,
                                                          const request_grant& grant, bool is_retry,
-                                                         http_cancel* cancel) {
+                                                         http_cancel_token* cancel) {
     const auto outgoing = make_target_request(call, request, grant);
     auto choice = connection_choice::pooled;
     if (is_retry) {
--- a/poplarpitch/entry/call_handler.h
+++ b/poplarpitch/entry/call_handler.h
@@ -17,7 +17,7 @@
 
 class control_client;
 class entry_state;
-class http_cancel;
+class http_cancel_token;
 class http_client_pool;
 class metrics_registry;
 class session_lease;
@@ -57,7 +57,7 @@
         int lost = 0; ///< attempts without an answer from their target
     };
     attempt_outcome send_attempt(const call_info& call, const http_request& request,
-                                 const request_grant& grant, bool is_retry, http_cancel* cancel);
+                                 const request_grant& grant, bool is_retry, http_cancel_token* cancel);
     /// Sends an attempt and, when its answer is late, a second copy to another worker. Returns the first good
     /// answer.
     attempt_outcome send_hedged(const call_info& call, const http_request& request,
--- a/poplarpitch/entry/entry_daemon.cpp
+++ b/poplarpitch/entry/entry_daemon.cpp
@@ -15,9 +15,9 @@
 #include "poplarpitch/telemetry/log_event.h"
 #include "poplarpitch/telemetry/metrics_registry.h"
 #include "poplarpitch/transport/control_client.h"
-#include "poplarpitch/transport/growing_task_queue.h"
 #include "poplarpitch/transport/http_client_pool.h"
 #include "poplarpitch/transport/http_server.h"
+#include "poplarpitch/transport/thread_pool.h"
 
 #include <absl/strings/match.h>
 #include <absl/strings/str_cat.h>
@@ -195,7 +195,7 @@
         m_server.stop();
         m_is_control_stopped = true;
         m_control_thread.join();
-        m_task_threads.finish();
+        m_task_threads.shut_down();
         m_events.finish();
         m_session_keeper->close();
         log_event(log_level::info, "stopped").add("entry", m_settings.id);
@@ -230,7 +230,7 @@
     event_batcher<control_client> m_events;
     operator_handler m_operators;
     task_caller m_tasks;
-    growing_task_queue m_task_threads{m_entry_settings.task_threads};
+    thread_pool m_task_threads{m_entry_settings.task_threads};
     std::unique_ptr<announce_handler> m_announcements;
     std::unique_ptr<session_keeper> m_session_keeper;
     std::thread m_control_thread;
--- a/poplarpitch/entry/hedge_timer.cpp
+++ b/poplarpitch/entry/hedge_timer.cpp
@@ -16,7 +16,7 @@
         m_changed.Signal();
     }
     m_timer_thread.join();
-    m_threads.finish();
+    m_threads.shut_down();
 }
 
 std::uint64_t hedge_timer::schedule(time_point due, std::function<void()> work) {
--- a/poplarpitch/entry/hedge_timer.h
+++ b/poplarpitch/entry/hedge_timer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "poplarpitch/core/time.h"
-#include "poplarpitch/transport/growing_task_queue.h"
+#include "poplarpitch/transport/thread_pool.h"
 
 #include <absl/synchronization/mutex.h>
 
@@ -35,7 +35,7 @@
 
     void wait_and_run();
 
-    growing_task_queue m_threads;
+    thread_pool m_threads;
     absl::Mutex m_mutex;
     absl::CondVar m_changed;
     std::multimap<time_point, item> m_items ABSL_GUARDED_BY(m_mutex);
--- a/poplarpitch/entry/hedged_call.h
+++ b/poplarpitch/entry/hedged_call.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "poplarpitch/transport/http_cancel.h"
+#include "poplarpitch/transport/http_cancel_token.h"
 
 #include <absl/synchronization/mutex.h>
 
@@ -24,7 +24,7 @@
     }
 
     /// Called when a copy has ended. The first good answer wins and cancels `other`.
-    void finish(Answer answer, bool is_good, bool is_second, http_cancel& other) {
+    void finish(Answer answer, bool is_good, bool is_second, http_cancel_token& other) {
         bool has_won = false;
         {
             const absl::MutexLock lock(&m_mutex);
@@ -56,8 +56,8 @@
         return std::move(m_answer);
     }
 
-    http_cancel first;  ///< cancels the first copy
-    http_cancel second; ///< cancels the second copy
+    http_cancel_token first;  ///< cancels the first copy
+    http_cancel_token second; ///< cancels the second copy
 
 private:
     absl::Mutex m_mutex;
--- a/poplarpitch/policy/baseline_placers.cpp
+++ b/poplarpitch/policy/baseline_placers.cpp
@@ -6,7 +6,7 @@
                                                   const placement_request& request,
                                                   const interference_model& /*interference*/) const {
     for (std::size_t index = 0; index < candidates.size(); ++index) {
-        if (candidates[index].is_open && candidates[index].free.holds(request.need)) {
+        if (candidates[index].is_open && candidates[index].free.can_fit(request.need)) {
             return index;
         }
     }
@@ -21,7 +21,7 @@
         const auto& candidate = candidates[index];
         const bool is_better =
             !best.has_value() || candidate.free.millicores > candidates[*best].free.millicores;
-        if (candidate.is_open && candidate.free.holds(request.need) && is_better) {
+        if (candidate.is_open && candidate.free.can_fit(request.need) && is_better) {
             best = index;
         }
     }
--- a/poplarpitch/policy/cost_placer.cpp
+++ b/poplarpitch/policy/cost_placer.cpp
@@ -81,7 +81,7 @@
     float best_cost = 0;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         const auto& candidate = candidates[index];
-        if (!candidate.is_open || candidate.has_failed_before || !candidate.free.holds(request.need)) {
+        if (!candidate.is_open || candidate.has_failed_before || !candidate.free.can_fit(request.need)) {
             continue;
         }
         const float growth = get_growth(candidate, request, interference);
--- a/poplarpitch/policy/worker_ledger.cpp
+++ b/poplarpitch/policy/worker_ledger.cpp
@@ -10,7 +10,7 @@
 
 bool worker_ledger::try_acquire(grant_id id, const resources& need) {
     assert(need.is_valid());
-    if (!m_is_open || !get_free().holds(need)) {
+    if (!m_is_open || !get_free().can_fit(need)) {
         return false;
     }
     return adopt(id, need);
@@ -37,7 +37,7 @@
 bool worker_ledger::resize(grant_id id, const resources& need) {
     assert(need.is_valid());
     const auto found = m_grants.find(id);
-    if (found == m_grants.end() || !(get_free() + found->second).holds(need)) {
+    if (found == m_grants.end() || !(get_free() + found->second).can_fit(need)) {
         return false;
     }
     m_granted += need - found->second;
--- a/poplarpitch/stand_in/stand_in_worker.cpp
+++ b/poplarpitch/stand_in/stand_in_worker.cpp
@@ -142,7 +142,7 @@
 bool stand_in_worker::has_room(const resources& need) const {
     auto used = m_tasks.get_reserved();
     used.slots += static_cast<std::int64_t>(m_requests.size());
-    return m_settings.capacity.holds(used + need);
+    return m_settings.capacity.can_fit(used + need);
 }
 
 duration stand_in_worker::sample_service_time(const std::string& service) {
--- a/poplarpitch/state/fleet_table.cpp
+++ b/poplarpitch/state/fleet_table.cpp
@@ -171,9 +171,9 @@
     return found == m_owned_change.end() ? 0 : found->second;
 }
 
-bool fleet_table::can_ever_hold(const resources& need) const {
+bool fleet_table::has_worker_with_capacity_for(const resources& need) const {
     return std::any_of(m_workers.begin(), m_workers.end(),
-                       [&](const auto& item) { return decode(item.second.capacity()).holds(need); });
+                       [&](const auto& item) { return decode(item.second.capacity()).can_fit(need); });
 }
 
 void fleet_table::save(wire::state_snapshot& snapshot) const {
--- a/poplarpitch/state/fleet_table.h
+++ b/poplarpitch/state/fleet_table.h
@@ -55,7 +55,7 @@
     /// Returns the log index at which the workers of `entry` last changed.
     [[nodiscard]] log_index get_owned_change_index(const std::string& entry) const;
     /// Returns true if the total capacity of some registered worker is enough for `need`.
-    [[nodiscard]] bool can_ever_hold(const resources& need) const;
+    [[nodiscard]] bool has_worker_with_capacity_for(const resources& need) const;
 
     /// Writes all sessions and workers into a snapshot.
     void save(wire::state_snapshot& snapshot) const;
--- a/poplarpitch/state/state_machine.cpp
+++ b/poplarpitch/state/state_machine.cpp
@@ -138,7 +138,7 @@
     } else if (settings->find_batch(submitted.batch()) == nullptr) {
         error = state_errc::unknown_batch;
     } else if (!m_jobs.has(submitted.id()) && !m_fleet.get_workers().empty() &&
-               !m_fleet.can_ever_hold(decode(submitted.need()))) {
+               !m_fleet.has_worker_with_capacity_for(decode(submitted.need()))) {
         error = state_errc::never_fits;
     } else {
         error = m_jobs.submit(submitted, tenant->max_jobs, index);
--- a/poplarpitch/transport/http_cancel.cpp
+++ b/poplarpitch/transport/http_cancel_token.cpp
@@ -1,8 +1,8 @@
-#include "poplarpitch/transport/http_cancel.h"
+#include "poplarpitch/transport/http_cancel_token.h"
 
 namespace poplarpitch {
 
-void http_cancel::cancel() {
+void http_cancel_token::cancel() {
     const absl::MutexLock lock(&m_mutex);
     m_is_cancelled = true;
     if (m_stop) {
@@ -10,12 +10,12 @@
     }
 }
 
-bool http_cancel::is_cancelled() const {
+bool http_cancel_token::is_cancelled() const {
     const absl::MutexLock lock(&m_mutex);
     return m_is_cancelled;
 }
 
-bool http_cancel::attach(std::function<void()> stop) {
+bool http_cancel_token::attach(std::function<void()> stop) {
     const absl::MutexLock lock(&m_mutex);
     if (m_is_cancelled) {
         return false;
@@ -24,7 +24,7 @@
     return true;
 }
 
-void http_cancel::detach() {
+void http_cancel_token::detach() {
     const absl::MutexLock lock(&m_mutex);
     m_stop = nullptr;
 }
--- a/poplarpitch/transport/http_cancel.h
+++ b/poplarpitch/transport/http_cancel_token.h
@@ -9,7 +9,7 @@
 /// Cancellation token of an HTTP exchange. Another thread can cancel the exchange while it waits for its
 /// answer: the waiting call then returns at once without one. The peer may still process what was sent.
 /// Thread safety: any thread, for all methods.
-class http_cancel {
+class http_cancel_token {
 public:
     /// Cancels the exchange, or prevents it from starting.
     void cancel();
--- a/poplarpitch/transport/http_client_pool.cpp
+++ b/poplarpitch/transport/http_client_pool.cpp
@@ -2,7 +2,7 @@
 
 #include "poplarpitch/core/system_clock.h"
 #include "poplarpitch/transport/connection_headers.h"
-#include "poplarpitch/transport/http_cancel.h"
+#include "poplarpitch/transport/http_cancel_token.h"
 #include "poplarpitch/transport/transport_error.h"
 
 #include <httplib.h>
@@ -92,7 +92,8 @@
 }
 
 http_exchange http_client_pool::send(const std::string& address, const http_request& request,
-                                     time_point deadline, connection_choice choice, http_cancel* cancel) {
+                                     time_point deadline, connection_choice choice,
+                                     http_cancel_token* cancel) {
     const system_clock clock;
     const auto started = clock.now();
     http_exchange exchange;
--- a/poplarpitch/transport/http_client_pool.h
+++ b/poplarpitch/transport/http_client_pool.h
@@ -14,7 +14,7 @@
 
 namespace poplarpitch {
 
-class http_cancel;
+class http_cancel_token;
 
 /// Timeouts and bounds of the pooled connections.
 struct http_client_settings {
@@ -48,7 +48,7 @@
     /// Sends `request` to `address` (host:port) and waits for the whole answer, at most until `deadline`.
     /// Another thread may cancel the exchange through `cancel`, which may be null.
     http_exchange send(const std::string& address, const http_request& request, time_point deadline,
-                       connection_choice choice, http_cancel* cancel = nullptr);
+                       connection_choice choice, http_cancel_token* cancel = nullptr);
     /// Closes all idle connections to `address`. Called when the peer did not answer, as they may be dead.
     void drop(const std::string& address);
 
--- a/poplarpitch/transport/http_server.cpp
+++ b/poplarpitch/transport/http_server.cpp
@@ -1,7 +1,7 @@
 #include "poplarpitch/transport/http_server.h"
 
 #include "poplarpitch/transport/connection_headers.h"
-#include "poplarpitch/transport/growing_task_queue.h"
+#include "poplarpitch/transport/thread_pool.h"
 #include "poplarpitch/transport/transport_error.h"
 
 #include <httplib.h>
@@ -15,15 +15,15 @@
 
 constexpr int listen_backlog = 4096; // cpp-httplib uses 5, which delays bursts of connects by a second
 
-/// Adapts `growing_task_queue` to the task queue interface of cpp-httplib.
+/// Adapts `thread_pool` to the task queue interface of cpp-httplib.
 class connection_task_queue final : public httplib::TaskQueue {
 public:
     explicit connection_task_queue(int max_threads) : m_threads(max_threads) {}
     void enqueue(std::function<void()> task) override { m_threads.run(std::move(task)); }
-    void shutdown() override { m_threads.finish(); }
+    void shutdown() override { m_threads.shut_down(); }
 
 private:
-    growing_task_queue m_threads;
+    thread_pool m_threads;
 };
 
 http_request read_request(const httplib::Request& source) {
--- a/poplarpitch/transport/growing_task_queue.cpp
+++ b/poplarpitch/transport/thread_pool.cpp
@@ -1,14 +1,14 @@
-#include "poplarpitch/transport/growing_task_queue.h"
+#include "poplarpitch/transport/thread_pool.h"
 
 namespace poplarpitch {
 
-growing_task_queue::growing_task_queue(int max_threads) : m_max_threads(max_threads) {}
+thread_pool::thread_pool(int max_threads) : m_max_threads(max_threads) {}
 
-growing_task_queue::~growing_task_queue() {
-    finish();
+thread_pool::~thread_pool() {
+    shut_down();
 }
 
-void growing_task_queue::run(std::function<void()> task) {
+void thread_pool::run(std::function<void()> task) {
     const absl::MutexLock lock(&m_mutex);
     m_tasks.push_back(std::move(task));
     const bool has_too_few_idle = m_idle < static_cast<int>(m_tasks.size());
@@ -17,14 +17,14 @@
     }
 }
 
-void growing_task_queue::work() {
+void thread_pool::work() {
     while (true) {
         std::function<void()> task;
         {
             const absl::MutexLock lock(&m_mutex);
             ++m_idle;
             const auto is_ready = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(m_mutex) {
-                return m_is_finished || !m_tasks.empty();
+                return m_is_shut_down || !m_tasks.empty();
             };
             m_mutex.Await(absl::Condition(&is_ready));
             --m_idle;
@@ -38,11 +38,11 @@
     }
 }
 
-void growing_task_queue::finish() {
+void thread_pool::shut_down() {
     std::list<std::thread> threads;
     {
         const absl::MutexLock lock(&m_mutex);
-        m_is_finished = true;
+        m_is_shut_down = true;
         threads.swap(m_threads);
     }
     for (auto& thread : threads) {
--- a/unit_tests/control/leader_duties_test.cpp
+++ b/unit_tests/control/leader_duties_test.cpp
@@ -1,6 +1,6 @@
 #include "poplarpitch/control/cluster_bootstrap.h"
 #include "poplarpitch/control/leader_duties.h"
-#include "poplarpitch/control/renew_answerer.h"
+#include "poplarpitch/control/renew_answer_builder.h"
 #include "poplarpitch/state/state_machine.h"
 
 #include <gtest/gtest.h>
--- a/unit_tests/policy/choices_test.cpp
+++ b/unit_tests/policy/choices_test.cpp
@@ -142,7 +142,7 @@
     const auto picked = cost_placer(objective_settings{}).pick(candidates, request, model);
     if (picked.has_value()) {
         RC_ASSERT(candidates[*picked].is_open);
-        RC_ASSERT(candidates[*picked].free.holds(request.need));
+        RC_ASSERT(candidates[*picked].free.can_fit(request.need));
     }
 }
 
--- a/unit_tests/policy/worker_ledger_test.cpp
+++ b/unit_tests/policy/worker_ledger_test.cpp
@@ -62,7 +62,7 @@
         }
         switch (*rc::gen::inRange(0, 4)) {
         case 0: {
-            const bool fits = capacity.holds(sum + need) && !model.contains(id);
+            const bool fits = capacity.can_fit(sum + need) && !model.contains(id);
             RC_ASSERT(ledger.try_acquire(id, need) == fits);
             if (fits) {
                 model[id] = need;
@@ -74,7 +74,7 @@
             break;
         case 2: {
             const bool known = model.contains(id);
-            const bool fits = known && capacity.holds(sum - model[id] + need);
+            const bool fits = known && capacity.can_fit(sum - model[id] + need);
             if (!known) {
                 model.erase(id);
             }
@@ -85,13 +85,13 @@
             break;
         }
         default:
-            if (capacity.holds(sum - old_usage + need)) {
+            if (capacity.can_fit(sum - old_usage + need)) {
                 old_usage = need;
                 ledger.set_old_epoch_usage(old_usage);
             }
             break;
         }
-        RC_ASSERT(capacity.holds(ledger.get_granted() + old_usage));
+        RC_ASSERT(capacity.can_fit(ledger.get_granted() + old_usage));
     }
 }
 
--- a/unit_tests/support/silent_relay.h
+++ b/unit_tests/support/silent_relay.h
@@ -28,15 +28,15 @@
 
 private:
     struct connection {
-        int near = -1;
-        int far = -1;
+        int client_socket = -1;
+        int server_socket = -1;
         bool is_silent = false;
     };
 
     void run();
     void accept_one();
     /// Forwards the available data from one socket to the other. Returns false when the connection has ended.
-    static bool carry(int from, int to);
+    static bool forward(int from, int to);
 
     int m_target_port;
     int m_listener = -1;
--- a/unit_tests/transport/http_test.cpp
+++ b/unit_tests/transport/http_test.cpp
@@ -1,5 +1,5 @@
 #include "poplarpitch/core/system_clock.h"
-#include "poplarpitch/transport/http_cancel.h"
+#include "poplarpitch/transport/http_cancel_token.h"
 #include "poplarpitch/transport/http_client_pool.h"
 #include "poplarpitch/transport/http_server.h"
 #include "poplarpitch/transport/transport_error.h"
@@ -124,7 +124,7 @@
         m_release_handler.WaitForNotification();
         return echo(request);
     });
-    http_cancel cancel;
+    http_cancel_token cancel;
     http_exchange exchange;
     std::thread caller([&] {
         exchange = m_pool.send(m_address, make_post("/", "x"), system_clock().now() + test_timeout,
--- a/unit_tests/transport/silent_relay.cpp
+++ b/unit_tests/transport/silent_relay.cpp
@@ -44,8 +44,8 @@
     ::close(m_listener);
     const absl::MutexLock lock(&m_mutex);
     for (const auto& pair : m_connections) {
-        ::close(pair.near);
-        ::close(pair.far);
+        ::close(pair.client_socket);
+        ::close(pair.server_socket);
     }
 }
 
@@ -58,12 +58,12 @@
 
 void silent_relay::accept_one() {
     connection pair;
-    pair.near = ::accept4(m_listener, nullptr, nullptr, SOCK_CLOEXEC);
-    pair.far = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    pair.client_socket = ::accept4(m_listener, nullptr, nullptr, SOCK_CLOEXEC);
+    pair.server_socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const auto address = make_address(m_target_port);
-    if (::connect(pair.far, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
-        ::close(pair.near);
-        ::close(pair.far);
+    if (::connect(pair.server_socket, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
+        ::close(pair.client_socket);
+        ::close(pair.server_socket);
         return;
     }
     ++m_accepted;
@@ -71,7 +71,7 @@
     m_connections.push_back(pair);
 }
 
-bool silent_relay::carry(int from, int to) {
+bool silent_relay::forward(int from, int to) {
     std::array<char, 65536> bytes{};
     const auto size = ::recv(from, bytes.data(), bytes.size(), 0);
     if (size <= 0) {
@@ -90,18 +90,18 @@
         const absl::MutexLock lock(&m_mutex);
         for (auto pair = m_connections.begin(); pair != m_connections.end();) {
             bool is_open = true;
-            if (!pair->is_silent && is_readable(pair->near)) {
-                is_open = carry(pair->near, pair->far);
+            if (!pair->is_silent && is_readable(pair->client_socket)) {
+                is_open = forward(pair->client_socket, pair->server_socket);
             }
-            if (!pair->is_silent && is_open && is_readable(pair->far)) {
-                is_open = carry(pair->far, pair->near);
+            if (!pair->is_silent && is_open && is_readable(pair->server_socket)) {
+                is_open = forward(pair->server_socket, pair->client_socket);
             }
             if (is_open) {
                 ++pair;
                 continue;
             }
-            ::close(pair->near);
-            ::close(pair->far);
+            ::close(pair->client_socket);
+            ::close(pair->server_socket);
             pair = m_connections.erase(pair);
         }
     }
