--- a/performance_test/log_benchmark.cpp
+++ b/performance_test/log_benchmark.cpp
@@ -40,7 +40,7 @@
             const auto number = static_cast<node_id>(id);
             auto voter_state = std::make_unique<voter>(folder + "/" + std::to_string(id), number);
             static_cast<void>(voter_state->storage.open());
-            static_cast<void>(voter_state->storage.form(members));
+            static_cast<void>(voter_state->storage.write_initial_members(members));
             raft_initial_state start;
             start.id = number;
             start.initial = members;
@@ -137,7 +137,7 @@
         posix_file_system files(folder);
         raft_storage<posix_file_system> storage(files, {"bench", 1});
         static_cast<void>(storage.open());
-        static_cast<void>(storage.form({{1}, {}}));
+        static_cast<void>(storage.write_initial_members({{1}, {}}));
         raft_output output;
         for (int index = 1; index <= entries; ++index) {
             output.entries.push_back({static_cast<log_index>(index), 1, entry_kind::command, make_payload()});
--- a/poplarpitch/config/peer_address.h
+++ b/poplarpitch/config/peer_address.h
@@ -10,7 +10,7 @@
 struct peer_address {
     std::uint64_t id = 0;  ///< member id in the replicated log, from 1
     std::string address;   ///< host:port
-    bool is_spare = false; ///< not a founding member; waits to be added as a learner
+    bool is_spare = false; ///< not an initial voter; waits to be added as a learner
 
     friend auto operator<=>(const peer_address&, const peer_address&) = default;
 };
--- a/poplarpitch/control/control_node.cpp
+++ b/poplarpitch/control/control_node.cpp
@@ -30,7 +30,7 @@
 }
 
 result<void> control_node::bootstrap(const raft_membership& members) {
-    BOOST_OUTCOME_TRY(m_storage.form(members));
+    BOOST_OUTCOME_TRY(m_storage.write_initial_members(members));
     m_stored.initial = members;
     m_stored.is_empty = false;
     return boost::outcome_v2::success();
--- a/poplarpitch/control/data_folder_restorer.cpp
+++ b/poplarpitch/control/data_folder_restorer.cpp
@@ -24,7 +24,7 @@
         return false;
     }
     const auto members = get_initial_voters(settings.control);
-    BOOST_OUTCOME_TRY(storage.form(members));
+    BOOST_OUTCOME_TRY(storage.write_initial_members(members));
     const raft_snapshot snapshot{restored.index, first_term, members,
                                  std::make_shared<const std::string>(restored.data)};
     BOOST_OUTCOME_TRY(storage.save_snapshot(snapshot, {first_term, 0}, {}));
--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -84,9 +84,9 @@
         start_node(m_stored.initial);
     } else {
         const bool is_seed = m_known_addresses.contains(m_ip);
-        m_phase = m_settings.may_found && is_seed ? node_phase::founding : node_phase::joining;
+        m_phase = m_settings.may_found && is_seed ? node_phase::bootstrapping : node_phase::joining;
     }
-    found_or_join();
+    bootstrap_or_join();
     return boost::outcome_v2::success();
 }
 
@@ -101,7 +101,7 @@
 }
 
 void replica::start_node(const raft_membership& initial) {
-    m_phase = node_phase::formed;
+    m_phase = node_phase::bootstrapped;
     m_hard_state = m_stored.state;
     const auto snapshot = m_stored.snapshot;
     m_applied_members = snapshot.index != 0 ? snapshot.members : initial;
--- a/poplarpitch/replica/replica.h
+++ b/poplarpitch/replica/replica.h
@@ -3,11 +3,11 @@
 #include "poplarpitch/consensus/raft_node.h"
 #include "poplarpitch/core/result.h"
 #include "poplarpitch/net/background_task.h"
-#include "poplarpitch/replica/founding.h"
 #include "poplarpitch/replica/member_planner.h"
 #include "poplarpitch/replica/node_phase.h"
 #include "poplarpitch/replica/peer_mesh.h"
 #include "poplarpitch/replica/replica_settings.h"
+#include "poplarpitch/replica/seed_bootstrap.h"
 #include "poplarpitch/storage/posix_file_system.h"
 #include "poplarpitch/storage/raft_storage.h"
 
@@ -60,7 +60,7 @@
         on_frame;
 };
 
-/// A control instance's replica of the log, on an event loop: raft node, storage, peers, founding and
+/// A control instance's replica of the log, on an event loop: raft node, storage, peers, bootstrap and
 /// membership.
 ///
 /// Each iteration of the loop handles everything that arrived, steps the raft node, syncs once, then sends
@@ -79,7 +79,7 @@
     replica(const replica&) = delete;
     replica& operator=(const replica&) = delete;
 
-    /// Opens the data folder and the port, then starts to found a cluster, to join one, or to run as a
+    /// Opens the data folder and the port, then starts to bootstrap a cluster, to join one, or to run as a
     /// member.
     result<void> start();
     /// Commits a command. `on_result` is called once, in a later iteration or before this returns.
@@ -113,8 +113,8 @@
     /// Logs the state found on disk.
     void log_stored_state() const;
     void start_node(const raft_membership& initial);
-    /// Runs periodically: founds the cluster or joins it, as far as is possible yet.
-    void found_or_join();
+    /// Runs periodically: bootstraps the cluster or joins it, as far as is possible yet.
+    void bootstrap_or_join();
     /// Requests the statuses of other instances while no leader is known.
     void request_statuses();
     void ask_to_join();
--- a/poplarpitch/replica/replica_members.cpp
+++ b/poplarpitch/replica/replica_members.cpp
@@ -10,7 +10,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration status_interval = milliseconds{60};  // while founding: the whole system waits for it
+constexpr duration status_interval = milliseconds{60};  // during the bootstrap: the whole system waits for it
 constexpr duration join_interval = milliseconds{250};   // while not a member
 constexpr duration member_interval = milliseconds{100}; // between two steps of a membership change
 
@@ -39,22 +39,22 @@
     return others;
 }
 
-void replica::found_or_join() {
-    const auto pause = m_phase == node_phase::founding ? status_interval : join_interval;
+void replica::bootstrap_or_join() {
+    const auto pause = m_phase == node_phase::bootstrapping ? status_interval : join_interval;
     request_statuses();
-    if (m_phase == node_phase::founding) {
+    if (m_phase == node_phase::bootstrapping) {
         std::vector<seed_status> others;
         for (const auto seed : get_other_seeds()) {
             others.push_back(m_peer_statuses[seed]);
         }
-        const auto decision = decide_founding(m_id, others);
-        if (decision.action == founding_decision::kind::join) {
+        const auto decision = decide_seed_bootstrap(m_id, others);
+        if (decision.action == bootstrap_decision::kind::join) {
             m_phase = node_phase::joining;
         }
-        if (decision.action == founding_decision::kind::found) {
-            const auto formed = m_storage->form(decision.members);
-            if (!formed) {
-                end_process(formed.error());
+        if (decision.action == bootstrap_decision::kind::create) {
+            const auto written = m_storage->write_initial_members(decision.members);
+            if (!written) {
+                end_process(written.error());
             }
             log_event(log_level::info, "cluster_founded")
                 .add("node", m_id)
@@ -63,9 +63,9 @@
         }
     }
     if (m_phase == node_phase::joining && m_reported_leader != 0) {
-        const auto formed = m_storage->form({});
-        if (!formed) {
-            end_process(formed.error());
+        const auto written = m_storage->write_initial_members({});
+        if (!written) {
+            end_process(written.error());
         }
         log_event(log_level::info, "cluster_joining")
             .add("node", m_id)
@@ -73,7 +73,7 @@
         start_node({});
     }
     ask_to_join();
-    m_loop.call_after(pause, [this] { found_or_join(); });
+    m_loop.call_after(pause, [this] { bootstrap_or_join(); });
 }
 
 void replica::request_statuses() {
--- a/poplarpitch/replica/founding.cpp
+++ b/poplarpitch/replica/seed_bootstrap.cpp
@@ -1,8 +1,8 @@
-#include "poplarpitch/replica/founding.h"
+#include "poplarpitch/replica/seed_bootstrap.h"
 
 namespace poplarpitch {
 
-founding_decision decide_founding(node_id self, const std::vector<seed_status>& others) {
+bootstrap_decision decide_seed_bootstrap(node_id self, const std::vector<seed_status>& others) {
     raft_membership members;
     members = members.with_voter(self);
     bool is_complete = true;
@@ -11,13 +11,13 @@
             is_complete = false;
             continue;
         }
-        if (seed.phase == node_phase::formed && !seed.members.voters.empty()) {
+        if (seed.phase == node_phase::bootstrapped && !seed.members.voters.empty()) {
             if (seed.members.is_voter(self)) {
-                return {founding_decision::kind::found, seed.members};
+                return {bootstrap_decision::kind::create, seed.members};
             }
-            return {founding_decision::kind::join, {}};
+            return {bootstrap_decision::kind::join, {}};
         }
-        if (seed.phase != node_phase::founding) {
+        if (seed.phase != node_phase::bootstrapping) {
             is_complete = false; // it joins a cluster that this node has not seen yet
             continue;
         }
@@ -26,7 +26,7 @@
     if (!is_complete) {
         return {};
     }
-    return {founding_decision::kind::found, members};
+    return {bootstrap_decision::kind::create, members};
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/state/snapshot_restorer.h
+++ b/poplarpitch/state/snapshot_restorer.h
@@ -7,7 +7,7 @@
 
 namespace poplarpitch {
 
-/// State built from a backup, for founding a new cluster.
+/// State built from a backup, for the bootstrap of a new cluster.
 struct restored_state {
     std::string data;                  ///< serialized snapshot
     std::uint64_t index = 0;           ///< index after which the new log starts
--- a/poplarpitch/storage/raft_storage.h
+++ b/poplarpitch/storage/raft_storage.h
@@ -27,9 +27,9 @@
 
     /// Locks the data folder and reads its contents.
     result<stored_state> open();
-    /// Writes the founding members, so that the folder is no longer blank. Precondition: `open` found it
-    /// blank.
-    result<void> form(const raft_membership& members);
+    /// Writes the initial members, so that the folder is no longer empty. Precondition: `open` found it
+    /// empty.
+    result<void> write_initial_members(const raft_membership& members);
     /// Makes the state in `output` durable. Precondition: `open` succeeded.
     result<void> save(const raft_output& output);
     /// Stores a snapshot and starts a new segment with `tail`, the entries after the snapshot.
--- a/poplarpitch/storage/raft_storage_impl.h
+++ b/poplarpitch/storage/raft_storage_impl.h
@@ -101,7 +101,7 @@
 }
 
 template <file_system FileSystem>
-result<void> raft_storage<FileSystem>::form(const raft_membership& members) {
+result<void> raft_storage<FileSystem>::write_initial_members(const raft_membership& members) {
     wire::snapshot_file file;
     set_identity(*file.mutable_identity(), m_settings);
     encode(members, *file.mutable_members());
--- a/poplarpitch/storage/stored_state.h
+++ b/poplarpitch/storage/stored_state.h
@@ -14,7 +14,7 @@
     hard_state state;
     raft_snapshot snapshot;
     std::vector<log_entry> entries;    ///< entries after the snapshot
-    raft_membership initial;           ///< founding members of the cluster
+    raft_membership initial;           ///< initial members of the cluster
     std::uint64_t truncated_bytes = 0; ///< bytes truncated from a torn end
 
     friend bool operator==(const stored_state&, const stored_state&) = default;
--- a/unit_tests/consensus/raft_harness.cpp
+++ b/unit_tests/consensus/raft_harness.cpp
@@ -10,15 +10,15 @@
 
 raft_harness::raft_harness(const harness_settings& settings, std::uint64_t seed)
     : m_settings(settings), m_random(seed) {
-    raft_membership founders;
+    raft_membership initial_voters;
     for (int id = 1; id <= settings.nodes; ++id) {
-        founders = founders.with_voter(static_cast<node_id>(id));
+        initial_voters = initial_voters.with_voter(static_cast<node_id>(id));
     }
     for (int id = 1; id <= settings.nodes + settings.spares; ++id) {
         auto& self = m_slots[static_cast<node_id>(id)];
         self.rate = settings.has_drift ? 0.95 + 0.001 * pick(100) : 1.0;
         if (id <= settings.nodes) {
-            self.stored.initial = founders;
+            self.stored.initial = initial_voters;
         }
         start(static_cast<node_id>(id));
     }
--- a/unit_tests/consensus/raft_scenarios_test.cpp
+++ b/unit_tests/consensus/raft_scenarios_test.cpp
@@ -21,18 +21,18 @@
     return *cluster.find_leader(nodes);
 }
 
-/// A partitioned leader adds two nodes on its side while the other founders elect their own leader.
+/// A partitioned leader adds two nodes on its side while the other initial voters elect their own leader.
 bool split_by_two_changes(const raft_rules& rules) {
     split_cluster cluster(5, 3, {}, rules);
-    const side founders = {1, 2, 3};
-    cluster.run(founders, seconds{2});
-    auto& leader = *cluster.find_leader(founders);
+    const side initial_voters = {1, 2, 3};
+    cluster.run(initial_voters, seconds{2});
+    auto& leader = *cluster.find_leader(initial_voters);
     for (const node_id added : {node_id{4}, node_id{5}}) {
         static_cast<void>(leader.add_learner(added, cluster.get_now()));
         static_cast<void>(leader.promote(added, cluster.get_now()));
     }
     cluster.run({leader.get_id(), 4, 5}, milliseconds{300});
-    cluster.run(without(founders, leader.get_id()), seconds{3});
+    cluster.run(without(initial_voters, leader.get_id()), seconds{3});
     return cluster.is_split();
 }
 
@@ -87,17 +87,17 @@
 /// term does not know of a change that the previous leader had in progress.
 bool split_by_early_change(const raft_rules& rules) {
     split_cluster cluster(5, 4, {}, rules);
-    const side founders = {1, 2, 3, 4};
+    const side initial_voters = {1, 2, 3, 4};
     const side all = {1, 2, 3, 4, 5};
-    cluster.run(founders, seconds{2});
-    auto& first = *cluster.find_leader(founders);
+    cluster.run(initial_voters, seconds{2});
+    auto& first = *cluster.find_leader(initial_voters);
     EXPECT_TRUE(first.add_learner(5, cluster.get_now()));
     cluster.run(all, milliseconds{500});
     // 1. The first leader makes node 5 a voter. Only node 5 receives the change.
     EXPECT_TRUE(first.promote(5, cluster.get_now()));
     cluster.run({first.get_id(), 5}, milliseconds{50});
     // 2. The next leader removes the first one. Only one more node receives that change.
-    const auto others = without(founders, first.get_id());
+    const auto others = without(initial_voters, first.get_id());
     auto& second = elect(cluster, others, first.get_term());
     static_cast<void>(second.remove(first.get_id(), cluster.get_now()));
     const auto rest = without(others, second.get_id());
@@ -133,14 +133,14 @@
 
 TEST(raft_scenario, learner_added_behind_a_partition_catches_up_once_it_is_over) {
     split_cluster cluster(4, 3, {}, {});
-    const side founders = {1, 2, 3};
-    cluster.run(founders, seconds{2});
-    auto& leader = *cluster.find_leader(founders);
+    const side initial_voters = {1, 2, 3};
+    cluster.run(initial_voters, seconds{2});
+    auto& leader = *cluster.find_leader(initial_voters);
     EXPECT_TRUE(leader.add_learner(4, cluster.get_now()));
     for (int number = 0; number < 300; ++number) {
         EXPECT_TRUE(leader.propose("change " + std::to_string(number), cluster.get_now()));
     }
-    cluster.run_apart({founders, {4}}, seconds{10});
+    cluster.run_apart({initial_voters, {4}}, seconds{10});
     EXPECT_FALSE(leader.promote(4, cluster.get_now())); // it has no entries yet
     cluster.run({1, 2, 3, 4}, seconds{2});
     EXPECT_TRUE(leader.promote(4, cluster.get_now()));
@@ -151,11 +151,11 @@
 
 TEST(raft_scenario, second_node_lost_right_after_a_repair_loses_no_commits) {
     split_cluster cluster(4, 3, {}, {});
-    const side founders = {1, 2, 3};
-    cluster.run(founders, seconds{2});
-    auto& leader = *cluster.find_leader(founders);
+    const side initial_voters = {1, 2, 3};
+    cluster.run(initial_voters, seconds{2});
+    auto& leader = *cluster.find_leader(initial_voters);
     const auto lost = leader.get_id() == 3 ? node_id{2} : node_id{3};
-    const auto rest = without(founders, lost);
+    const auto rest = without(initial_voters, lost);
     const auto survivor = *without(rest, leader.get_id()).begin();
     // The repair removes the lost node, and a spare learns the log and replaces it as a voter.
     EXPECT_TRUE(leader.remove(lost, cluster.get_now()));
@@ -169,7 +169,7 @@
     const auto index = leader.propose("kept", cluster.get_now()).value();
     cluster.run(repaired, milliseconds{200});
     EXPECT_TRUE(cluster.has_committed(index));
-    // The leader is lost right afterwards. The spare and the other founder keep all committed entries.
+    // The leader is lost right afterwards. The spare and the other initial voter keep all committed entries.
     const side survivors = {survivor, 4};
     auto& next = elect(cluster, survivors, leader.get_term());
     cluster.run(survivors, milliseconds{500});
@@ -181,15 +181,15 @@
 
 TEST(raft_scenario, second_node_lost_before_the_repair_stops_commits_without_a_split) {
     split_cluster cluster(4, 3, {}, {});
-    const side founders = {1, 2, 3};
-    cluster.run(founders, seconds{2});
-    auto& leader = *cluster.find_leader(founders);
+    const side initial_voters = {1, 2, 3};
+    cluster.run(initial_voters, seconds{2});
+    auto& leader = *cluster.find_leader(initial_voters);
     EXPECT_TRUE(leader.add_learner(4, cluster.get_now())); // appended, but never committed
     const auto index = leader.propose("alone", cluster.get_now()).value();
     cluster.run({leader.get_id(), 4}, seconds{2});
     EXPECT_FALSE(cluster.has_committed(index));
     EXPECT_NE(leader.get_role(), raft_role::leader);
-    cluster.run({1, 2, 3, 4}, seconds{3}); // the other two founders return
+    cluster.run({1, 2, 3, 4}, seconds{3}); // the other two initial voters return
     EXPECT_NE(cluster.find_leader({1, 2, 3, 4}), nullptr);
     EXPECT_FALSE(cluster.is_split());
 }
--- a/unit_tests/consensus/split_cluster.cpp
+++ b/unit_tests/consensus/split_cluster.cpp
@@ -10,10 +10,10 @@
 
 } // namespace
 
-split_cluster::split_cluster(int nodes, int founders, const raft_settings& settings,
+split_cluster::split_cluster(int nodes, int initial_voters, const raft_settings& settings,
                              const raft_rules& rules) {
     raft_membership members;
-    for (int id = 1; id <= founders; ++id) {
+    for (int id = 1; id <= initial_voters; ++id) {
         members = members.with_voter(static_cast<node_id>(id));
     }
     for (int number = 1; number <= nodes; ++number) {
--- a/unit_tests/replica/membership_test.cpp
+++ b/unit_tests/replica/membership_test.cpp
@@ -1,8 +1,8 @@
-// Founding a cluster from its seeds, and replacing members that lost their disk or are lost for good.
-#include "poplarpitch/replica/founding.h"
+// Bootstrapping a cluster from its seeds, and replacing members that lost their disk or are lost for good.
 #include "poplarpitch/replica/member_planner.h"
 #include "poplarpitch/replica/node_address.h"
 #include "poplarpitch/replica/replica_settings.h"
+#include "poplarpitch/replica/seed_bootstrap.h"
 
 #include <gtest/gtest.h>
 
@@ -32,28 +32,29 @@
     return view;
 }
 
-TEST(founding, waits_until_it_knows_the_node_ids_of_all_seeds) {
+TEST(seed_bootstrap, waits_until_it_knows_the_node_ids_of_all_seeds) {
     const seed_status unreached;
-    const seed_status blank{true, make_node(2), node_phase::founding, {}};
-    EXPECT_EQ(decide_founding(make_node(1), {blank, unreached}).action, founding_decision::kind::wait);
-    const seed_status other{true, make_node(3), node_phase::founding, {}};
-    const auto decision = decide_founding(make_node(1), {blank, other});
-    EXPECT_EQ(decision.action, founding_decision::kind::found);
+    const seed_status blank{true, make_node(2), node_phase::bootstrapping, {}};
+    EXPECT_EQ(decide_seed_bootstrap(make_node(1), {blank, unreached}).action, bootstrap_decision::kind::wait);
+    const seed_status other{true, make_node(3), node_phase::bootstrapping, {}};
+    const auto decision = decide_seed_bootstrap(make_node(1), {blank, other});
+    EXPECT_EQ(decision.action, bootstrap_decision::kind::create);
     EXPECT_EQ(decision.members.voters.size(), 3U);
 }
 
-TEST(founding, takes_the_members_that_another_founder_has_stored) {
+TEST(seed_bootstrap, takes_the_members_that_another_initial_voter_has_stored) {
     raft_membership members;
     members = members.with_voter(make_node(1)).with_voter(make_node(2)).with_voter(make_node(3));
-    const seed_status formed{true, make_node(2), node_phase::formed, members};
-    EXPECT_EQ(decide_founding(make_node(1), {formed, {}}).members, members);
+    const seed_status bootstrapped{true, make_node(2), node_phase::bootstrapped, members};
+    EXPECT_EQ(decide_seed_bootstrap(make_node(1), {bootstrapped, {}}).members, members);
 }
 
-TEST(founding, joins_a_cluster_that_was_founded_without_it) {
+TEST(seed_bootstrap, joins_a_cluster_that_was_bootstrapped_without_it) {
     raft_membership members;
     members = members.with_voter(make_node(1, 9)).with_voter(make_node(2)).with_voter(make_node(3));
-    const seed_status formed{true, make_node(2), node_phase::formed, members};
-    EXPECT_EQ(decide_founding(make_node(1, 10), {formed, formed}).action, founding_decision::kind::join);
+    const seed_status bootstrapped{true, make_node(2), node_phase::bootstrapped, members};
+    EXPECT_EQ(decide_seed_bootstrap(make_node(1, 10), {bootstrapped, bootstrapped}).action,
+              bootstrap_decision::kind::join);
 }
 
 TEST(member_planner, does_nothing_while_all_members_are_healthy) {
--- a/unit_tests/replica/replaced_disks_test.cpp
+++ b/unit_tests/replica/replaced_disks_test.cpp
@@ -66,14 +66,14 @@
     /// `answers_early`: deliberately sends answers before they are on disk.
     explicit replaced_disks(std::uint64_t seed, bool answers_early = false)
         : m_random(seed), m_answers_early(answers_early) {
-        raft_membership founders;
+        raft_membership initial_voters;
         for (std::uint32_t ip = 1; ip <= instances; ++ip) {
-            founders = founders.with_voter(make_node_id(ip, 1));
+            initial_voters = initial_voters.with_voter(make_node_id(ip, 1));
         }
         for (std::uint32_t ip = 1; ip <= instances; ++ip) {
             m_instances.emplace_back();
             m_instances.back().ip = ip;
-            start(m_instances.back(), founders);
+            start(m_instances.back(), initial_voters);
         }
     }
 
@@ -133,7 +133,7 @@
         ASSERT_TRUE(opened.has_value()) << opened.error().message();
         auto stored = std::move(opened).value();
         if (stored.is_empty) {
-            ASSERT_TRUE(self.storage->form(initial).has_value());
+            ASSERT_TRUE(self.storage->write_initial_members(initial).has_value());
             stored.initial = initial;
         }
         self.applied = stored.snapshot.index;
--- a/unit_tests/storage/raft_storage_test.cpp
+++ b/unit_tests/storage/raft_storage_test.cpp
@@ -29,7 +29,7 @@
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open().value().is_empty);
-    ASSERT_TRUE(storage.form({{1, 2, 3}, {}}));
+    ASSERT_TRUE(storage.write_initial_members({{1, 2, 3}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 3, 1)));
     raft_output truncation;
     truncation.truncate_from = 3;
@@ -48,7 +48,7 @@
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
-    ASSERT_TRUE(storage.form({{1}, {}}));
+    ASSERT_TRUE(storage.write_initial_members({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     const auto intact_size = files.get_files()["log-000000000001"].size();
     ASSERT_TRUE(storage.save(make_entries(3, 2, 1)));
@@ -66,7 +66,7 @@
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
-    ASSERT_TRUE(storage.form({{1}, {}}));
+    ASSERT_TRUE(storage.write_initial_members({{1}, {}}));
     const auto first_end = files.get_files()["log-000000000001"].size();
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     ASSERT_TRUE(storage.save(make_entries(3, 2, 1)));
@@ -80,7 +80,7 @@
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
-    ASSERT_TRUE(storage.form({{1}, {}}));
+    ASSERT_TRUE(storage.write_initial_members({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     const raft_snapshot snapshot{2, 1, {{1}, {}}, std::make_shared<const std::string>("state")};
     ASSERT_TRUE(storage.save_snapshot(snapshot, {1, 1}, {}));
@@ -102,7 +102,7 @@
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
-    ASSERT_TRUE(storage.form({{1}, {}}));
+    ASSERT_TRUE(storage.write_initial_members({{1}, {}}));
     const auto first_end = files.get_files()["log-000000000001"].size();
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     ASSERT_TRUE(storage.save(make_entries(3, 2, 1)));
@@ -115,7 +115,7 @@
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
-    ASSERT_TRUE(storage.form({{1}, {}}));
+    ASSERT_TRUE(storage.write_initial_members({{1}, {}}));
     EXPECT_EQ(memory_storage(files, {"other", 1}).open().error(),
               make_error_code(storage_errc::other_cluster));
     EXPECT_EQ(memory_storage(files, {"ring", 2}).open().error(), make_error_code(storage_errc::other_node));
@@ -125,7 +125,7 @@
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
-    ASSERT_TRUE(storage.form({{1}, {}}));
+    ASSERT_TRUE(storage.write_initial_members({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 10, 1)));
     const raft_snapshot snapshot{8, 1, {{1}, {}}, std::make_shared<const std::string>("state")};
     const auto tail = make_entries(9, 2, 1).entries;
@@ -142,7 +142,7 @@
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
-    ASSERT_TRUE(storage.form({{1}, {}}));
+    ASSERT_TRUE(storage.write_initial_members({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 20, 2))); // entries of a deposed leader
     const int before = files.get_calls();
     // A snapshot of a newer term is installed. Power fails after its rename, before the log is reset.
@@ -162,7 +162,7 @@
     memory_file_system files;
     memory_storage storage(files, own_settings);
     ASSERT_TRUE(storage.open());
-    ASSERT_TRUE(storage.form({{1}, {}}));
+    ASSERT_TRUE(storage.write_initial_members({{1}, {}}));
     ASSERT_TRUE(storage.save(make_entries(1, 2, 1)));
     files.fail_after(0, storage_errc::no_space);
     EXPECT_EQ(storage.save(make_entries(3, 2, 1)).error(), make_error_code(storage_errc::no_space));
@@ -177,7 +177,7 @@
     {
         memory_storage storage(files, own_settings);
         RC_ASSERT(storage.open().has_value());
-        RC_ASSERT(storage.form({{1}, {}}).has_value());
+        RC_ASSERT(storage.write_initial_members({{1}, {}}).has_value());
     }
     log_index acknowledged = 0;
     hard_state last_state;
@@ -238,7 +238,7 @@
         raft_storage<posix_file_system> storage(files, own_settings);
         const auto state = storage.open().value();
         if (restart == 0) {
-            ASSERT_TRUE(storage.form({{1}, {}}));
+            ASSERT_TRUE(storage.write_initial_members({{1}, {}}));
         }
         EXPECT_EQ(state.entries.size(), static_cast<std::size_t>(restart) * 2);
         ASSERT_TRUE(storage.save(make_entries(state.entries.size() + 1, 2, 1)));
--- a/unit_tests/support/raft_harness.h
+++ b/unit_tests/support/raft_harness.h
@@ -13,7 +13,7 @@
 
 /// Settings of a run of the harness.
 struct harness_settings {
-    int nodes = 3;  ///< founding voters
+    int nodes = 3;  ///< initial voters
     int spares = 2; ///< further nodes that can be added as members
     int steps = 3000;
     bool has_membership = true; ///< members are added, promoted and removed
--- a/unit_tests/support/split_cluster.h
+++ b/unit_tests/support/split_cluster.h
@@ -17,8 +17,8 @@
 public:
     using side = std::set<node_id>;
 
-    /// Creates `nodes` nodes. The first `founders` of them are the initial voters.
-    split_cluster(int nodes, int founders, const raft_settings& settings, const raft_rules& rules);
+    /// Creates `nodes` nodes. The first `initial_voters` of them vote from the start.
+    split_cluster(int nodes, int initial_voters, const raft_settings& settings, const raft_rules& rules);
 
     /// Advances time for the nodes of one side. The other nodes do not run, and messages to them are lost.
     void run(const side& nodes, duration length) { run_apart({nodes}, length); }
