--- a/poplarpitch/net/net_error.cpp
+++ b/poplarpitch/net/net_error.cpp
@@ -20,7 +20,7 @@
         case net_errc::broken:
             return "the connection ended before the answer arrived";
         case net_errc::bad_answer:
-            return "the answer cannot be read";
+            return "the answer cannot be parsed";
         case net_errc::listen_failed:
             return "cannot listen on the address";
         }
