--- a/poplarpitch/replica/member_planner.cpp
+++ b/poplarpitch/replica/member_planner.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-member_planner::member_planner(std::size_t voters, duration voter_loss)
-    : m_voters(voters), m_voter_loss(voter_loss) {}
+member_planner::member_planner(std::size_t voters, duration voter_loss_timeout)
+    : m_voters(voters), m_voter_loss_timeout(voter_loss_timeout) {}
 
 void member_planner::on_join(node_id node, time_point now) {
     m_candidates[node] = now;
@@ -67,7 +67,7 @@
             continue;
         }
         const auto last_contact = std::max(found->second.last_response, view.leading_since);
-        if (now - last_contact > m_voter_loss) {
+        if (now - last_contact > m_voter_loss_timeout) {
             return voter;
         }
     }
--- a/poplarpitch/replica/member_planner.h
+++ b/poplarpitch/replica/member_planner.h
@@ -38,7 +38,7 @@
 /// take its place at once. Thread safety: none, as for all methods.
 class member_planner {
 public:
-    member_planner(std::size_t voters, duration voter_loss);
+    member_planner(std::size_t voters, duration voter_loss_timeout);
 
     /// Called when a node that is not a member requests to join.
     void on_join(node_id node, time_point now);
@@ -56,7 +56,7 @@
     [[nodiscard]] bool is_candidate(node_id node, time_point now) const;
 
     std::size_t m_voters;
-    duration m_voter_loss;
+    duration m_voter_loss_timeout;
     std::map<node_id, time_point> m_candidates; ///< time of the last join request of each
 };
 
--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -34,7 +34,7 @@
 
 replica::replica(event_loop& loop, const replica_settings& settings, replica_handler handler)
     : m_loop(loop), m_settings(settings), m_handler(std::move(handler)), m_files(settings.data_folder),
-      m_planner(settings.voters, settings.voter_loss), m_disk(loop) {}
+      m_planner(settings.voters, settings.voter_loss_timeout), m_disk(loop) {}
 
 replica::~replica() {
     for (const auto& socket : m_accepted) {
--- a/poplarpitch/scheduler/scheduler_settings.cpp
+++ b/poplarpitch/scheduler/scheduler_settings.cpp
@@ -38,7 +38,7 @@
     replica.may_found = reader.get_flag("may_found", replica.may_found);
     const auto lost = reader.get_integer("tolerated_losses", 2, 0, 4);
     replica.voters = static_cast<std::size_t>(2 * lost + 1);
-    replica.voter_loss = reader.get_duration("voter_loss", replica.voter_loss);
+    replica.voter_loss_timeout = reader.get_duration("voter_loss", replica.voter_loss_timeout);
     if (replica.data_folder.empty()) {
         reader.add_error("data_folder", "data_folder is missing: where the log and snapshots are kept");
     }
--- a/unit_tests/replica/membership_test.cpp
+++ b/unit_tests/replica/membership_test.cpp
@@ -9,7 +9,7 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration voter_loss = seconds{12};
+constexpr duration voter_loss_timeout = seconds{12};
 const time_point start{seconds{100}};
 
 node_id make_node(std::uint32_t ip, std::uint32_t nonce = 1) {
@@ -58,14 +58,14 @@
 }
 
 TEST(member_planner, does_nothing_while_all_members_are_healthy) {
-    const member_planner planner(5, voter_loss);
+    const member_planner planner(5, voter_loss_timeout);
     const auto now = start + seconds{1};
     EXPECT_FALSE(planner.plan(make_view(now), now).has_value());
 }
 
 TEST(member_planner,
      removes_the_old_id_of_an_instance_that_lost_its_disk_then_adds_and_promotes_the_new_one) {
-    member_planner planner(5, voter_loss);
+    member_planner planner(5, voter_loss_timeout);
     const auto now = start + seconds{1};
     auto view = make_view(now);
     const auto fresh = make_node(5, 2);
@@ -82,7 +82,7 @@
 }
 
 TEST(member_planner, grows_from_the_founders_to_the_wanted_number) {
-    member_planner planner(5, voter_loss);
+    member_planner planner(5, voter_loss_timeout);
     const auto now = start + seconds{1};
     auto view = make_view(now);
     view.members = view.members.without(make_node(4)).without(make_node(5));
@@ -92,7 +92,7 @@
 }
 
 TEST(member_planner, keeps_a_silent_voter_until_another_can_take_its_place) {
-    member_planner planner(5, voter_loss);
+    member_planner planner(5, voter_loss_timeout);
     const auto now = start + seconds{60};
     auto view = make_view(now);
     view.progress[make_node(4)].last_response = start;
@@ -110,7 +110,7 @@
     // A replaced instance counts as lost until its successor has run for 4 s. Two disks may be lost right
     // after that.
     const replica_settings settings;
-    member_planner planner(settings.voters, settings.voter_loss);
+    member_planner planner(settings.voters, settings.voter_loss_timeout);
     const auto now = start + seconds{3};
     auto view = make_view(now);
     view.progress[make_node(4)].last_response = start;
--- a/unit_tests/replica/replaced_disks_test.cpp
+++ b/unit_tests/replica/replaced_disks_test.cpp
@@ -32,7 +32,7 @@
 constexpr duration max_start_delay = milliseconds{800}; // from a loss of power to the next process
 /// Between two losses of power. Replaced disks count as voters again by then.
 constexpr duration power_loss_interval = seconds{6};
-constexpr duration voter_loss = milliseconds{2500};
+constexpr duration voter_loss_timeout = milliseconds{2500};
 constexpr int power_losses = 6; // per seed
 constexpr int one_message_lost_in = 50;
 constexpr std::uint64_t mean_sync_steps = 5;
@@ -244,7 +244,7 @@
         m_next_member_check = m_now + member_interval;
         if (m_planner_term != self.node->get_term()) {
             m_planner_term = self.node->get_term();
-            m_planner = member_planner(instances, voter_loss);
+            m_planner = member_planner(instances, voter_loss_timeout);
             m_leading_since = m_now;
         }
         for (const auto& other : m_instances) {
@@ -295,7 +295,7 @@
     std::vector<instance> m_instances;
     std::vector<raft_message> m_messages;
     std::map<log_index, log_entry> m_committed; ///< by any instance
-    member_planner m_planner{instances, voter_loss};
+    member_planner m_planner{instances, voter_loss_timeout};
     log_term m_planner_term = 0;
     time_point m_leading_since{};
     time_point m_next_member_check{};
