--- a/poplarpitch/policy/decaying_histogram.h
+++ b/poplarpitch/policy/decaying_histogram.h
@@ -18,8 +18,8 @@
 
     /// Adds one sample; a value outside the axis is counted in the first or last bin.
     void add(double value);
-    /// Returns the value that the share `q` of the weight does not exceed: the upper edge of the quantile's
-    /// bin. Returns 0 when nothing was added.
+    /// Returns the quantile for `q`, a share from 0 to 1, rounded up to the upper edge of its bin. Returns 0
+    /// when nothing was added.
     [[nodiscard]] double get_quantile(double q) const;
     /// Returns the middle of the bin that holds the quantile. This is the best estimate, whereas
     /// `get_quantile` is the conservative one. Returns 0 when nothing was added.
--- a/poplarpitch/relay/frame_age.cpp
+++ b/poplarpitch/relay/frame_age.cpp
@@ -5,8 +5,9 @@
 namespace poplarpitch {
 namespace {
 
-// Clocks that drift by 2% differ by a tenth of a second after this time. A relay that is suspended gets no
-// more orders after half a second.
+// Not longer, because clocks that drift by 2% diverge by a tenth of a second within one window. Not much
+// shorter, because a suspended relay still gets orders for half a second, and the frames from before that have
+// to remain in the window.
 constexpr std::int64_t window_ms = 5'000;
 
 } // namespace
--- a/poplarpitch/scheduling/job_record.h
+++ b/poplarpitch/scheduling/job_record.h
@@ -29,7 +29,7 @@
     std::uint32_t failures = 0;     ///< ended runs that count against the queue's `max_attempts`
     std::string checkpoint;         ///< newest checkpoint; empty for none
     std::vector<assigned_run> runs; ///< more than one only for speculative copies
-    crash_history crash;            ///< crashes of workers under the task
+    crash_history crash;            ///< crashes of workers while they ran the task
 
     friend bool operator==(const task_record&, const task_record&) = default;
 };
@@ -68,8 +68,8 @@
     [[nodiscard]] const step_record* find_step(std::uint32_t occurrence, std::uint32_t step) const;
     /// Returns true when all steps that `step` depends on are done. Thread safety: as above.
     [[nodiscard]] bool may_begin(std::uint32_t occurrence, std::uint32_t step) const;
-    /// Returns the occurrence; creates it when it is missing. Precondition: the number is below the job's
-    /// count.
+    /// Returns the occurrence; creates it when it is missing. Precondition: `occurrence` is less than the
+    /// number of occurrences of the job.
     occurrence_record& get_occurrence(std::uint32_t occurrence);
 };
 
--- a/unit_tests/dispatch/tail_watch_test.cpp
+++ b/unit_tests/dispatch/tail_watch_test.cpp
@@ -1,4 +1,4 @@
-// How far filling tasks are reduced by how long a tail latency has exceeded its target.
+// The reduction of filling tasks grows with the time for which a tail latency has exceeded its target.
 #include "poplarpitch/dispatch/tail_watch.h"
 
 #include <gtest/gtest.h>
--- a/unit_tests/state/job_simulation.cpp
+++ b/unit_tests/state/job_simulation.cpp
@@ -75,13 +75,13 @@
     const int live = static_cast<int>(std::count_if(actual.runs.begin(), actual.runs.end(),
                                                     [](const auto& item) { return item.second.is_live; }));
     if (live > 0) {
-        m_violation = job->id() + " runs in two places";
+        m_violation = job->id() + " has two live runs at the same time";
     }
     const bool ran_before = std::any_of(actual.runs.begin(), actual.runs.end(), [](const auto& item) {
         return item.second.has_started; // a refused one never ran
     });
     if (!job->idempotent() && ran_before && !actual.is_resolved && job->evictions() == 0) {
-        m_violation = job->id() + " is not idempotent and runs again without an operator";
+        m_violation = job->id() + " is not idempotent and was started again without an operator's decision";
     }
     actual.is_resolved = false;
     actual.runs[job->attempt()] = {job->attempt(), true, true};
@@ -123,7 +123,8 @@
     if (!job.has_value() || !is_active(job->state())) {
         return;
     }
-    // The owner stops renewing and reports the worker as lost. The run continues until its lease expires.
+    // The instance that owns the worker stops renewing its lease and reports it as lost. The run continues
+    // until the lease expires.
     send(job->id(), job->attempt(), wire::event_lost);
 }
 
@@ -138,10 +139,10 @@
         return;
     }
     if (actual.lost_index != job->changed_index()) {
-        actual.lost_index = job->changed_index(); // the wait starts
+        actual.lost_index = job->changed_index(); // the wait for the end of the lease starts
         return;
     }
-    // The wait is over, so the worker has stopped the run itself.
+    // The lease has expired, so the worker has stopped the run itself.
     const auto run = actual.runs.find(job->attempt());
     if (run != actual.runs.end()) {
         run->second.is_live = false;
@@ -194,7 +195,7 @@
     std::size_t bytes = 0;
     m_table.for_each_packed([&](std::string_view record) { bytes += record.size(); });
     if (bytes != m_table.get_bytes()) {
-        m_violation = "the bytes of the table are not the sum of its records";
+        m_violation = "the size of the table in bytes is not the sum of the sizes of its records";
     }
     for (int number = 0; number < workers; ++number) {
         const auto worker = "worker-" + std::to_string(number);
