--- a/unit_tests/state/job_simulation.cpp
+++ b/unit_tests/state/job_simulation.cpp
@@ -80,10 +80,10 @@
     const bool ran_before = std::any_of(actual.runs.begin(), actual.runs.end(), [](const auto& item) {
         return item.second.has_started; // a refused one never ran
     });
-    if (!job->idempotent() && ran_before && !actual.is_resolved && job->evictions() == 0) {
+    if (!job->idempotent() && ran_before && !actual.is_rerun_allowed && job->evictions() == 0) {
         m_violation = job->id() + " is not idempotent and was started again without an operator's decision";
     }
-    actual.is_resolved = false;
+    actual.is_rerun_allowed = false;
     actual.runs[job->attempt()] = {job->attempt(), true, true};
     send(job->id(), job->attempt(), wire::event_started);
 }
@@ -118,7 +118,7 @@
     }
 }
 
-void job_simulation::lose_worker() {
+void job_simulation::report_worker_lost() {
     const auto job = pick_job();
     if (!job.has_value() || !is_active(job->state())) {
         return;
@@ -128,18 +128,18 @@
     send(job->id(), job->attempt(), wire::event_lost);
 }
 
-void job_simulation::expire_leases() {
+void job_simulation::expire_lease() {
     const auto job = pick_job();
     if (!job.has_value()) {
         return;
     }
     auto& actual = m_actual_jobs[job->id()];
     if (!job->lost()) {
-        actual.lost_index = 0;
+        actual.loss_log_index = 0;
         return;
     }
-    if (actual.lost_index != job->changed_index()) {
-        actual.lost_index = job->changed_index(); // the wait for the end of the lease starts
+    if (actual.loss_log_index != job->changed_index()) {
+        actual.loss_log_index = job->changed_index(); // the wait for the end of the lease starts
         return;
     }
     // The lease has expired, so the worker has stopped the run itself.
@@ -227,10 +227,10 @@
         evict_run();
         break;
     case 7:
-        lose_worker();
+        report_worker_lost();
         break;
     case 8:
-        expire_leases();
+        expire_lease();
         break;
     case 9:
         if (const auto job = pick_job(); job.has_value() && pick(10) == 0) {
--- a/unit_tests/state/job_simulation.h
+++ b/unit_tests/state/job_simulation.h
@@ -28,8 +28,8 @@
     struct actual_job {
         std::map<std::uint64_t, actual_run> runs; ///< by attempt
         int finished = 0;
-        bool is_resolved = false;     ///< an operator has allowed another run
-        std::uint64_t lost_index = 0; ///< changed index at which the leader saw the loss; 0 for none
+        bool is_rerun_allowed = false;    ///< an operator has allowed another run
+        std::uint64_t loss_log_index = 0; ///< changed index at which the leader saw the loss; 0 for none
     };
 
     void step();
@@ -38,8 +38,8 @@
     void start_run();
     void end_run();
     void evict_run();
-    void lose_worker();
-    void expire_leases();
+    void report_worker_lost();
+    void expire_lease();
     void deliver();
     void send(const std::string& job, std::uint64_t attempt, wire::job_event_kind kind);
     void check();
