--- a/poplarpitch/entry/announce_handler.cpp
+++ b/poplarpitch/entry/announce_handler.cpp
@@ -34,7 +34,7 @@
 announce_handler::announce_handler(entry_state& state, control_client& control,
                                    event_batcher<control_client>& events, const session_lease& lease,
                                    metrics_registry& metrics, std::string entry_id, std::string own_address)
-    : m_state(state), m_control(control), m_events(events), m_lease(lease), m_metrics(metrics),
+    : m_state(state), m_control(control), m_batcher(events), m_lease(lease), m_metrics(metrics),
       m_entry_id(std::move(entry_id)), m_own_address(std::move(own_address)) {}
 
 http_response announce_handler::handle(const http_request& request) {
@@ -93,7 +93,7 @@
     for (const auto& event : events) {
         commands.push_back(event.command);
     }
-    const auto outcomes = m_events.commit(std::move(commands));
+    const auto outcomes = m_batcher.commit(std::move(commands));
     if (!outcomes) {
         return; // no report is acknowledged, so the worker sends them again
     }
--- a/poplarpitch/entry/announce_handler.h
+++ b/poplarpitch/entry/announce_handler.h
@@ -43,7 +43,7 @@
 
     entry_state& m_state;
     control_client& m_control;
-    event_batcher<control_client>& m_events;
+    event_batcher<control_client>& m_batcher;
     const session_lease& m_lease;
     metrics_registry& m_metrics;
     const std::string m_entry_id;
--- a/poplarpitch/entry/entry_daemon.cpp
+++ b/poplarpitch/entry/entry_daemon.cpp
@@ -43,8 +43,8 @@
           m_state(settings.id, settings.data_centre),
           m_calls(m_state, m_targets, m_control, m_lease, m_metrics, settings.id,
                   make_request_prefix(settings)),
-          m_events(m_control), m_operators(m_state, m_control, m_events, settings.id),
-          m_tasks(m_state, m_targets, m_events, m_lease),
+          m_batcher(m_control), m_operators(m_state, m_control, m_batcher, settings.id),
+          m_tasks(m_state, m_targets, m_batcher, m_lease),
           m_server(make_server_settings(settings),
                    [this](const http_request& request) { return answer(request); }) {}
 
@@ -57,8 +57,8 @@
             return start_failure_exit_code;
         }
         const auto address = absl::StrCat(m_settings.host, ":", port.value());
-        m_announcements = std::make_unique<announce_handler>(m_state, m_control, m_events, m_lease, m_metrics,
-                                                             m_settings.id, address);
+        m_announcements = std::make_unique<announce_handler>(m_state, m_control, m_batcher, m_lease,
+                                                             m_metrics, m_settings.id, address);
         m_is_serving = true;
         log_event(log_level::info, "listening").add("entry", m_settings.id).add("http_port", port.value());
         m_session_keeper = std::make_unique<session_keeper>(m_state, m_control, m_lease, m_settings.id,
@@ -169,7 +169,7 @@
             m_task_threads.run([this, action = std::move(action)] { m_tasks.call(action); });
         }
         if (!due.events.empty()) {
-            post_events(m_events, m_state, std::move(due.events));
+            post_events(m_batcher, m_state, std::move(due.events));
         }
     }
 
@@ -196,7 +196,7 @@
         m_is_control_stopped = true;
         m_control_thread.join();
         m_task_threads.finish();
-        m_events.finish();
+        m_batcher.finish();
         m_session_keeper->close();
         log_event(log_level::info, "stopped").add("entry", m_settings.id);
     }
@@ -227,7 +227,7 @@
     session_lease m_lease;
     entry_state m_state;
     call_handler m_calls;
-    event_batcher<control_client> m_events;
+    event_batcher<control_client> m_batcher;
     operator_handler m_operators;
     task_caller m_tasks;
     growing_task_queue m_task_threads{m_entry_settings.task_threads};
--- a/poplarpitch/entry/job_handler.cpp
+++ b/poplarpitch/entry/job_handler.cpp
@@ -61,7 +61,7 @@
 } // namespace
 
 job_handler::job_handler(entry_state& state, control_client& control, event_batcher<control_client>& events)
-    : m_state(state), m_control(control), m_events(events) {}
+    : m_state(state), m_control(control), m_batcher(events) {}
 
 http_response job_handler::handle(const http_request& request, const std::vector<std::string>& parts) {
     const auto matches = [&](const char* method, std::size_t size) {
@@ -94,7 +94,7 @@
 // ---- one job
 
 http_response job_handler::commit_job_command(const wire::command& command, int success_status) {
-    const auto outcomes = m_events.commit({command}, flush_mode::immediate);
+    const auto outcomes = m_batcher.commit({command}, flush_mode::immediate);
     if (!outcomes) {
         return make_control_error(outcomes.error());
     }
@@ -228,7 +228,7 @@
     for (const auto& command : commands) {
         ids.push_back(get_job_id(command));
     }
-    const auto outcomes = m_events.commit(std::move(commands), flush_mode::immediate);
+    const auto outcomes = m_batcher.commit(std::move(commands), flush_mode::immediate);
     if (!outcomes) {
         return make_control_error(outcomes.error());
     }
--- a/poplarpitch/entry/job_handler.h
+++ b/poplarpitch/entry/job_handler.h
@@ -43,7 +43,7 @@
 
     entry_state& m_state;
     control_client& m_control;
-    event_batcher<control_client>& m_events;
+    event_batcher<control_client>& m_batcher;
     const system_clock m_clock{};
 };
 
--- a/poplarpitch/entry/task_caller.cpp
+++ b/poplarpitch/entry/task_caller.cpp
@@ -22,7 +22,7 @@
 
 task_caller::task_caller(entry_state& state, http_client_pool& workers, event_batcher<control_client>& events,
                          const session_lease& lease)
-    : m_state(state), m_workers(workers), m_events(events), m_lease(lease) {}
+    : m_state(state), m_workers(workers), m_batcher(events), m_lease(lease) {}
 
 void task_caller::call(const task_action& action) {
     switch (action.verb) {
@@ -40,7 +40,7 @@
     const auto answer = start(action);
     auto events = m_state.on_start_answered(action, answer, get_wall_ms());
     if (!events.empty()) {
-        post_events(m_events, m_state, std::move(events));
+        post_events(m_batcher, m_state, std::move(events));
     }
 }
 
--- a/poplarpitch/entry/task_caller.h
+++ b/poplarpitch/entry/task_caller.h
@@ -28,7 +28,7 @@
 
     entry_state& m_state;
     http_client_pool& m_workers;
-    event_batcher<control_client>& m_events;
+    event_batcher<control_client>& m_batcher;
     const session_lease& m_lease;
     const system_clock m_clock{};
 };
