--- a/poplarpitch/gateway/leader_link.cpp
+++ b/poplarpitch/gateway/leader_link.cpp
@@ -131,27 +131,27 @@
         return;
     }
     const auto address = format_address({ip, static_cast<std::uint16_t>(m_port)});
-    connect_frames(m_loop, address, connect_timeout,
-                   [this, ip, alive = m_is_alive](const std::shared_ptr<frame_socket>& socket) {
-                       if (!*alive) {
-                           return;
-                       }
-                       m_connecting.erase(ip);
-                       if (socket == nullptr) {
-                           return;
-                       }
-                       m_sockets[ip] = socket;
-                       m_status_requested_at.erase(ip);
-                       socket->start([this, ip](const std::string& bytes) { on_frame(ip, bytes); },
-                                     [this, ip] {
-                                         m_sockets.erase(ip);
-                                         m_status_requested_at.erase(ip);
-                                         if (ip == m_leader) {
-                                             mark_leader_lost("connection_ended");
-                                         }
-                                     });
-                       request_status(ip);
-                   });
+    connect_frame_socket(m_loop, address, connect_timeout,
+                         [this, ip, alive = m_is_alive](const std::shared_ptr<frame_socket>& socket) {
+                             if (!*alive) {
+                                 return;
+                             }
+                             m_connecting.erase(ip);
+                             if (socket == nullptr) {
+                                 return;
+                             }
+                             m_sockets[ip] = socket;
+                             m_status_requested_at.erase(ip);
+                             socket->start([this, ip](const std::string& bytes) { on_frame(ip, bytes); },
+                                           [this, ip] {
+                                               m_sockets.erase(ip);
+                                               m_status_requested_at.erase(ip);
+                                               if (ip == m_leader) {
+                                                   mark_leader_lost("connection_ended");
+                                               }
+                                           });
+                             request_status(ip);
+                         });
 }
 
 void leader_link::on_frame(std::uint32_t ip, const std::string& bytes) {
--- a/poplarpitch/net/frame_socket.cpp
+++ b/poplarpitch/net/frame_socket.cpp
@@ -215,8 +215,8 @@
     return acceptor.local_endpoint().port();
 }
 
-void connect_frames(event_loop& loop, const std::string& address, duration timeout,
-                    std::function<void(std::shared_ptr<frame_socket>)> on_done) {
+void connect_frame_socket(event_loop& loop, const std::string& address, duration timeout,
+                          std::function<void(std::shared_ptr<frame_socket>)> on_done) {
     const auto target = read_socket_address(address);
     if (!target.has_value()) {
         loop.post([on_done = std::move(on_done)] { on_done(nullptr); });
--- a/poplarpitch/net/frame_socket.h
+++ b/poplarpitch/net/frame_socket.h
@@ -65,9 +65,9 @@
     std::shared_ptr<parts> m_parts;
 };
 
-/// Opens a connection of frames to `address` (IPv4 and port); `on_done` gets null when it cannot be made
+/// Connects a frame socket to `address` (IPv4 and port). `on_done` gets null when no connection is made
 /// within `timeout`. Thread safety: the loop's thread.
-void connect_frames(event_loop& loop, const std::string& address, duration timeout,
-                    std::function<void(std::shared_ptr<frame_socket>)> on_done);
+void connect_frame_socket(event_loop& loop, const std::string& address, duration timeout,
+                          std::function<void(std::shared_ptr<frame_socket>)> on_done);
 
 } // namespace poplarpitch
--- a/poplarpitch/replica/peer_mesh.cpp
+++ b/poplarpitch/replica/peer_mesh.cpp
@@ -28,18 +28,18 @@
 
 bool peer_mesh::send(std::uint32_t ip, const job_wire::cluster_frame& frame) {
     auto& peer = m_links[ip];
-    if (peer.socket != nullptr && peer.first_unanswered != time_point{} &&
-        m_loop.now() - peer.first_unanswered > silence_timeout) {
+    if (peer.socket != nullptr && peer.unconfirmed_since != time_point{} &&
+        m_loop.now() - peer.unconfirmed_since > silence_timeout) {
         peer.socket->close();
         peer.socket = nullptr;
-        peer.first_unanswered = time_point{};
+        peer.unconfirmed_since = time_point{};
     }
     if (peer.socket == nullptr) {
         connect(ip);
         return false;
     }
-    if (peer.first_unanswered == time_point{}) {
-        peer.first_unanswered = m_loop.now();
+    if (peer.unconfirmed_since == time_point{}) {
+        peer.unconfirmed_since = m_loop.now();
     }
     peer.socket->send(frame.SerializeAsString());
     return true;
@@ -48,7 +48,7 @@
 void peer_mesh::on_received(std::uint32_t ip) {
     const auto found = m_links.find(ip);
     if (found != m_links.end()) {
-        found->second.first_unanswered = time_point{};
+        found->second.unconfirmed_since = time_point{};
     }
 }
 
@@ -59,34 +59,34 @@
     }
     peer.is_connecting = true;
     const auto address = format_address({ip, static_cast<std::uint16_t>(m_port)});
-    connect_frames(m_loop, address, connect_timeout,
-                   [this, ip, alive = m_is_alive](const std::shared_ptr<frame_socket>& socket) {
-                       if (!*alive) {
-                           return;
-                       }
-                       auto& peer = m_links[ip];
-                       peer.is_connecting = false;
-                       if (socket == nullptr) {
-                           peer.retry_at = m_loop.now() + retry_pause;
-                           return;
-                       }
-                       peer.socket = socket;
-                       peer.first_unanswered = time_point{};
-                       socket->start(
-                           [this, ip](const std::string& bytes) {
-                               google::protobuf::Arena arena; // a frame has thousands of small messages
-                               auto& frame =
-                                   *google::protobuf::Arena::CreateMessage<job_wire::cluster_frame>(&arena);
-                               if (frame.ParseFromString(bytes)) {
-                                   on_received(ip);
-                                   m_on_frame(ip, frame);
-                               }
-                           },
-                           [this, ip] {
-                               m_links[ip].socket = nullptr;
-                               m_links[ip].retry_at = m_loop.now() + retry_pause;
-                           });
-                   });
+    connect_frame_socket(
+        m_loop, address, connect_timeout,
+        [this, ip, alive = m_is_alive](const std::shared_ptr<frame_socket>& socket) {
+            if (!*alive) {
+                return;
+            }
+            auto& peer = m_links[ip];
+            peer.is_connecting = false;
+            if (socket == nullptr) {
+                peer.retry_at = m_loop.now() + retry_pause;
+                return;
+            }
+            peer.socket = socket;
+            peer.unconfirmed_since = time_point{};
+            socket->start(
+                [this, ip](const std::string& bytes) {
+                    google::protobuf::Arena arena; // a frame has thousands of small messages
+                    auto& frame = *google::protobuf::Arena::CreateMessage<job_wire::cluster_frame>(&arena);
+                    if (frame.ParseFromString(bytes)) {
+                        on_received(ip);
+                        m_on_frame(ip, frame);
+                    }
+                },
+                [this, ip] {
+                    m_links[ip].socket = nullptr;
+                    m_links[ip].retry_at = m_loop.now() + retry_pause;
+                });
+        });
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/replica/peer_mesh.h
+++ b/poplarpitch/replica/peer_mesh.h
@@ -45,7 +45,7 @@
         bool is_connecting = false;
         time_point retry_at{};
         time_point
-            first_unanswered{}; ///< when the first frame after the last received one was sent; zero: none
+            unconfirmed_since{}; ///< when the first frame since the last received one was sent; zero: none
     };
 
     void connect(std::uint32_t ip);
--- a/poplarpitch/replica/replica.cpp
+++ b/poplarpitch/replica/replica.cpp
@@ -34,7 +34,7 @@
 
 replica::replica(event_loop& loop, const replica_settings& settings, replica_handler handler)
     : m_loop(loop), m_settings(settings), m_handler(std::move(handler)), m_files(settings.data_folder),
-      m_planner(settings.voters, settings.voter_loss), m_disk(loop) {}
+      m_planner(settings.voters, settings.voter_loss), m_sync_task(loop) {}
 
 replica::~replica() {
     for (const auto& socket : m_accepted) {
@@ -200,7 +200,7 @@
 // ---- turns
 
 void replica::take_turn() {
-    if (m_node == nullptr || m_disk.is_running()) {
+    if (m_node == nullptr || m_sync_task.is_running()) {
         return;
     }
     m_node->tick(m_loop.now());
@@ -214,7 +214,7 @@
 }
 
 void replica::take_message(const wire::raft_message& message) {
-    if (!m_disk.is_running()) {
+    if (!m_sync_task.is_running()) {
         m_node->step(decode(message), m_loop.now());
         return;
     }
@@ -250,14 +250,14 @@
             send(message);
         }
     }
-    m_disk.run([this] { m_save_result = m_storage->save(m_output); },
-               [this] {
-                   if (!m_save_result) {
-                       end_process(m_save_result.error());
-                   }
-                   finish_output();
-                   run_deferred();
-               });
+    m_sync_task.run([this] { m_save_result = m_storage->save(m_output); },
+                    [this] {
+                        if (!m_save_result) {
+                            end_process(m_save_result.error());
+                        }
+                        finish_output();
+                        run_deferred();
+                    });
 }
 
 /// Called when the node's output is on disk. Sends messages, applies entries, then answers the reads that
--- a/poplarpitch/replica/replica.h
+++ b/poplarpitch/replica/replica.h
@@ -155,11 +155,12 @@
     std::unique_ptr<raft_storage<posix_file_system>> m_storage;
     stored_state m_stored;
     std::unique_ptr<raft_node> m_node;
-    raft_output m_output; ///< being processed; owned by the disk thread while `m_disk` runs
-    /// Result of the last sync. Owned by the disk thread while `m_disk` runs.
+    raft_output m_output; ///< being processed; owned by the thread of the sync while `m_sync_task` runs
+    /// Result of the last sync. Owned by the thread of the sync while `m_sync_task` runs.
     result<void> m_save_result = boost::outcome_v2::success();
-    std::vector<std::function<void()>> m_deferred; ///< input for the raft node, deferred while `m_disk` runs
-    std::size_t m_deferred_messages = 0;           ///< number of messages of other nodes in `m_deferred`
+    std::vector<std::function<void()>>
+        m_deferred;                      ///< input for the raft node, deferred while `m_sync_task` runs
+    std::size_t m_deferred_messages = 0; ///< number of messages of other nodes in `m_deferred`
     hard_state m_hard_state;
     raft_membership m_applied_members;
     log_index m_applied = 0;
@@ -181,7 +182,7 @@
     time_point m_next_member_check{};
     std::uint64_t m_tick_timer = 0;
     time_point m_tick_at{};
-    background_task m_disk; ///< last member: its work ends before the others are destroyed
+    background_task m_sync_task; ///< last member: its work ends before the others are destroyed
 };
 
 } // namespace poplarpitch
--- a/poplarpitch/replica/replica_calls.cpp
+++ b/poplarpitch/replica/replica_calls.cpp
@@ -8,7 +8,7 @@
 namespace poplarpitch {
 
 void replica::run_after_sync(std::function<void()> work) {
-    if (m_disk.is_running()) {
+    if (m_sync_task.is_running()) {
         m_deferred.push_back(std::move(work));
     } else {
         work();
