--- a/performance_test/scheduler_load.cpp
+++ b/performance_test/scheduler_load.cpp
@@ -59,7 +59,7 @@
     return ticks / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-std::string make_job(const char* spec, int count, bool is_long_running) {
+std::string make_job(const char* payload, int count, bool is_long_running) {
     nlohmann::json step = {
         {"count", count}, {"cpu", is_long_running ? 2000 : 500}, {"memMb", 100}, {"estimateMs", 900}};
     if (is_long_running) {
@@ -70,7 +70,7 @@
         step["fills"] = true;
         step["image"] = "filling";
     }
-    return nlohmann::json{{"spec", spec}, {"steps", {step}}}.dump();
+    return nlohmann::json{{"spec", payload}, {"steps", {step}}}.dump();
 }
 
 int submit(scheduler_cluster& cluster, int number, const std::string& body) {
@@ -133,7 +133,7 @@
     cluster.put_config(1);
     int number = 1;
     for (int started = 0; started < shape.long_running; started += tasks_of_a_job) {
-        submit(cluster, number++, make_job(stand_in_workers::long_running_spec, tasks_of_a_job, true));
+        submit(cluster, number++, make_job(stand_in_workers::long_running_payload, tasks_of_a_job, true));
     }
     number = submit_steadily(cluster, number, shape.starts_per_second, settle_time);
     if (shape.prints_pids) {
--- a/unit_tests/platform/crash_cluster_test.cpp
+++ b/unit_tests/platform/crash_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Tasks that crash their workers, with real processes. Such a job must fail and the other jobs must complete,
-// also when the leader that saw the first crashes is killed.
+// Runs a cluster of real processes with a task that crashes its workers. The job of that task must fail and
+// the other job must complete, also when the leader that saw the first crash is killed.
 #include "unit_tests/platform/expect_done.h"
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
@@ -13,7 +13,7 @@
 constexpr duration wait_timeout = seconds{60}; // only a failing test waits this long
 constexpr int worker_count = 6;
 constexpr int task_count = 24;
-constexpr int max_starts = 5; // of a task: three crashes and two further starts that are allowed after them
+constexpr int max_starts = 5; // of a task: three that end in a crash, and at most two more after these
 const std::string crashing_job = "0000000000000e01";
 const std::string healthy_job = "0000000000000e02";
 
@@ -27,7 +27,7 @@
 
 void submit_both(scheduler_cluster& cluster) {
     ASSERT_TRUE(cluster.submit(healthy_job, task_count, wait_timeout));
-    ASSERT_TRUE(cluster.submit(crashing_job, 1, wait_timeout, stand_in_workers::crashing_spec));
+    ASSERT_TRUE(cluster.submit(crashing_job, 1, wait_timeout, stand_in_workers::crashing_payload));
 }
 
 void expect_crashing_job_failed_and_healthy_job_done(scheduler_cluster& cluster,
--- a/unit_tests/platform/relay_cluster_test.cpp
+++ b/unit_tests/platform/relay_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Orders and heartbeats that are relayed by the other control instances, with real processes. No task may run
-// twice or be lost when a relay is killed, is suspended or becomes the leader.
+// Runs a cluster of real processes in which the other control instances relay orders and heartbeats. No task
+// may run twice or be lost when a relay is killed, is suspended or becomes the leader.
 #include "unit_tests/platform/expect_done.h"
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
--- a/unit_tests/platform/replaced_cluster_test.cpp
+++ b/unit_tests/platform/replaced_cluster_test.cpp
@@ -1,7 +1,7 @@
-// All control instances lose power at the same moment and two of them also lose their disks, repeatedly,
-// while the workers continue and misbehave in every way that the platform allows. With real processes. No
-// task may run twice at once or after its acknowledged end, and every job must end. POPLARPITCH_SEED selects
-// a single other seed.
+// Runs a cluster of real processes. Repeatedly, all control instances lose power at the same moment and two
+// of them also lose their disks, while the workers continue and misbehave in every way that the platform
+// allows. No task may run twice at once or after its acknowledged end, and every job must end.
+// POPLARPITCH_SEED selects a single other seed.
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
 
@@ -31,7 +31,7 @@
 constexpr int round_count = 2;
 constexpr int long_running_count = 6;
 constexpr int max_attempts = 6;
-constexpr int max_worker_crashes = 2; // a task under which three workers crashed may fail
+constexpr int max_worker_crashes = 2; // a task may fail after three crashes of its workers
 const std::string long_running_job = "0000000000001f00";
 const std::vector<std::string> data_centres = {"z0", "z0", "z1", "z1", "z2"};
 
@@ -41,7 +41,7 @@
                            : std::vector<std::uint64_t>{std::strtoull(text, nullptr, 10)};
 }
 
-/// A short lease lapses while all schedulers are down, a long one does not.
+/// A short lease expires while all schedulers are down, a long one does not.
 std::string get_lease_setting(std::uint64_t seed) {
     return seed % 4 < 2 ? "lease = 2s\n" : "lease = 5s\n";
 }
@@ -110,7 +110,7 @@
     void start_load() {
         m_cluster.put_config(1, max_attempts);
         ASSERT_TRUE(m_cluster.submit_long_running(long_running_job, long_running_count, wait_timeout,
-                                                  stand_in_workers::long_running_spec));
+                                                  stand_in_workers::long_running_payload));
         submit_job();
         submit_job();
         wait_until([this] { return m_cluster.have_rejoined({}); });
@@ -150,7 +150,7 @@
         m_cluster.get_scheduler(number).send(SIGSTOP);
         sleep_random(100, 2500);
         m_cluster.get_scheduler(number).send(SIGCONT);
-        add_to_timeline(absl::StrCat("scheduler ", number, " goes on"));
+        add_to_timeline(absl::StrCat("scheduler ", number, " is resumed"));
     }
 
     void inject_fault() {
--- a/unit_tests/platform/restart_cluster_test.cpp
+++ b/unit_tests/platform/restart_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Workers that restart under the same ids, with real processes. Each task of a job must be done once, and
-// long-running tasks must be restarted, also when the leader is killed meanwhile.
+// Runs a cluster of real processes whose workers restart under the same ids. Each task of a job must be done
+// once, and long-running tasks must be restarted, also when the leader is killed meanwhile.
 #include "unit_tests/platform/expect_done.h"
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
@@ -36,7 +36,7 @@
     void submit_all() {
         m_cluster.put_config(1);
         ASSERT_TRUE(m_cluster.submit(long_running_job, long_running_count, wait_timeout,
-                                     stand_in_workers::long_running_spec));
+                                     stand_in_workers::long_running_payload));
         for (int number = 0; number < job_count; ++number) {
             ASSERT_TRUE(m_cluster.submit(make_job_id(number), task_count, wait_timeout));
         }
@@ -59,7 +59,7 @@
     submit_all();
     const milliseconds downtime{GetParam()};
     wait_until([&] { return m_workers.get_running_count() > long_running_count; });
-    // No more crashes than these: a task under which three workers crashed may fail.
+    // No more crashes than these: a task may fail after three crashes of its workers.
     m_workers.crash({0, 1, 2}, downtime);
     expect_correct_end_state();
     m_workers.crash({3, 4, 5}, downtime);
--- a/unit_tests/platform/scheduler_cluster.cpp
+++ b/unit_tests/platform/scheduler_cluster.cpp
@@ -223,20 +223,20 @@
     EXPECT_TRUE(is_acknowledged) << "the configuration was never acknowledged";
 }
 
-bool scheduler_cluster::submit(const std::string& id, int tasks, duration limit, const std::string& spec) {
+bool scheduler_cluster::submit(const std::string& id, int tasks, duration limit, const std::string& payload) {
     return submit_step(id, {{"count", tasks}, {"cpu", 500}, {"memMb", 100}, {"estimateMs", 200}}, limit,
-                       spec);
+                       payload);
 }
 
 bool scheduler_cluster::submit_long_running(const std::string& id, int tasks, duration limit,
-                                            const std::string& spec) {
+                                            const std::string& payload) {
     return submit_step(id, {{"count", tasks}, {"cpu", 500}, {"memMb", 100}, {"longRunning", true}}, limit,
-                       spec);
+                       payload);
 }
 
 bool scheduler_cluster::submit_step(const std::string& id, const nlohmann::json& step, duration limit,
-                                    const std::string& spec) {
-    const nlohmann::json job = {{"spec", spec}, {"steps", {step}}};
+                                    const std::string& payload) {
+    const nlohmann::json job = {{"spec", payload}, {"steps", {step}}};
     return wait_until(limit, [&] {
         const auto response = send_caller_request("POST", "/jobs/" + id, job.dump());
         return response.has_value() && response->status == 200;
--- a/unit_tests/platform/scheduler_cluster.h
+++ b/unit_tests/platform/scheduler_cluster.h
@@ -63,9 +63,9 @@
     void put_config(std::uint64_t version, int max_attempts = 3);
     /// Submits a job of one step, repeatedly until it is accepted. Returns false when it is not accepted
     /// within `limit`.
-    bool submit(const std::string& id, int tasks, duration limit, const std::string& spec = "text");
+    bool submit(const std::string& id, int tasks, duration limit, const std::string& payload = "text");
     /// As above, for a job of one step whose tasks run until it is cancelled.
-    bool submit_long_running(const std::string& id, int tasks, duration limit, const std::string& spec);
+    bool submit_long_running(const std::string& id, int tasks, duration limit, const std::string& payload);
     /// Waits until a job's state is `state`. Returns false when it is not within `limit`.
     bool wait_for_state(const std::string& id, const std::string& state, duration limit);
     /// Returns a job's state, or nothing when no answer reports it.
@@ -80,7 +80,7 @@
     /// scheduler at `host` (for any when empty) and, on that line or later, that all schedulers vote.
     [[nodiscard]] bool did_all_vote_after(const std::string& log_text, const std::string& host = {}) const;
     bool submit_step(const std::string& id, const nlohmann::json& step, duration limit,
-                     const std::string& spec);
+                     const std::string& payload);
     std::optional<http_response> send(const std::string& address, const std::string& method,
                                       const std::string& path, const std::string& body);
 
--- a/unit_tests/platform/stand_in_workers.cpp
+++ b/unit_tests/platform/stand_in_workers.cpp
@@ -268,15 +268,15 @@
     }
 
     void begin_run(simulated_worker& worker, const std::string& task, std::uint32_t run,
-                   const std::string& spec) {
+                   const std::string& payload) {
         record.add_start(task, run, describe_worker(worker));
-        if (spec == stand_in_workers::crashing_spec) {
+        if (payload == stand_in_workers::crashing_payload) {
             loop.call_after(crash_delay, [this, &worker, incarnation = worker.incarnation] {
                 crash(worker, incarnation);
             });
         }
-        const bool is_long_running =
-            spec == stand_in_workers::long_running_spec || spec == stand_in_workers::crashing_spec;
+        const bool is_long_running = payload == stand_in_workers::long_running_payload ||
+                                     payload == stand_in_workers::crashing_payload;
         timer_id timer = 0;
         if (!is_long_running) {
             const char* outcome = happens(behaviour.failed_run_percent) ? "failed" : "done";
--- a/unit_tests/platform/stand_in_workers.h
+++ b/unit_tests/platform/stand_in_workers.h
@@ -22,9 +22,9 @@
 class stand_in_workers {
 public:
     /// Payload of jobs whose tasks run until they are stopped.
-    static constexpr const char* long_running_spec = "lasts";
+    static constexpr const char* long_running_payload = "lasts";
     /// Payload of jobs whose tasks crash the workers that start them.
-    static constexpr const char* crashing_spec = "crashes";
+    static constexpr const char* crashing_payload = "crashes";
 
     using restart_mode = worker_restart_mode;
 
--- a/unit_tests/platform/start_link_test.cpp
+++ b/unit_tests/platform/start_link_test.cpp
@@ -93,7 +93,7 @@
         });
     });
     loop.run();
-    EXPECT_EQ(worker.received_calls, 3) << "the second start arrived twice";
+    EXPECT_EQ(worker.received_calls, 3) << "the second start must arrive twice";
     return failure;
 }
 
