--- a/unit_tests/platform/run_record.cpp
+++ b/unit_tests/platform/run_record.cpp
@@ -20,7 +20,7 @@
         is_after_done = is_after_done || end.is_acknowledged;
         ++end.starts_since;
     }
-    m_overlaps += is_overlap ? 1 : 0;
+    m_concurrent_starts += is_overlap ? 1 : 0;
     m_starts_after_done += is_after_done ? 1 : 0;
     record.has_violation = record.has_violation || is_overlap || is_after_done;
     ++record.running;
@@ -33,10 +33,10 @@
 void run_record::add_concurrent_start(const std::string& task, std::uint32_t run, const std::string& worker) {
     const absl::MutexLock lock(&m_mutex);
     auto& record = m_tasks[task];
-    ++m_overlaps;
+    ++m_concurrent_starts;
     record.has_violation = true;
-    add_history_line(record,
-                     absl::StrCat("run ", run, " was asked for on ", worker, " WHERE ANOTHER IS ACTIVE"));
+    add_history_line(record, absl::StrCat("a start of run ", run, " was sent to ", worker,
+                                          " WHERE ANOTHER RUN IS ACTIVE"));
 }
 
 void run_record::add_end(const std::string& task, std::uint32_t run, const std::string& worker,
@@ -74,7 +74,7 @@
         record.done_ends.erase(end);
         add_history_line(
             record,
-            absl::StrCat("run ", run, " is disregarded: the lease lapsed before its end was acknowledged"));
+            absl::StrCat("run ", run, " is disregarded: the lease expired before its end was acknowledged"));
     }
 }
 
@@ -85,7 +85,7 @@
 
 int run_record::get_concurrent_start_count() const {
     const absl::MutexLock lock(&m_mutex);
-    return m_overlaps;
+    return m_concurrent_starts;
 }
 
 int run_record::get_starts_after_done() const {
--- a/unit_tests/platform/run_record.h
+++ b/unit_tests/platform/run_record.h
@@ -61,7 +61,7 @@
 
     mutable absl::Mutex m_mutex;
     std::map<std::string, task_record> m_tasks ABSL_GUARDED_BY(m_mutex);
-    int m_overlaps ABSL_GUARDED_BY(m_mutex) = 0;
+    int m_concurrent_starts ABSL_GUARDED_BY(m_mutex) = 0;
     int m_starts_after_done ABSL_GUARDED_BY(m_mutex) = 0;
 };
 
