--- a/poplarpitch/policy/decaying_histogram.cpp
+++ b/poplarpitch/policy/decaying_histogram.cpp
@@ -24,8 +24,8 @@
     using histogram_type =
         decltype(boost::histogram::make_histogram_with(std::vector<double>(), std::declval<log_axis>()));
 
-    storage(int bins, double from, double to, double memory_samples)
-        : low(from), high(to), weight_growth(std::exp(1.0 / memory_samples)),
+    storage(int bins, double from, double to, double decay_samples)
+        : low(from), high(to), weight_growth(std::exp(1.0 / decay_samples)),
           histogram(boost::histogram::make_histogram_with(std::vector<double>(), log_axis(bins, from, to))) {}
 
     double low;
@@ -36,10 +36,10 @@
     histogram_type histogram;
 };
 
-decaying_histogram::decaying_histogram(double low, double high, double memory_samples) {
-    assert(low > 0 && high > low && memory_samples >= 1);
+decaying_histogram::decaying_histogram(double low, double high, double decay_samples) {
+    assert(low > 0 && high > low && decay_samples >= 1);
     const int bins = static_cast<int>(std::ceil(std::log2(high / low))) * bins_per_octave;
-    m_storage = std::make_unique<storage>(bins, low, high, memory_samples);
+    m_storage = std::make_unique<storage>(bins, low, high, decay_samples);
 }
 
 decaying_histogram::~decaying_histogram() = default;
--- a/poplarpitch/policy/decaying_histogram.h
+++ b/poplarpitch/policy/decaying_histogram.h
@@ -9,9 +9,9 @@
 /// at a fixed cost for each sample. Thread safety: none, as for all methods.
 class decaying_histogram {
 public:
-    /// Preconditions: 0 < `low` < `high`; `memory_samples`, at least 1, is the number of samples after which
+    /// Preconditions: 0 < `low` < `high`; `decay_samples`, at least 1, is the number of samples after which
     /// the weight of a sample has decayed to 1/e.
-    decaying_histogram(double low, double high, double memory_samples);
+    decaying_histogram(double low, double high, double decay_samples);
     ~decaying_histogram();
     decaying_histogram(decaying_histogram&& other) noexcept;
     decaying_histogram& operator=(decaying_histogram&& other) noexcept;
--- a/poplarpitch/policy/interference_model.cpp
+++ b/poplarpitch/policy/interference_model.cpp
@@ -70,7 +70,7 @@
         auto& pair = get_or_create(service, runner.batch);
         // A class with a larger share explains more of the error, so its coefficient changes more.
         const double weight = runner.share * runner.share / square_sum;
-        pair.evidence = std::min(pair.evidence + weight, m_settings.memory_samples);
+        pair.evidence = std::min(pair.evidence + weight, m_settings.decay_samples);
         const double step = weight / pair.evidence;
         pair.coefficient += step * error / std::max(runner.share, min_share);
         pair.coefficient = std::clamp(pair.coefficient, 0.0, max_coefficient);
@@ -83,7 +83,7 @@
                                       double evidence) {
     auto& pair = get_or_create(service, batch);
     pair.coefficient = std::clamp(coefficient, 0.0, max_coefficient);
-    pair.evidence = m_settings.prior_weight + std::clamp(evidence, 0.0, m_settings.memory_samples);
+    pair.evidence = m_settings.prior_weight + std::clamp(evidence, 0.0, m_settings.decay_samples);
 }
 
 double interference_model::predict(std::uint32_t service, std::span<const co_runner> runners) const {
--- a/poplarpitch/policy/interference_model.h
+++ b/poplarpitch/policy/interference_model.h
@@ -21,7 +21,7 @@
 /// Settings of the interference model.
 struct interference_settings {
     double prior_weight = 20; ///< number of samples that the operators' prior counts as
-    double memory_samples =
+    double decay_samples =
         5000; ///< samples after which old ones have decayed, since interference changes with load
     double max_slowdown = 20; ///< larger samples are clipped, so that one outlier cannot distort an estimate
     double upper_bound_errors =
--- a/poplarpitch/policy/latency_model.cpp
+++ b/poplarpitch/policy/latency_model.cpp
@@ -5,7 +5,7 @@
 
 constexpr double min_us = 10;    // shorter times make no difference to a deadline
 constexpr double max_us = 600e6; // ten minutes
-constexpr double memory_samples =
+constexpr double decay_samples =
     2000; // adapts to a load shift within seconds at hundreds of requests per second
 constexpr std::uint64_t samples_per_refresh = 32;
 
@@ -15,7 +15,7 @@
 
 } // namespace
 
-latency_model::latency_model() : m_histogram(min_us, max_us, memory_samples) {}
+latency_model::latency_model() : m_histogram(min_us, max_us, decay_samples) {}
 
 void latency_model::add(duration time) {
     m_histogram.add(to_microseconds(time));
--- a/poplarpitch/policy/speed_model.cpp
+++ b/poplarpitch/policy/speed_model.cpp
@@ -32,7 +32,7 @@
     const double clipped_us = std::min(alone_us, outlier_factor * base.value * speed.value);
     base.evidence = std::min(base.evidence + 1, base_memory_samples);
     base.value += (clipped_us / speed.value - base.value) / base.evidence;
-    speed.evidence = std::min(speed.evidence + 1, m_settings.memory_samples);
+    speed.evidence = std::min(speed.evidence + 1, m_settings.decay_samples);
     speed.value += (clipped_us / std::max(base.value, 1.0) - speed.value) / speed.evidence;
     speed.value = std::clamp(speed.value, m_settings.min_factor, m_settings.max_factor);
 }
--- a/poplarpitch/policy/speed_model.h
+++ b/poplarpitch/policy/speed_model.h
@@ -8,10 +8,10 @@
 
 /// Settings of the speed model.
 struct speed_settings {
-    double memory_samples = 300; ///< samples after which old ones have decayed
-    double prior_weight = 10;    ///< number of samples that the prior, a typical worker, counts as
-    double min_factor = 0.2;     ///< a worker is assumed to be at most five times as fast as a typical one
-    double max_factor = 10;      ///< and at most ten times as slow
+    double decay_samples = 300; ///< samples after which old ones have decayed
+    double prior_weight = 10;   ///< number of samples that the prior, a typical worker, counts as
+    double min_factor = 0.2;    ///< a worker is assumed to be at most five times as fast as a typical one
+    double max_factor = 10;     ///< and at most ten times as slow
 
     friend auto operator<=>(const speed_settings&, const speed_settings&) = default;
 };
--- a/poplarpitch/policy/usage_model.cpp
+++ b/poplarpitch/policy/usage_model.cpp
@@ -10,7 +10,7 @@
 // which lies in the middle of a bin, so exactly the declared amount is reserved for it.
 constexpr double min_ratio = 0.01496255; // 2^(-6 - 1/16)
 constexpr double max_ratio = 61.2866;    // 2^(6 - 1/16)
-constexpr double memory_samples = 200;
+constexpr double decay_samples = 200;
 constexpr std::int64_t min_millicores = 50;
 constexpr std::int64_t min_memory_bytes = 16LL << 20;
 
@@ -22,8 +22,8 @@
 } // namespace
 
 usage_model::ratios::ratios()
-    : cores(min_ratio, max_ratio, memory_samples), memory(min_ratio, max_ratio, memory_samples),
-      time(min_ratio, max_ratio, memory_samples) {}
+    : cores(min_ratio, max_ratio, decay_samples), memory(min_ratio, max_ratio, decay_samples),
+      time(min_ratio, max_ratio, decay_samples) {}
 
 usage_model::usage_model(const usage_settings& settings) : m_settings(settings) {}
 
