--- a/poplarpitch/relay/relay_agent.cpp
+++ b/poplarpitch/relay/relay_agent.cpp
@@ -20,8 +20,8 @@
 
 } // namespace
 
-relay_agent::relay_agent(const relay_settings& settings, relay_instance place, order_executor execute)
-    : m_settings(settings), m_place(std::move(place)), m_execute(std::move(execute)),
+relay_agent::relay_agent(const relay_settings& settings, relay_instance self, order_executor execute)
+    : m_settings(settings), m_self(std::move(self)), m_execute(std::move(execute)),
       m_is_alive(std::make_shared<bool>(true)) {}
 
 relay_agent::~relay_agent() {
@@ -34,8 +34,8 @@
     if (is_stale) {
         job_wire::relay_answers refusal;
         refusal.set_term(frame.term());
-        refusal.set_ip(m_place.ip);
-        refusal.set_data_centre(m_place.data_centre);
+        refusal.set_ip(m_self.ip);
+        refusal.set_data_centre(m_self.data_centre);
         refusal.set_version(relay_version);
         for (const auto& order : frame.orders()) {
             auto& answer = *refusal.add_answers();
@@ -57,9 +57,9 @@
     m_last_frame_at = now;
     m_must_answer = true;
     if (frame.has_places()) {
-        m_places.clear();
-        for (const auto& place : frame.places()) {
-            m_places.push_back({place.ip(), place.data_centre()});
+        m_relays.clear();
+        for (const auto& relay : frame.places()) {
+            m_relays.push_back({relay.ip(), relay.data_centre()});
         }
     }
     for (const auto& worker : frame.unknown_workers()) {
@@ -77,7 +77,7 @@
     m_is_leader = false;
     m_frame = nullptr;
     m_frame_age.clear();
-    m_places.clear();
+    m_relays.clear();
     remove_expired_reports(now);
     for (auto& [worker, known] : m_reports) {
         add_full_report(known);
@@ -138,8 +138,8 @@
     if (m_frame == nullptr) {
         m_frame = std::make_unique<job_wire::relay_answers>();
         m_frame->set_term(m_term);
-        m_frame->set_ip(m_place.ip);
-        m_frame->set_data_centre(m_place.data_centre);
+        m_frame->set_ip(m_self.ip);
+        m_frame->set_data_centre(m_self.data_centre);
         m_frame->set_version(relay_version);
     }
     return *m_frame;
@@ -185,7 +185,8 @@
     return frame;
 }
 
-/// Answers are due soon. Heartbeats wait for the next answers or for the leader's next frame.
+/// Answers are sent after the minimum interval between frames. Heartbeats alone wait for the next answers or
+/// for the leader's next frame.
 std::optional<time_point> relay_agent::get_due() const {
     const bool has_answers = m_frame != nullptr && m_frame->answers_size() > 0;
     if (m_term == 0 || m_is_leader || (!has_answers && !m_must_answer)) {
@@ -200,7 +201,7 @@
 }
 
 std::uint32_t relay_agent::pick(const worker_report& report) const {
-    return pick_relay(m_places, report.data_centre, hash_bytes(report.incarnation.id)).value_or(m_place.ip);
+    return pick_relay(m_relays, report.data_centre, hash_bytes(report.incarnation.id)).value_or(m_self.ip);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_agent.h
+++ b/poplarpitch/relay/relay_agent.h
@@ -38,8 +38,8 @@
     /// Sends an order to its worker and calls the handler once.
     using order_executor = std::function<void(const worker_order&, outcome_handler)>;
 
-    /// `place`: this instance.
-    relay_agent(const relay_settings& settings, relay_instance place, order_executor execute);
+    /// `self`: this instance.
+    relay_agent(const relay_settings& settings, relay_instance self, order_executor execute);
     ~relay_agent();
     relay_agent(const relay_agent&) = delete;
     relay_agent& operator=(const relay_agent&) = delete;
@@ -82,7 +82,7 @@
     job_wire::relay_answers& open_frame();
 
     relay_settings m_settings;
-    relay_instance m_place;
+    relay_instance m_self;
     order_executor m_execute;
     log_term m_term = 0;      ///< highest term seen
     bool m_is_leader = false; ///< this instance is the leader in `m_term`
@@ -91,7 +91,7 @@
     time_point m_last_answer_at{};
     bool m_must_answer = false; ///< a frame arrived and no answer was sent since
     time_point m_next_sweep{};
-    std::vector<relay_instance> m_places;
+    std::vector<relay_instance> m_relays;
     absl::btree_map<worker_incarnation, known_report> m_reports;
     std::unique_ptr<job_wire::relay_answers> m_frame; ///< null while empty
     std::size_t m_open = 0;
--- a/poplarpitch/relay/relay_hub.cpp
+++ b/poplarpitch/relay/relay_hub.cpp
@@ -100,7 +100,7 @@
 
 std::vector<relayed_outcome> relay_hub::on_frame_not_sent(std::uint32_t ip,
                                                           const job_wire::relay_orders& frame) {
-    m_outboxes[ip].sent_places_version = 0;
+    m_outboxes[ip].sent_relays_version = 0;
     std::vector<relayed_outcome> outcomes;
     for (const auto& order : frame.orders()) {
         if (auto outcome = complete_order(order.number(), {order_failure::not_sent, {}});
@@ -158,13 +158,13 @@
             continue;
         }
         auto& frame = open_frame(ip);
-        if (box.sent_places_version != m_places_version) {
-            box.sent_places_version = m_places_version;
+        if (box.sent_relays_version != m_relays_version) {
+            box.sent_relays_version = m_relays_version;
             frame.set_has_places(true);
-            for (const auto& place : m_registry.get_places()) {
+            for (const auto& relay : m_registry.get_relays()) {
                 auto& item = *frame.add_places();
-                item.set_ip(place.ip);
-                item.set_data_centre(place.data_centre);
+                item.set_ip(relay.ip);
+                item.set_data_centre(relay.data_centre);
             }
         }
         box.sent = now;
@@ -175,7 +175,7 @@
 }
 
 void relay_hub::on_relays_changed() {
-    ++m_places_version;
+    ++m_relays_version;
 }
 
 std::optional<std::uint32_t> relay_hub::pick(const std::string& data_centre,
--- a/poplarpitch/relay/relay_hub.h
+++ b/poplarpitch/relay/relay_hub.h
@@ -72,7 +72,7 @@
     [[nodiscard]] std::optional<std::uint32_t> pick(const std::string& data_centre,
                                                     std::uint64_t worker_hash) const;
     /// Returns the number of relays.
-    [[nodiscard]] std::size_t count_relays() const { return m_registry.get_places().size(); }
+    [[nodiscard]] std::size_t count_relays() const { return m_registry.get_relays().size(); }
     /// Returns the number of orders without an outcome.
     [[nodiscard]] std::size_t count_open() const { return m_open.size(); }
     /// Returns the number of orders relayed since the start.
@@ -92,7 +92,7 @@
     struct outbox {
         std::shared_ptr<job_wire::relay_orders> frame; ///< null while empty
         time_point sent{};
-        std::uint64_t sent_places_version = 0; ///< version of the list of relays that was sent last
+        std::uint64_t sent_relays_version = 0; ///< version of the list of relays that was sent last
     };
 
     /// Returns the frame that collects orders for the relay at `ip`.
@@ -108,7 +108,7 @@
     log_term m_term = 0;
     std::uint64_t m_next_number = 1;
     std::uint64_t m_relayed = 0;
-    std::uint64_t m_places_version = 1;
+    std::uint64_t m_relays_version = 1;
     absl::flat_hash_map<std::uint64_t, open_order> m_open;
     std::priority_queue<deadline, std::vector<deadline>, std::greater<>> m_deadlines;
     std::map<std::uint32_t, outbox> m_outboxes;   ///< by address
--- a/poplarpitch/relay/relay_registry.cpp
+++ b/poplarpitch/relay/relay_registry.cpp
@@ -19,17 +19,17 @@
 
 } // namespace
 
-std::optional<std::uint32_t> pick_relay(const std::vector<relay_instance>& places,
+std::optional<std::uint32_t> pick_relay(const std::vector<relay_instance>& relays,
                                         const std::string& data_centre, std::uint64_t worker_hash) {
     std::optional<std::uint32_t> best;
     bool is_best_near = false;
     std::uint64_t highest = 0;
-    for (const auto& place : places) {
-        const bool is_near = place.data_centre == data_centre;
-        const auto preference = get_preference(place.ip, worker_hash);
+    for (const auto& relay : relays) {
+        const bool is_near = relay.data_centre == data_centre;
+        const auto preference = get_preference(relay.ip, worker_hash);
         const bool is_better = is_near != is_best_near ? is_near : preference > highest;
         if (!best.has_value() || is_better) {
-            best = place.ip;
+            best = relay.ip;
             is_best_near = is_near;
             highest = preference;
         }
@@ -38,14 +38,14 @@
 }
 
 void relay_registry::clear() {
-    m_places.clear();
+    m_relays.clear();
     m_last_contact.clear();
 }
 
-bool relay_registry::record_contact(const relay_instance& place, time_point now) {
-    const auto [found, is_new] = m_last_contact.insert_or_assign(place.ip, now);
+bool relay_registry::record_contact(const relay_instance& relay, time_point now) {
+    const auto [found, is_new] = m_last_contact.insert_or_assign(relay.ip, now);
     if (is_new) {
-        m_places.insert(std::lower_bound(m_places.begin(), m_places.end(), place), place);
+        m_relays.insert(std::lower_bound(m_relays.begin(), m_relays.end(), relay), relay);
     }
     return is_new;
 }
@@ -59,14 +59,14 @@
     }
     for (const auto ip : lost) {
         m_last_contact.erase(ip);
-        std::erase_if(m_places, [ip](const relay_instance& place) { return place.ip == ip; });
+        std::erase_if(m_relays, [ip](const relay_instance& relay) { return relay.ip == ip; });
     }
     return lost;
 }
 
 std::optional<std::uint32_t> relay_registry::pick(const std::string& data_centre,
                                                   std::uint64_t worker_hash) const {
-    return pick_relay(m_places, data_centre, worker_hash);
+    return pick_relay(m_relays, data_centre, worker_hash);
 }
 
 } // namespace poplarpitch
--- a/poplarpitch/relay/relay_registry.h
+++ b/poplarpitch/relay/relay_registry.h
@@ -31,23 +31,23 @@
     /// Removes all relays.
     void clear();
     /// Records that a frame of a relay arrived. Returns true when the relay is new.
-    bool record_contact(const relay_instance& place, time_point now);
+    bool record_contact(const relay_instance& relay, time_point now);
     /// Removes the relays that sent nothing within the timeout, and returns their addresses.
     std::vector<std::uint32_t> remove_timed_out(time_point now);
     /// Returns the relay for a worker, or nothing where there is none.
     [[nodiscard]] std::optional<std::uint32_t> pick(const std::string& data_centre,
                                                     std::uint64_t worker_hash) const;
     /// Returns all relays, sorted by address.
-    [[nodiscard]] const std::vector<relay_instance>& get_places() const { return m_places; }
+    [[nodiscard]] const std::vector<relay_instance>& get_relays() const { return m_relays; }
 
 private:
     relay_settings m_settings;
-    std::vector<relay_instance> m_places;
+    std::vector<relay_instance> m_relays;
     std::map<std::uint32_t, time_point> m_last_contact; ///< time of the last frame of each relay, by address
 };
 
-/// Returns the relay out of `places` for a worker, as `relay_registry` assigns it. Thread safety: any thread.
-[[nodiscard]] std::optional<std::uint32_t> pick_relay(const std::vector<relay_instance>& places,
+/// Returns the relay out of `relays` for a worker, as `relay_registry` assigns it. Thread safety: any thread.
+[[nodiscard]] std::optional<std::uint32_t> pick_relay(const std::vector<relay_instance>& relays,
                                                       const std::string& data_centre,
                                                       std::uint64_t worker_hash);
 
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -100,7 +100,7 @@
 
 /// A control instance that relays orders to the workers of its data centre.
 struct crash_world::relay {
-    relay_instance place;
+    relay_instance instance;
     std::unique_ptr<relay_agent> agent; ///< null while the process is down
     std::uint64_t process_number = 0;   ///< number of its process
     time_point stalled_until{};
@@ -112,7 +112,7 @@
     configure();
     for (int number = 1; number <= settings.data_centres; ++number) {
         auto node = std::make_unique<relay>();
-        node->place = {static_cast<std::uint32_t>(number), "dc" + std::to_string(number)};
+        node->instance = {static_cast<std::uint32_t>(number), "dc" + std::to_string(number)};
         m_relays.push_back(std::move(node));
         start_relay(*m_relays.back());
     }
@@ -354,7 +354,7 @@
 void crash_world::start_relay(relay& node) {
     ++node.process_number;
     node.agent = std::make_unique<relay_agent>(
-        relay_settings{}, node.place,
+        relay_settings{}, node.instance,
         [this, &node](const worker_order& order, const relay_agent::outcome_handler& on_outcome) {
             const auto process_number = node.process_number;
             send_to_worker(order, [this, &node, process_number, on_outcome](const order_outcome& outcome) {
@@ -386,7 +386,7 @@
 void crash_world::send_frames() {
     std::vector<std::uint32_t> addresses;
     for (const auto& node : m_relays) {
-        addresses.push_back(node->place.ip);
+        addresses.push_back(node->instance.ip);
     }
     for (const auto& frame : m_hub.take_frames(addresses, m_now)) {
         auto& node = *m_relays[frame.ip - 1];
@@ -528,7 +528,7 @@
 /// Sends a worker's report to its relay, or to the leader when the relay does not answer in time.
 void crash_world::send_report(const worker_report& report) {
     const auto found = std::find_if(m_relays.begin(), m_relays.end(), [&](const auto& node) {
-        return node->place.data_centre == report.data_centre;
+        return node->instance.data_centre == report.data_centre;
     });
     if (found == m_relays.end() || report.is_draining || (*found)->agent == nullptr) {
         m_scheduler.on_heartbeat(report, m_now);
@@ -690,7 +690,7 @@
             return;
         }
     }
-    m_violations.push_back("a start brought " + target.id + " over its room");
+    m_violations.push_back("a start exceeded the capacity of " + target.id);
 }
 
 // ---- orders
