--- a/poplarpitch/scheduling/crash_evidence.h
+++ b/poplarpitch/scheduling/crash_evidence.h
@@ -7,12 +7,13 @@
 /// How strongly the loss of a run's worker suggests that the run crashed it. The numeric values are stored in
 /// the log.
 enum class crash_evidence : std::uint8_t {
-    none = 0,     ///< no crash (the worker left or was cut off), or the run surely never got its start
-    possible = 1, ///< the worker crashed and the run may have been there: its start was not answered
-    shared = 2,   ///< the worker crashed while the run was there, but other tasks may be the cause as well
-    likely = 3,   ///< the run was alone there, or had just started and was the only one whose task was at an
-                  ///< earlier crash
-    clear = 4,    ///< the run was alone there and had just started, now and at the earlier crash
+    none = 0,     ///< no crash (the worker left or was partitioned), or the run was certainly never started
+    possible = 1, ///< the worker crashed and the run may have been on it: its start was not answered
+    shared = 2,   ///< the worker crashed while the run was on it, but other tasks may be the cause as well
+    likely = 3, ///< the run was alone on the worker; or it had just started and was the only run there whose
+                ///< task had been on a worker that crashed before
+    clear = 4,  ///< the run was alone on the worker and had just started, as had the task's runs at earlier
+                ///< crashes
 };
 
 /// Returns the name of the evidence in logs. Thread safety: any thread.
--- a/poplarpitch/scheduling/crash_history.h
+++ b/poplarpitch/scheduling/crash_history.h
@@ -8,23 +8,24 @@
 
 namespace poplarpitch {
 
-/// Counts the workers that crashed under a task and decides when to give the task up.
+/// Counts the workers that crashed while they ran a task, and decides when to give the task up.
 ///
-/// A worker that crashes takes all its tasks with it, so one crash proves nothing against any of them. A task
-/// is given up after two crashes at which it surely ran if the second points clearly at it, after three if
-/// the last makes it the likely cause, and after four in any case: the starts of such a task may never be
-/// answered, and the tasks beside it may be no better. A run that lasts well beyond those that ended in a
-/// crash resets the count, since a task that crashes its workers does so again. The history is part of the
-/// replicated state, so the count survives changes of leader, restarts and snapshots.
+/// A crash ends all runs on the worker, so one crash does not show which task caused it. A task is given up
+/// after two crashes at which it certainly ran if the evidence of the second is `clear`, after three if that
+/// of the last is `likely`, and after four in any case. The last rule is needed because the starts of such a
+/// task may never be answered, and the tasks beside it may crash their workers as well. A run that lasts well
+/// beyond those that ended in a crash resets the count, since a task that crashes its workers does so again.
+/// The history is part of the replicated state, so the count survives changes of leader, restarts and
+/// snapshots.
 struct crash_history {
-    std::uint32_t sure = 0;      ///< crashes at which the task surely ran
-    std::uint32_t crashes = 0;   ///< workers that crashed under the task since the last reset
-    std::int64_t longest_ms = 0; ///< longest time that one of the crashed runs had lasted
+    std::uint32_t certain_crashes = 0; ///< crashes at which the task certainly ran
+    std::uint32_t crashes = 0;         ///< workers that crashed while they ran the task since the last reset
+    std::int64_t longest_ms = 0;       ///< longest time that one of the crashed runs had lasted
     std::uint32_t last_run = 0; ///< run of the last counted crash: a crash that is reported twice counts once
 
     friend auto operator<=>(const crash_history&, const crash_history&) = default;
 
-    /// Records for how long a run has surely been working, in milliseconds, whether or not it has ended. A
+    /// Records for how long a run has certainly been running, in milliseconds, whether or not it has ended. A
     /// run of at least `get_reset_run_ms()` resets the count. Thread safety: none.
     void record_run_age(std::int64_t age_ms) {
         if (crashes > 0 && age_ms >= get_reset_run_ms()) {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Records that a worker crashed under run `run`, which had lasted `age_ms` milliseconds. Returns false
+    /// Records that a worker crashed during run `run`, which had lasted `age_ms` milliseconds. Returns false
     /// when that crash is already counted. Thread safety: none.
     bool record_crash(std::uint32_t run, crash_evidence evidence, std::int64_t age_ms) {
         if (run == last_run) {
@@ -40,7 +41,7 @@
         }
         last_run = run;
         ++crashes;
-        sure += evidence > crash_evidence::possible ? 1 : 0;
+        certain_crashes += evidence > crash_evidence::possible ? 1 : 0;
         longest_ms = age_ms > longest_ms ? age_ms : longest_ms;
         return true;
     }
@@ -56,19 +57,19 @@
     [[nodiscard]] bool should_give_up(crash_evidence last) const {
         const bool is_attributed = last == crash_evidence::clear ||
                                    (last == crash_evidence::likely && crashes >= min_crashes_if_likely);
-        return (sure >= min_crashes && is_attributed) || crashes >= max_crashes;
+        return (certain_crashes >= min_crashes && is_attributed) || crashes >= max_crashes;
     }
 
-    static constexpr std::uint32_t min_crashes = 2; ///< sure crashes after which a task may be given up
+    static constexpr std::uint32_t min_crashes = 2; ///< certain crashes after which a task may be given up
     static constexpr std::uint32_t min_crashes_if_likely =
         3; ///< the same if the last crash is `likely`; a task is started at most twice more after
            ///< `min_crashes`
     static constexpr std::uint32_t max_crashes =
-        4; ///< crashes after which it is given up, whether or not the task surely ran at them
+        4; ///< crashes after which it is given up, whether or not the task certainly ran at them
     static constexpr std::int64_t reset_run_multiple =
         4; ///< multiple of the longest run that ended in a crash
     static constexpr std::int64_t min_reset_run_ms = 5'000; ///< a shorter run never resets the count
-    // Machines also fail on their own, and a task that runs for days meets that more than once.
+    // Machines also fail on their own, and this happens more than once to a task that runs for days.
     static constexpr std::int64_t max_reset_run_ms = 60'000; ///< a run of this length always resets the count
 };
 
--- a/poplarpitch/scheduling/hold_answer.h
+++ b/poplarpitch/scheduling/hold_answer.h
@@ -16,8 +16,8 @@
     run_key run;
     std::string checkpoint;   ///< newest checkpoint; empty for none
     std::int64_t percent = 0; ///< progress of its work; for a long-running task, 100 when it is working
-    std::int64_t level = 0;   ///< over the last half second; serving tasks: tail latency of their answers in
-                              ///< ms; others: millicores in use
+    std::int64_t level = 0;   ///< for a serving task, the tail latency of its answers in ms; for others, the
+                              ///< millicores in use; both over the last half second
 
     friend auto operator<=>(const run_entry&, const run_entry&) = default;
 };
@@ -32,7 +32,7 @@
     friend auto operator<=>(const run_end_entry&, const run_end_entry&) = default;
 };
 
-/// A worker's complete list of runs.
+/// A worker's answer to a hold order: the complete list of its runs.
 struct hold_answer {
     std::int64_t clock_ms = 0; ///< the worker's clock
     std::vector<run_entry> running;
--- a/poplarpitch/scheduling/job_codec.cpp
+++ b/poplarpitch/scheduling/job_codec.cpp
@@ -104,7 +104,7 @@
         item.set_address(run.address);
     }
     if (task.crash != crash_history{}) {
-        message.mutable_crash()->set_sure(task.crash.sure);
+        message.mutable_crash()->set_sure(task.crash.certain_crashes);
         message.mutable_crash()->set_crashes(task.crash.crashes);
         message.mutable_crash()->set_longest_ms(task.crash.longest_ms);
         message.mutable_crash()->set_last_run(task.crash.last_run);
--- a/poplarpitch/scheduling/job_state_event.h
+++ b/poplarpitch/scheduling/job_state_event.h
@@ -11,7 +11,7 @@
 
 namespace poplarpitch {
 
-/// A change made by a committed command, for the leader's own bookkeeping.
+/// A change made by a committed command. The leader updates its own state by these events.
 struct job_state_event {
     enum class kind : std::uint8_t {
         job_accepted, ///< `run.task.step.job`
--- a/poplarpitch/scheduling/order_failure.h
+++ b/poplarpitch/scheduling/order_failure.h
@@ -6,9 +6,9 @@
 
 /// Why an order to a worker was not carried out, or why its result is unknown.
 enum class order_failure : std::uint8_t {
-    unreachable = 1,       ///< no connection; nothing was sent
-    not_sent,              ///< surely not sent; nothing is known about the worker
-    unanswered,            ///< sent without an answer: it may have been carried out, or may be seconds later
+    unreachable = 1, ///< no connection; nothing was sent
+    not_sent,        ///< certainly not sent; nothing is known about the worker
+    unanswered,      ///< sent without an answer: it may have been carried out, or may still be, seconds later
     other_incarnation,     ///< another incarnation of a worker answers at that address
     lower_fence,           ///< the worker has seen a higher fence
     stale_run,             ///< a run with the same or a higher number was stopped or ended there
--- a/poplarpitch/scheduling/run_end.h
+++ b/poplarpitch/scheduling/run_end.h
@@ -12,8 +12,8 @@
     lease_expired = 4, ///< its worker's lease expired
     gang_broken = 5,   ///< another member of its gang ended
     gang_timeout = 6,  ///< it waited too long for the other members of its gang
-    not_started = 7,   ///< it surely never ran and never will
-    lost = 8,          ///< its worker is gone, or was unreachable until its lease had surely expired
+    not_started = 7,   ///< it certainly never ran and never will
+    lost = 8,          ///< its worker is gone, or was unreachable until the lease had certainly expired
 };
 
 /// Returns the name of the end in logs. Thread safety: any thread.
--- a/poplarpitch/scheduling/step_job.cpp
+++ b/poplarpitch/scheduling/step_job.cpp
@@ -5,9 +5,9 @@
 namespace poplarpitch {
 namespace {
 
-constexpr std::size_t max_payload_bytes = 4000;       // the limit that callers are told
+constexpr std::size_t max_payload_bytes = 4000;       // the limit stated to callers
 constexpr std::size_t max_steps = 1000;               // bounds the size of one job's record
-constexpr std::uint32_t max_tasks_per_step = 100'000; // bounds it as well
+constexpr std::uint32_t max_tasks_per_step = 100'000; // bounds the size of one job's record too
 constexpr std::uint32_t max_occurrences = 1'000'000;
 
 } // namespace
@@ -24,7 +24,7 @@
     return sum;
 }
 
-std::int64_t step_job::get_critical_path_ms(const std::vector<std::int64_t>& lengths_ms) const {
+std::int64_t step_job::get_critical_path_ms(const std::vector<std::int64_t>& durations_ms) const {
     std::vector<std::int64_t> ends;
     ends.reserve(steps.size());
     for (std::size_t number = 0; number < steps.size(); ++number) {
@@ -32,25 +32,25 @@
         for (const auto earlier : steps[number].depends_on) {
             start = std::max(start, ends[earlier]);
         }
-        ends.push_back(start + lengths_ms[number]);
+        ends.push_back(start + durations_ms[number]);
     }
     return ends.empty() ? 0 : *std::max_element(ends.begin(), ends.end());
 }
 
-duration step_job::get_objective(const std::vector<std::int64_t>& lengths_ms) const {
-    const auto stretched = queue.latency_factor * static_cast<double>(get_critical_path_ms(lengths_ms));
+duration step_job::get_objective(const std::vector<std::int64_t>& durations_ms) const {
+    const auto stretched = queue.latency_factor * static_cast<double>(get_critical_path_ms(durations_ms));
     return queue.target_latency + duration{milliseconds{static_cast<std::int64_t>(stretched)}};
 }
 
 std::int64_t step_job::get_remaining_path_ms(std::uint32_t first,
-                                             const std::vector<std::int64_t>& lengths_ms) const {
+                                             const std::vector<std::int64_t>& durations_ms) const {
     std::vector<std::int64_t> ends(steps.size(), -1); // -1: does not depend on `first`
-    ends[first] = lengths_ms[first];
+    ends[first] = durations_ms[first];
     auto last = ends[first];
     for (std::size_t number = first + 1; number < steps.size(); ++number) {
         for (const auto earlier : steps[number].depends_on) {
             if (ends[earlier] >= 0) {
-                ends[number] = std::max(ends[number], ends[earlier] + lengths_ms[number]);
+                ends[number] = std::max(ends[number], ends[earlier] + durations_ms[number]);
             }
         }
         last = std::max(last, ends[number]);
--- a/poplarpitch/scheduling/step_job.h
+++ b/poplarpitch/scheduling/step_job.h
@@ -37,18 +37,18 @@
     /// Returns the millicores that the job's long-running steps reserve, except for filling ones. Thread
     /// safety: any thread.
     [[nodiscard]] std::int64_t get_long_running_millicores() const;
-    /// Returns the duration of the critical path, in milliseconds; `lengths_ms` has the duration of each
-    /// step. Precondition: one length for each step. Thread safety: any thread.
-    [[nodiscard]] std::int64_t get_critical_path_ms(const std::vector<std::int64_t>& lengths_ms) const;
+    /// Returns the duration of the critical path, in milliseconds; `durations_ms` has the duration of each
+    /// step. Precondition: one duration for each step. Thread safety: any thread.
+    [[nodiscard]] std::int64_t get_critical_path_ms(const std::vector<std::int64_t>& durations_ms) const;
     /// Returns the time within which the job has to end after its acceptance, or an occurrence after it
-    /// became due, to meet the objective; `lengths_ms` has the duration of each step. Precondition: one
-    /// length for each step. Thread safety: any thread.
-    [[nodiscard]] duration get_objective(const std::vector<std::int64_t>& lengths_ms) const;
+    /// became due, to meet the objective; `durations_ms` has the duration of each step. Precondition: one
+    /// duration for each step. Thread safety: any thread.
+    [[nodiscard]] duration get_objective(const std::vector<std::int64_t>& durations_ms) const;
     /// Returns the time from the start of step `first` to the end of the last step that depends on it, in
-    /// milliseconds; `lengths_ms` has the duration of each step. Precondition: one length for each step.
+    /// milliseconds; `durations_ms` has the duration of each step. Precondition: one duration for each step.
     /// Thread safety: any thread.
     [[nodiscard]] std::int64_t get_remaining_path_ms(std::uint32_t first,
-                                                     const std::vector<std::int64_t>& lengths_ms) const;
+                                                     const std::vector<std::int64_t>& durations_ms) const;
 };
 
 /// Returns why a job is invalid, or nothing when it is valid. Checks sizes and counts, that steps depend on
--- a/poplarpitch/scheduling/step_spec.h
+++ b/poplarpitch/scheduling/step_spec.h
@@ -18,9 +18,10 @@
     std::vector<std::uint32_t> depends_on; ///< earlier steps whose tasks must all be done first
     bool checkpointing = false;            ///< a stopped task can resume from its last checkpoint
     bool gang = false;                     ///< the tasks make progress only while all of them run
-    bool same_rack = false;     ///< slower by the site's remote factor when spread over several racks
+    bool same_rack =
+        false; ///< the tasks run slower by the site's remote factor when they are on several racks
     std::string required_label; ///< label that the worker must have; empty for any worker
-    std::string affinity_rack;  ///< slower by the remote factor on other racks; empty for none
+    std::string affinity_rack;  ///< the tasks run slower by the remote factor on other racks; empty for none
     std::uint32_t max_per_worker =
         0;                    ///< maximum number of tasks of one occurrence's step on one worker; 0: no limit
     bool speculative = false; ///< copies of a task may run at the same time
--- a/poplarpitch/scheduling/worker_order.h
+++ b/poplarpitch/scheduling/worker_order.h
@@ -29,13 +29,13 @@
     friend bool operator==(const order_target&, const order_target&) = default;
 };
 
-/// Renews the lease, acknowledges ends and requests the worker's list of runs.
+/// A long poll that renews the lease, acknowledges the ends of runs and requests the worker's list of runs.
 struct hold_order {
     order_target target;
     std::optional<std::int64_t>
         lease_end_ms; ///< end of the lease on the worker's clock; nothing while that clock is unknown
-    std::uint64_t acknowledged_up_to = 0; ///< the worker may forget ends up to this number
-    duration wait{}; ///< the worker answers at the next end, at the latest after this time
+    std::uint64_t acknowledged_up_to = 0; ///< the worker may discard the ends of runs up to this number
+    duration wait{};                      ///< the worker answers when the next run ends, or after this time
 
     friend bool operator==(const hold_order&, const hold_order&) = default;
 };
@@ -52,7 +52,7 @@
     friend bool operator==(const start_order&, const start_order&) = default;
 };
 
-/// Stops a run. A run that has not arrived there yet never starts.
+/// Stops a run. A run whose start order arrives after the stop is not started.
 struct stop_order {
     order_target target;
     run_key run;
@@ -60,7 +60,7 @@
     friend bool operator==(const stop_order&, const stop_order&) = default;
 };
 
-/// Limits a run to a share of its speed.
+/// Limits the speed of a run to a percentage of full speed.
 struct pace_order {
     order_target target;
     run_key run;
