--- a/poplarpitch/replica/replica_settings.h
+++ b/poplarpitch/replica/replica_settings.h
@@ -23,8 +23,10 @@
     /// A voter that is silent for this long is replaced when there is another instance. A replaced instance
     /// must count as a voter again within 4 s, and an election takes 1 s.
     duration voter_loss = milliseconds{2500};
-    std::uint64_t snapshot_bytes = 8U << 20; ///< log size that triggers a snapshot; replayed in under 1 s
-    std::uint64_t kept_entries = 500; ///< kept before a snapshot, so that a slightly slow follower needs none
+    std::uint64_t snapshot_bytes =
+        8U << 20; ///< log size that triggers a snapshot; a log of this size is replayed in under 1 s
+    std::uint64_t kept_entries =
+        500; ///< log entries kept before a snapshot, so that a slightly slow follower needs no snapshot
     raft_settings raft;
 
     friend auto operator<=>(const replica_settings&, const replica_settings&) = default;
--- a/poplarpitch/scheduler/scheduler_daemon.h
+++ b/poplarpitch/scheduler/scheduler_daemon.h
@@ -74,7 +74,8 @@
 
 private:
     static constexpr int start_failed_exit_code = 1;
-    static constexpr duration tick_interval = milliseconds{10}; // of a leader; its timers may be this late
+    static constexpr duration tick_interval =
+        milliseconds{10}; // of a leader, whose timers may be late by this
     static constexpr duration idle_interval = milliseconds{200};
 
     static http_listener_settings make_listener_settings(const scheduler_settings& settings) {
