--- a/unit_tests/dispatch/dispatcher_admission_test.cpp
+++ b/unit_tests/dispatch/dispatcher_admission_test.cpp
@@ -55,7 +55,7 @@
 }
 
 /// Load pattern: all callers retry at once after a power loss; the leader's timers are 0.6 s late.
-TEST(dispatcher_admission, takes_no_new_jobs_while_the_leader_is_far_behind_and_spreads_their_return) {
+TEST(dispatcher_admission, refuses_new_jobs_while_the_leader_lags_and_spreads_their_retries) {
     dispatch_world world;
     add_workers(world);
     step_job job;
@@ -101,7 +101,7 @@
     EXPECT_TRUE(world.scheduler.admit(make_long_running(101, 30), world.now).is_admitted());
 }
 
-TEST(dispatcher_admission, a_new_leader_counts_the_jobs_of_the_one_before) {
+TEST(dispatcher_admission, a_new_leader_counts_the_jobs_of_the_former_leader) {
     dispatch_world world;
     add_workers(world);
     world.submit(make_long_running(0, 30).steps);
--- a/unit_tests/dispatch/dispatcher_copy_test.cpp
+++ b/unit_tests/dispatch/dispatcher_copy_test.cpp
@@ -115,7 +115,7 @@
     EXPECT_EQ(slow.world.job_state.find_job(slow.job)->phase, job_phase::completed);
 }
 
-TEST(copy_need, leaves_a_run_alone_that_is_within_what_estimates_are_off_by) {
+TEST(copy_need, copies_no_run_that_is_within_the_usual_error_of_estimates) {
     EXPECT_FALSE(needs_copy({milliseconds{1500}, 0, estimate_ms}));
     EXPECT_FALSE(needs_copy({milliseconds{3000}, 80, estimate_ms})); // 0.75 s more
     EXPECT_TRUE(needs_copy({milliseconds{3000}, 40, estimate_ms}));  // 4.5 s more
--- a/unit_tests/dispatch/dispatcher_job_test.cpp
+++ b/unit_tests/dispatch/dispatcher_job_test.cpp
@@ -117,7 +117,7 @@
     EXPECT_EQ(world.job_state.find_job(job)->phase, job_phase::cancelled);
 }
 
-TEST(dispatcher_job, never_asks_more_of_a_worker_than_it_holds) {
+TEST(dispatcher_job, never_exceeds_the_capacity_of_a_worker) {
     dispatch_world world;
     world.add_worker("w1", {3500, 250, 0});
     world.submit({make_step(10)});
@@ -143,7 +143,7 @@
     EXPECT_EQ(starts[0].run.task.step.job, small);
 }
 
-TEST(dispatcher_job, keeps_labels_and_the_limit_on_one_worker) {
+TEST(dispatcher_job, respects_required_labels_and_the_limit_per_worker) {
     dispatch_world world;
     world.add_worker("w1", {64000, 256000, 0}, "r1");
     world.add_worker("w2", {64000, 256000, 0}, "r2");
--- a/unit_tests/dispatch/dispatcher_pressure_test.cpp
+++ b/unit_tests/dispatch/dispatcher_pressure_test.cpp
@@ -225,7 +225,7 @@
     EXPECT_TRUE(world.take<start_order>().empty());
 }
 
-TEST(dispatcher_pressure, keeps_a_worker_open_for_short_tasks_while_serving_tasks_can_wait) {
+TEST(dispatcher_pressure, keeps_a_worker_free_for_short_tasks_while_serving_tasks_can_wait) {
     dispatch_world world;
     for (int number = 1; number <= 4; ++number) {
         world.add_worker("w" + std::to_string(number), {20000, 256000, 0});
@@ -272,7 +272,8 @@
 
 /// Load pattern: 1,800 workers that each require a check three times a second, and a leader without time
 /// for it.
-TEST(dispatcher_pressure, looks_at_mixed_workers_more_seldom_under_strain_and_at_once_often_again_after_it) {
+TEST(dispatcher_pressure,
+     checks_mixed_workers_less_often_under_strain_and_at_the_normal_rate_right_after_it) {
     dispatch_world world;
     world.add_worker("w1");
     world.submit({make_serving(3)});
