--- a/poplarpitch/scheduler/caller_service.h
+++ b/poplarpitch/scheduler/caller_service.h
@@ -165,7 +165,7 @@
         const bool is_quota = decision.outcome == admission::admission_outcome::long_running_quota;
         log_event(log_level::info, "job_refused")
             .add("job", format_job_id(id))
-            .add("reason", is_quota ? "long-running jobs have reserved their share of the pool"
+            .add("reason", is_quota ? "jobs that last long have reserved their share of the pool"
                                     : "the leader is behind")
             .add("lag_ms", to_milliseconds(decision.lag))
             .add("wanted_millicores", decision.wanted)
--- a/unit_tests/dispatch/crash_property_test.cpp
+++ b/unit_tests/dispatch/crash_property_test.cpp
@@ -41,7 +41,7 @@
             EXPECT_LE(m_world.count_starts_after_three_crashes(get_crashing_task(id)),
                       max_starts_after_three_crashes);
             EXPECT_NE(get_phase(id), job_phase::open)
-                << "job " << id << " is still open: its caller got no outcome";
+                << "job " << id << " is open: its caller was told nothing";
         }
         for (const auto& [id, record] : m_world.get_job_state().get_jobs()) {
             if (record.phase == job_phase::failed) {
--- a/unit_tests/dispatch/crash_world.cpp
+++ b/unit_tests/dispatch/crash_world.cpp
@@ -690,7 +690,7 @@
             return;
         }
     }
-    m_violations.push_back("a start on " + target.id + " exceeded its capacity");
+    m_violations.push_back("a start brought " + target.id + " over its room");
 }
 
 // ---- orders
--- a/unit_tests/dispatch/dispatcher_crash_test.cpp
+++ b/unit_tests/dispatch/dispatcher_crash_test.cpp
@@ -262,9 +262,9 @@
     ASSERT_EQ(starts.size(), 1U);
     const auto& worker = starts[0].target.worker.id;
     fail_holds(world, worker, seconds{15});
-    ASSERT_EQ(confirm_starts(world).size(), 1U) << "the lease has expired";
+    ASSERT_EQ(confirm_starts(world).size(), 1U) << "the lease has lapsed";
     EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 0U)
-        << "the worker may only be unreachable";
+        << "it may only be out of reach";
     world.restart_with_new_id(worker, worker + "+");
     EXPECT_EQ(world.job_state.find_task({{job, 0, 0}, 0})->crash.crashes, 1U);
 }
--- a/unit_tests/dispatch/dispatcher_ending_test.cpp
+++ b/unit_tests/dispatch/dispatcher_ending_test.cpp
@@ -98,7 +98,7 @@
     world.answer(stop);
     world.answer_hold("w1", make_list_of(first.run));
     const auto* track = world.scheduler.find_track(order.run);
-    ASSERT_NE(track, nullptr) << "the stopped run may take a while to end";
+    ASSERT_NE(track, nullptr) << "it may take the time of a stop to end";
     EXPECT_FALSE(track->is_ending);
 }
 
@@ -192,7 +192,7 @@
         const auto holds = world.take<hold_order>();
         ASSERT_EQ(holds.size(), 1U);
         EXPECT_EQ(holds[0].lease_end_ms.has_value(), round == 0)
-            << "no lease is renewed for a run that must not be there";
+            << "no lease is renewed for what is not to run there";
         world.answer_hold("w1", make_list_of(stray));
         const auto stops = world.take<stop_order>();
         ASSERT_EQ(stops.size(), 1U);
@@ -202,7 +202,7 @@
     world.answer_hold("w1", dispatch_world::make_empty_list());
     static_cast<void>(world.take<hold_order>());
     world.advance(seconds{1});
-    EXPECT_TRUE(world.take<hold_order>().empty()) << "no list is requested from a worker that runs nothing";
+    EXPECT_TRUE(world.take<hold_order>().empty()) << "a worker that runs nothing is not asked for a list";
 }
 
 TEST(dispatcher_ending, waits_the_lease_with_the_drift_of_the_clock_and_a_margin) {
--- a/unit_tests/dispatch/dispatcher_loss_test.cpp
+++ b/unit_tests/dispatch/dispatcher_loss_test.cpp
@@ -252,7 +252,7 @@
             }
         }
     }
-    EXPECT_TRUE(is_elsewhere) << "its lease never expired";
+    EXPECT_TRUE(is_elsewhere) << "its lease never lapsed";
 }
 
 TEST(dispatcher_loss, renews_leases_while_ends_cannot_be_committed) {
--- a/unit_tests/dispatch/dispatcher_retry_test.cpp
+++ b/unit_tests/dispatch/dispatcher_retry_test.cpp
@@ -86,7 +86,7 @@
     world.add_worker("w2");
     world.send_heartbeat("w1", true, 5000); // it leaves before the start is repeated
     world.advance(milliseconds{200});
-    EXPECT_TRUE(world.take<stop_order>().empty()) << "no start can be in flight";
+    EXPECT_TRUE(world.take<stop_order>().empty()) << "nothing of it can be on the way";
     const auto second = world.take<start_order>();
     ASSERT_EQ(second.size(), 1U);
     EXPECT_EQ(second[0].target.worker.id, "w2");
--- a/unit_tests/dispatch/dispatcher_waits_test.cpp
+++ b/unit_tests/dispatch/dispatcher_waits_test.cpp
@@ -27,7 +27,7 @@
     ASSERT_EQ(found.size(), 1U);
     EXPECT_EQ(found[0].task.step.job, waits);
     EXPECT_EQ(found[0].workers, 3U);
-    EXPECT_EQ(found[0].with_room, 1U) << "a draining worker has no room";
+    EXPECT_EQ(found[0].with_room, 1U) << "one that leaves has no room";
     EXPECT_EQ(found[0].count(placement_obstacle::leaving), 1U);
     EXPECT_EQ(found[0].count(placement_obstacle::silent), 1U);
     EXPECT_EQ(found[0].count(placement_obstacle::room), 1U);
--- a/unit_tests/dispatch/overlap_property_test.cpp
+++ b/unit_tests/dispatch/overlap_property_test.cpp
@@ -69,8 +69,7 @@
             << " stuck: " << get_stuck_name(m_world.find_stuck().front().reason);
         for (const auto& [id, tasks] : m_long_running) {
             if (get_phase(id) == job_phase::open) {
-                EXPECT_EQ(m_world.count_running(id), tasks)
-                    << "runs of job " << id << ", which is long-running";
+                EXPECT_EQ(m_world.count_running(id), tasks) << "of job " << id << " that lasts";
             }
         }
         for (const auto& [id, record] : m_world.get_job_state().get_jobs()) {
--- a/unit_tests/platform/replaced_cluster_test.cpp
+++ b/unit_tests/platform/replaced_cluster_test.cpp
@@ -150,7 +150,7 @@
         m_cluster.get_scheduler(number).send(SIGSTOP);
         sleep_random(100, 2500);
         m_cluster.get_scheduler(number).send(SIGCONT);
-        add_to_timeline(absl::StrCat("scheduler ", number, " is resumed"));
+        add_to_timeline(absl::StrCat("scheduler ", number, " goes on"));
     }
 
     void inject_fault() {
--- a/unit_tests/platform/run_record.cpp
+++ b/unit_tests/platform/run_record.cpp
@@ -35,8 +35,8 @@
     auto& record = m_tasks[task];
     ++m_concurrent_starts;
     record.has_violation = true;
-    add_history_line(record, absl::StrCat("a start of run ", run, " was sent to ", worker,
-                                          " WHERE ANOTHER RUN IS ACTIVE"));
+    add_history_line(record,
+                     absl::StrCat("run ", run, " was asked for on ", worker, " WHERE ANOTHER RUN IS ACTIVE"));
 }
 
 void run_record::add_end(const std::string& task, std::uint32_t run, const std::string& worker,
@@ -74,7 +74,7 @@
         record.done_ends.erase(end);
         add_history_line(
             record,
-            absl::StrCat("run ", run, " is disregarded: the lease expired before its end was acknowledged"));
+            absl::StrCat("run ", run, " is disregarded: the lease lapsed before its end was acknowledged"));
     }
 }
 
--- a/unit_tests/state/job_simulation.cpp
+++ b/unit_tests/state/job_simulation.cpp
@@ -75,13 +75,13 @@
     const int live = static_cast<int>(std::count_if(actual.runs.begin(), actual.runs.end(),
                                                     [](const auto& item) { return item.second.is_live; }));
     if (live > 0) {
-        m_violation = job->id() + " has two live runs at the same time";
+        m_violation = job->id() + " runs in two places";
     }
     const bool ran_before = std::any_of(actual.runs.begin(), actual.runs.end(), [](const auto& item) {
         return item.second.has_started; // a refused one never ran
     });
     if (!job->idempotent() && ran_before && !actual.is_rerun_allowed && job->evictions() == 0) {
-        m_violation = job->id() + " is not idempotent and was started again without an operator's decision";
+        m_violation = job->id() + " is not idempotent and runs again without an operator's decision";
     }
     actual.is_rerun_allowed = false;
     actual.runs[job->attempt()] = {job->attempt(), true, true};
@@ -195,7 +195,7 @@
     std::size_t bytes = 0;
     m_table.for_each_packed([&](std::string_view record) { bytes += record.size(); });
     if (bytes != m_table.get_bytes()) {
-        m_violation = "the size of the table in bytes is not the sum of the sizes of its records";
+        m_violation = "the bytes of the table are not the sum of the bytes of its records";
     }
     for (int number = 0; number < workers; ++number) {
         const auto worker = "worker-" + std::to_string(number);
