--- a/poplarpitch/net/frame_socket.h
+++ b/poplarpitch/net/frame_socket.h
@@ -69,9 +69,9 @@
     std::shared_ptr<impl> m_impl;
 };
 
-/// Opens a frame connection to `address` (IPv4 address and port). `on_done` receives null when no connection
+/// Connects a frame socket to `address` (IPv4 address and port). `on_done` receives null when no connection
 /// is established within `timeout`. Thread safety: the loop's thread.
-void connect_frames(event_loop& loop, const std::string& address, duration timeout,
-                    std::function<void(std::shared_ptr<frame_socket>)> on_done);
+void connect_frame_socket(event_loop& loop, const std::string& address, duration timeout,
+                          std::function<void(std::shared_ptr<frame_socket>)> on_done);
 
 } // namespace poplarpitch
--- a/poplarpitch/policy/decaying_histogram.h
+++ b/poplarpitch/policy/decaying_histogram.h
@@ -9,17 +9,17 @@
 /// at a fixed cost for each sample. Thread safety: none, as for all methods.
 class decaying_histogram {
 public:
-    /// Preconditions: 0 < `low` < `high`; `memory_samples`, at least 1, is the number of samples after which
+    /// Preconditions: 0 < `low` < `high`; `decay_samples`, at least 1, is the number of samples after which
     /// the weight of a sample has decayed to 1/e.
-    decaying_histogram(double low, double high, double memory_samples);
+    decaying_histogram(double low, double high, double decay_samples);
     ~decaying_histogram();
     decaying_histogram(decaying_histogram&& other) noexcept;
     decaying_histogram& operator=(decaying_histogram&& other) noexcept;
 
     /// Adds one sample; a value outside the axis is counted in the first or last bin.
     void add(double value);
-    /// Returns the value that the share `q` of the weight does not exceed: the upper edge of the quantile's
-    /// bin. Returns 0 when nothing was added.
+    /// Returns the quantile for `q`, a share from 0 to 1, rounded up to the upper edge of its bin. Returns 0
+    /// when nothing was added.
     [[nodiscard]] double get_quantile(double q) const;
     /// Returns the middle of the bin that holds the quantile. This is the best estimate, whereas
     /// `get_quantile` is the conservative one. Returns 0 when nothing was added.
--- a/poplarpitch/scheduler/caller_service.h
+++ b/poplarpitch/scheduler/caller_service.h
@@ -224,7 +224,7 @@
     }
 
     scheduler_parts& m_parts;
-    absl::flat_hash_set<job_id> m_submitting; ///< accepted, but not committed yet
+    absl::flat_hash_set<job_id> m_submitting; ///< jobs whose submission is being committed
 };
 
 } // namespace poplarpitch
--- a/unit_tests/state/job_simulation.cpp
+++ b/unit_tests/state/job_simulation.cpp
@@ -80,10 +80,10 @@
     const bool ran_before = std::any_of(actual.runs.begin(), actual.runs.end(), [](const auto& item) {
         return item.second.has_started; // a refused one never ran
     });
-    if (!job->idempotent() && ran_before && !actual.is_resolved && job->evictions() == 0) {
-        m_violation = job->id() + " is not idempotent and runs again without an operator";
+    if (!job->idempotent() && ran_before && !actual.is_rerun_allowed && job->evictions() == 0) {
+        m_violation = job->id() + " is not idempotent and runs again without an operator's decision";
     }
-    actual.is_resolved = false;
+    actual.is_rerun_allowed = false;
     actual.runs[job->attempt()] = {job->attempt(), true, true};
     send(job->id(), job->attempt(), wire::event_started);
 }
@@ -118,30 +118,31 @@
     }
 }
 
-void job_simulation::lose_worker() {
+void job_simulation::report_worker_lost() {
     const auto job = pick_job();
     if (!job.has_value() || !is_active(job->state())) {
         return;
     }
-    // The owner stops renewing and reports the worker as lost. The run continues until its lease expires.
+    // The instance that owns the worker stops renewing its lease and reports it as lost. The run continues
+    // until the lease expires.
     send(job->id(), job->attempt(), wire::event_lost);
 }
 
-void job_simulation::expire_leases() {
+void job_simulation::expire_lease() {
     const auto job = pick_job();
     if (!job.has_value()) {
         return;
     }
     auto& actual = m_actual_jobs[job->id()];
     if (!job->lost()) {
-        actual.lost_index = 0;
+        actual.loss_log_index = 0;
         return;
     }
-    if (actual.lost_index != job->changed_index()) {
-        actual.lost_index = job->changed_index(); // the wait starts
+    if (actual.loss_log_index != job->changed_index()) {
+        actual.loss_log_index = job->changed_index(); // the wait for the end of the lease starts
         return;
     }
-    // The wait is over, so the worker has stopped the run itself.
+    // The lease has expired, so the worker has stopped the run itself.
     const auto run = actual.runs.find(job->attempt());
     if (run != actual.runs.end()) {
         run->second.is_live = false;
@@ -194,7 +195,7 @@
     std::size_t bytes = 0;
     m_table.for_each_packed([&](std::string_view record) { bytes += record.size(); });
     if (bytes != m_table.get_bytes()) {
-        m_violation = "the bytes of the table are not the sum of its records";
+        m_violation = "the bytes of the table are not the sum of the bytes of its records";
     }
     for (int number = 0; number < workers; ++number) {
         const auto worker = "worker-" + std::to_string(number);
@@ -226,10 +227,10 @@
         evict_run();
         break;
     case 7:
-        lose_worker();
+        report_worker_lost();
         break;
     case 8:
-        expire_leases();
+        expire_lease();
         break;
     case 9:
         if (const auto job = pick_job(); job.has_value() && pick(10) == 0) {
