--- a/poplarpitch/dispatch/dispatcher_advice.cpp
+++ b/poplarpitch/dispatch/dispatcher_advice.cpp
@@ -1,5 +1,5 @@
-// Queues whose policy restricts the workers. The advice service, an external service, decides which workers
-// may run a step and issues a ticket for each of them.
+// Placement for queues whose policy restricts which workers may run a step. The advice service, an external
+// service, decides which workers may run a step and issues a ticket for each of them.
 #include "poplarpitch/dispatch/dispatcher.h"
 
 #include "poplarpitch/dispatch/placement.h"
@@ -96,8 +96,8 @@
         return;
     }
     auto& advice = m_advice[request.step];
-    // The validity counts from the start of the call, since the service may have decided then. The call is
-    // taken to have lasted for the time that the queue's policy allows.
+    // The validity counts from the start of the call, since the service may have decided then. The start
+    // is not recorded, so the call is assumed to have taken the full time that the queue's policy allows.
     const auto expires = now + record->job->queue.advice->ticket_validity - request.timeout + answer_slack;
     for (const auto& worker : request.workers) {
         const auto found = std::find_if(outcome.allowed.begin(), outcome.allowed.end(),
--- a/poplarpitch/dispatch/dispatcher_losses.cpp
+++ b/poplarpitch/dispatch/dispatcher_losses.cpp
@@ -10,7 +10,8 @@
 namespace poplarpitch {
 namespace {
 
-constexpr duration max_check_interval = milliseconds{500}; // between checks of a worker that sends nothing
+constexpr duration max_check_interval =
+    milliseconds{500}; // longest time between two checks of a worker, when nothing requires an earlier one
 constexpr duration leaving_check_interval =
     milliseconds{20};                               // between checks of a draining worker that still has runs
 constexpr duration leave_slack = milliseconds{300}; // before a draining worker's deadline
@@ -37,8 +38,8 @@
     return is_idle && (worker.is_lost || has_no_heartbeats) && !worker.is_hold_pending;
 }
 
-/// Adds the age of the run and the number of runs on the worker. They help to tell a task that crashes its
-/// worker from a task that only ran beside it, and a crash from a network failure.
+/// Adds the age of the run and the number of runs on the worker. They help to distinguish a task that
+/// crashes its worker from one that only ran on the same worker, and a crash from a network failure.
 void dispatcher::add_loss_fields(log_event& line, const run_track& track, time_point now) {
     add_run(line, track.key);
     add_worker(line, track.host->report.incarnation);
@@ -86,10 +87,11 @@
 }
 
 /// A worker may keep its id when it restarts. A start may then have reached a later incarnation than the one
-/// that it names. If the leader has not noticed that incarnation, this holds even for an answered start. The
-/// clock of the later incarnation starts anew, so only the maximum lease length bounds the run there. A
-/// long-running task stays at a worker for long and has to be restarted within seconds. It is exempt from
-/// this bound once the outcome of its start is known.
+/// that it names. If the leader has not noticed that incarnation, this may be so even for a start that was
+/// answered. The clock of the later incarnation starts anew, so only the maximum lease length bounds how long
+/// the run may continue there. A long-running task stays at a worker for long, so its start is rarely recent,
+/// and it has to be restarted within seconds. It is exempt from this bound once the outcome of its start is
+/// known.
 time_point dispatcher::get_lease_end(const run_track& track) const {
     const auto& worker = *track.host;
     const bool is_start_known = !track.may_yet_start() && track.stage != run_stage::adopting;
--- a/poplarpitch/dispatch/dispatcher_placing.cpp
+++ b/poplarpitch/dispatch/dispatcher_placing.cpp
@@ -17,24 +17,26 @@
 constexpr double demand_smoothing_s = 8;       // time constant; longer than bursts, which last 4 to 6 s
 constexpr double peak_factor = 1.5;            // multiple of the smoothed demand, which varies by 50%
 constexpr double min_non_serving_share = 0.05; // of all processor time, before any demand is known
-constexpr duration max_serving_wait = milliseconds{1800}; // maximum wait of a serving task that could run
+constexpr duration max_serving_wait = milliseconds{
+    1800}; // maximum wait of a serving task before it may take a worker that is kept free for short tasks
 constexpr std::int64_t retry_bonus_ms =
     4000; // a failed task holds up a job in which work has already been invested
-constexpr std::int64_t started_bonus_ms =
-    3000; // a job that has started outranks new jobs whose slack is smaller by up to this
+constexpr std::int64_t started_bonus_ms = 3000; // subtracted from the slack of a job that has started; it
+                                                // outranks new jobs whose slack is smaller by up to this
 constexpr std::int64_t long_running_bonus_ms =
-    100'000; // long-running tasks that have waited outrank all others of their priority
+    100'000; // long-running tasks that have waited outrank all others of their priority except those of
+             // starving jobs
 constexpr std::int64_t starving_bonus_ms = 5'000'000; // a starving job outranks all others of its priority
 // A job starves when none of its tasks has run for this long although less than half of its pool is reserved.
-// At most 3 s are allowed for that; this is half of them.
+// The requirement is at most 3 s; this limit is half of that.
 constexpr duration starving_after = milliseconds{1500};
-constexpr std::int64_t long_running_rank_ms =
-    2000; // rank of a long-running task among others of its priority
-constexpr duration max_long_running_wait =
-    milliseconds{1800};                      // a long-running task that could run must start within 3 s
+constexpr std::int64_t long_running_rank_ms = 2000; // a long-running task has no deadline; among others of
+                                                    // its priority, it ranks like a task with this slack
+constexpr duration max_long_running_wait = milliseconds{
+    1800}; // a long-running task for which there is room must start within 3 s; it is urgent after this wait
 constexpr std::size_t many_ready_steps = 50; // a pass over fewer steps costs under 0.2 ms
-constexpr duration busy_pass_interval =
-    milliseconds{15}; // between passes over many steps; uses a tenth of a core of a small instance
+constexpr duration busy_pass_interval = milliseconds{
+    15}; // between passes over many steps; the passes then use a tenth of a core of a small instance
 constexpr duration idle_pass_interval =
     milliseconds{100}; // while no task waits; the pass then only measures the demand
 constexpr std::int64_t late_penalty_ms = 1'000'000; // a late job ranks behind all that are not late
@@ -42,8 +44,8 @@
     3; // a job expected to take longer than this multiple of its objective ranks last
 
 /// Ranks by least slack. A job that can no longer meet its objective ranks behind those that still can. Load
-/// pattern: a burst has 2.6 times the usual load for seconds. With ranking by deadline alone, every job that
-/// arrives after the burst is late.
+/// pattern: a burst has 2.6 times the usual load for several seconds. With ranking by deadline alone, every
+/// job that arrives after the burst is late.
 std::int64_t rank_by_time(std::int64_t allowed_ms, std::int64_t age_ms, std::int64_t remaining_ms) {
     const auto slack = allowed_ms - age_ms - remaining_ms;
     if (slack >= 0) {
@@ -133,7 +135,8 @@
         if (is_usable(*worker, now)) {
             pass.usable[worker->report.pool].push_back(worker);
             ++usable;
-            probations += worker->probations > 0 ? 1 : 0; // workers that do not answer are lost anyway
+            // Only usable workers count, since workers that do not answer are lost anyway.
+            probations += worker->probations > 0 ? 1 : 0;
         }
     }
     const auto max_probations = get_max_probations(usable);
@@ -258,10 +261,10 @@
     }
 }
 
-/// Measures the processor time that short tasks, which neither serve nor fill, use and wait for. Workers
-/// without serving tasks are kept free for them. A short task needs several whole cores at once, while a
-/// worker with serving tasks has only a few cores left. Load pattern: long-running serving tasks reserve nine
-/// tenths of a pool before the first short task arrives.
+/// Measures the processor time that short tasks, which are neither serving nor filling, reserve and wait for.
+/// Workers without serving tasks are kept free for them. A short task needs several whole cores at once,
+/// while a worker with serving tasks has only a few cores left. Load pattern: long-running serving tasks
+/// reserve nine tenths of a pool before the first short task arrives.
 void dispatcher::measure_short_task_demand(const placing_pass& pass) {
     m_non_serving_millicores = 0;
     m_total_millicores = 0;
--- a/poplarpitch/dispatch/dispatcher_workers.cpp
+++ b/poplarpitch/dispatch/dispatcher_workers.cpp
@@ -18,11 +18,11 @@
 // renewed even if the log makes no progress.
 constexpr duration commit_hold_pause = milliseconds{500};
 constexpr double hold_pause_growth_at_full_strain =
-    5; // at full strain the pause grows by this multiple of itself; ends of runs then arrive in batches
+    5; // at full strain, this multiple of the pause is added to it; ends of runs then arrive in batches
 constexpr duration hold_slack = milliseconds{800}; // added to the requested wait
 
-/// Returns the failure of a hold, or nothing. An answer without a start time counts as unanswered when the
-/// worker's report has one, since the answer does not show which incarnation sent it.
+/// Returns the failure of a hold, or nothing. An answer without a start time is treated as no answer
+/// when the worker's report has one, since it does not show which incarnation sent it.
 std::optional<order_failure> get_hold_failure(const worker_state& worker, const order_outcome& outcome) {
     const bool omits_start_time =
         outcome.answer.process_start_ms == 0 && worker.report.incarnation.process_start_ms != 0;
@@ -76,9 +76,9 @@
     }
     auto& worker = get_or_add_worker(report.incarnation, now);
     if (worker.has_report && report.sequence <= worker.report.sequence) {
-        return worker.is_draining &&
-               !m_job_state.is_retired(report.incarnation); // an older heartbeat that arrived late; only its
-                                                            // request to drain is still considered
+        // An older heartbeat that arrived late. Its contents are ignored, but while the worker's draining is
+        // not committed, it must also be answered only after the commit.
+        return worker.is_draining && !m_job_state.is_retired(report.incarnation);
     }
     const bool is_new = !worker.has_report;
     worker.report = report;
@@ -200,8 +200,9 @@
            m_settings.lease_margin;
 }
 
-/// On a worker with both serving and filling tasks, a shorter wait only serves to adjust the pace of the
-/// filling tasks. It is therefore the first to be lengthened when the leader's thread is overloaded.
+/// On a worker with both serving and filling tasks, the wait is shorter, only so that the pace of the filling
+/// tasks can be adjusted sooner. It is therefore lengthened, unlike that of other workers, when the leader's
+/// thread is overloaded.
 duration dispatcher::get_hold_wait(const worker_state& worker) const {
     const bool is_mixed = worker.serving_runs > 0 && worker.filling_runs > 0;
     if (!is_mixed) {
@@ -243,7 +244,9 @@
         return;
     }
     worker->is_hold_pending = false;
-    m_workers.schedule_check(*worker, now); // in the next turn, when the orders that follow are known
+    m_workers.schedule_check(
+        *worker,
+        now); // checked after this call, when the orders that follow from this answer are known
     if (worker->is_lost) {
         return;
     }
@@ -394,8 +397,8 @@
         if (track.is_ending || std::binary_search(listed.begin(), listed.end(), key)) {
             continue;
         }
-        // For `never_came`: the worker has this leader's fence, so it refuses a late start of an earlier
-        // leader.
+        // A run that is still `adopting` can no longer start: the worker has this leader's fence, so it
+        // refuses a late start of an earlier leader.
         const bool never_came = track.stage == run_stage::adopting;
         const bool was_there = track.stage == run_stage::running && track.confirmed_at != time_point{} &&
                                track.confirmed_at < worker.hold_sent;
--- a/poplarpitch/dispatch/long_running_quota.cpp
+++ b/poplarpitch/dispatch/long_running_quota.cpp
@@ -11,13 +11,14 @@
 constexpr duration learning_time =
     seconds{30}; // observation time before the demand of other tasks is relied on
 constexpr double peak_decay_s =
-    60; // time constant; other demand varies by 50% within 20 s, and daily peaks last longer
-constexpr double peak_margin =
-    1.5; // multiple of the peak of other demand; in a burst the demand is 1.5 times as high
+    60; // time constant; longer than the swings of other demand (50% within 20 s), shorter than daily peaks
+constexpr double peak_margin = 1.5; // multiple of the decayed peak of other demand that is kept free; in a
+                                    // burst the demand is 1.5 times that peak
 constexpr duration min_retry_after =
     seconds{5}; // lower bound; a job that runs for a minute frees no room sooner
 constexpr duration max_retry_after =
-    seconds{60}; // upper bound before the jitter is added; the caller may always try again after this time
+    seconds{60}; // upper bound before the jitter is added; whatever the estimate, no caller is asked to wait
+                 // longer than this plus the jitter
 constexpr duration default_retry_after = seconds{30}; // while no job has ended yet
 constexpr duration retry_after_while_reports_missing =
     seconds{1}; // while heartbeats of workers are still missing
--- a/poplarpitch/dispatch/step_advice.h
+++ b/poplarpitch/dispatch/step_advice.h
@@ -9,8 +9,9 @@
 
 namespace poplarpitch {
 
-/// The advice service's answers for a step: which workers its queue's policy allows. The answer for a worker
-/// never changes, but its ticket expires. Thread safety: none, as for all methods.
+/// The advice service's answers for a step: which workers its queue's policy allows. Whether a worker
+/// is allowed never changes, but a ticket expires and then has to be requested again. Thread safety: none, as
+/// for all methods.
 class step_advice {
 public:
     /// Records that `worker` may run the step with `ticket` until `expires`.
--- a/poplarpitch/policy/decaying_histogram.h
+++ b/poplarpitch/policy/decaying_histogram.h
@@ -26,7 +26,7 @@
     [[nodiscard]] double get_quantile_midpoint(double q) const;
     /// Returns the share of the weight at or below `value`; 1 when nothing was added.
     [[nodiscard]] double get_share_below(double value) const;
-    /// Returns the number of samples after decay.
+    /// Returns the total weight of all samples; the newest has weight 1, and older ones have decayed.
     [[nodiscard]] double get_weight() const;
 
 private:
--- a/poplarpitch/relay/frame_age.cpp
+++ b/poplarpitch/relay/frame_age.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 // Not longer, because clocks that drift by 2% diverge by a tenth of a second within one window. Not much
-// shorter, because a suspended relay still gets orders for half a second, and the frames from before that
-// have to remain in the window.
+// shorter, because a suspended relay still gets orders for half a second, and the frames that arrived
+// before the suspension have to remain in the window.
 constexpr std::int64_t window_ms = 5'000;
 
 } // namespace
--- a/poplarpitch/replica/peer_mesh.cpp
+++ b/poplarpitch/replica/peer_mesh.cpp
@@ -10,7 +10,8 @@
 
 constexpr duration connect_timeout = milliseconds{700}; // a round trip is a few milliseconds
 constexpr duration retry_pause = milliseconds{150};     // after a failed or lost connection
-constexpr duration silence_timeout = milliseconds{800}; // eight heartbeats without a frame
+constexpr duration silence_timeout =
+    milliseconds{800}; // eight heartbeat intervals in which frames were sent and none was received
 
 } // namespace
 
--- a/poplarpitch/scheduling/job_record.h
+++ b/poplarpitch/scheduling/job_record.h
@@ -64,7 +64,8 @@
     /// Returns the task, or null when the occurrence has not started, was dropped or a number is out of
     /// range. Thread safety: none.
     [[nodiscard]] task_record* find_task(std::uint32_t occurrence, std::uint32_t step, std::uint32_t index);
-    /// Returns the step, or null as above. Thread safety: any thread while no thread modifies the object.
+    /// Returns the step, or null when the occurrence has not started, was dropped or the step number is out
+    /// of range. Thread safety: any thread while no thread modifies the object.
     [[nodiscard]] const step_record* find_step(std::uint32_t occurrence, std::uint32_t step) const;
     /// Returns true when all steps that `step` depends on are done. Thread safety: as above.
     [[nodiscard]] bool may_begin(std::uint32_t occurrence, std::uint32_t step) const;
--- a/unit_tests/dispatch/pressure_model_test.cpp
+++ b/unit_tests/dispatch/pressure_model_test.cpp
@@ -1,5 +1,5 @@
-// The pressure model learns which filling images slow a serving image only a little and which slow it
-// strongly, while the serving task's own load oscillates.
+// The pressure model learns whether tasks of a filling image slow those of a serving image only a little
+// or strongly, while the serving task's own load oscillates.
 #include "poplarpitch/dispatch/pressure_model.h"
 
 #include <gtest/gtest.h>
--- a/unit_tests/dispatch/tail_watch_test.cpp
+++ b/unit_tests/dispatch/tail_watch_test.cpp
@@ -1,4 +1,4 @@
-// The reduction of filling tasks grows with the time for which a tail latency has exceeded its target.
+// Filling tasks are slowed more the longer a serving task's tail latency has exceeded its target.
 #include "poplarpitch/dispatch/tail_watch.h"
 
 #include <gtest/gtest.h>
--- a/unit_tests/platform/crash_cluster_test.cpp
+++ b/unit_tests/platform/crash_cluster_test.cpp
@@ -1,5 +1,5 @@
 // Runs a cluster of real processes with a task that crashes its workers. The job of that task must fail and
-// the other job must complete, also when the leader that saw the first crash is killed.
+// the other job must complete, even when the leader that saw the first crash is killed.
 #include "unit_tests/platform/expect_done.h"
 #include "unit_tests/platform/scheduler_cluster.h"
 #include "unit_tests/platform/stand_in_workers.h"
