--- a/poplarpitch/net/frame_socket.h
+++ b/poplarpitch/net/frame_socket.h
@@ -24,7 +24,7 @@
     /// Called for each received frame.
     using frame_handler = std::function<void(const std::string&)>;
 
-    /// Takes over a connected socket. Use `connect_frames` or `frame_listener` to create one.
+    /// Takes over a connected socket. Use `connect_frame_socket` or `frame_listener` to create one.
     explicit frame_socket(std::unique_ptr<impl> connected);
     ~frame_socket();
     frame_socket(const frame_socket&) = delete;
